--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -15,7 +15,7 @@
 import tracemalloc
 from typing import Any, Dict, List
 
-from ironhinge import interface as face
+from ironhinge import interface
 from ironhinge.lab.run import play
 from ironhinge.lab.scenes import SCENES, scene
 from ironhinge.settings.load import load_texts
@@ -32,22 +32,36 @@
     print(text, file=sys.stderr, flush=True)
 
 
-def facts() -> face.Deployment:
+def facts() -> interface.Deployment:
     """Six parents in two hubs, two vhosts of which one has parts."""
-    vhost = face.Vhost(4000, 1.6, 30_000, 1.0, 0.2, "replayable", "all", 0, False, 0, 0, 1.0, False)
-    told: Dict[str, Any] = {field: 0 for field in face.Deployment.__dataclass_fields__}
+    vhost = interface.RequestClass(
+        4000,
+        1.6,
+        30_000,
+        1.0,
+        0.2,
+        interface.Idempotency.IDEMPOTENT,
+        interface.DedupScope.ALL,
+        0,
+        False,
+        0,
+        0,
+        1.0,
+        False,
+    )
+    told: Dict[str, Any] = {field: 0 for field in interface.Deployment.__dataclass_fields__}
     told.update(
-        vhosts=(vhost, vhost._replace(parts=True)),
-        routers=1,
-        routers_here=1,
-        hub_of=(1, 1, 2),
+        request_classes=(vhost, vhost._replace(is_segmented=True)),
+        router_count=1,
+        local_router_count=1,
+        hub_by_zone=(1, 1, 2),
         parent_kind=1,
         origin_kind=2,
-        load_fields=(),
+        load_report_fields=(),
         prices=(),
-        inlet=(),
+        ingress_bandwidth=(),
     )
-    return face.Deployment(**told)
+    return interface.Deployment(**told)
 
 
 def ledger_cost(fills: int) -> Dict[str, float]:
@@ -55,9 +69,12 @@
     operations = load_texts([("bench", BUDGETS)]).operations
     assert operations.traffic is not None
     one = Ledger(operations.traffic, facts(), ("b", "h", "g"), ("card", "film"), 0, 1_764_576_000_000)
-    rows = [face.NodeRow("c", "ready", 0, 0, 0, 20.0, 0)]
-    rows += [face.NodeRow(f"p{at}", "ready", 0, 1 + at % 2, 0, 20.0, 1) for at in range(6)]
-    one.step(0, face.Listed(True, tuple(rows)))
+    rows = [interface.Endpoint("c", interface.EndpointState.READY, 0, 0, 0, 20.0, 0)]
+    rows += [
+        interface.Endpoint(f"p{at}", interface.EndpointState.READY, 0, 1 + at % 2, 0, 20.0, 1)
+        for at in range(6)
+    ]
+    one.step(0, interface.EndpointsUpdated(True, tuple(rows)))
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for at in range(60_000):
@@ -74,10 +91,10 @@
 
 
 def fill(one: Ledger, at: int, now: int) -> None:
-    came = face.ReqCame(f"r{at}", at, 0, 0, 100.0, 20_000, at % 2, False, False, at)
-    if not one.wait(now, came, f"p{at % 6}"):
+    came = interface.RequestReceived(f"r{at}", at, 0, 0, 100.0, 20_000, at % 2, False, False, at)
+    if not one.wait_time(now, came, f"p{at % 6}"):
         one.step(now, Sent(came, "c", f"p{at % 6}", 1, False))
-        one.step(now, Ended(came.id, "done", 2, 10_000, 100, False))
+        one.step(now, Ended(came.request_id, "done", 2, 10_000, 100, False))
     if at % 100 == 0:
         one.step(now, Tick(1_764_576_000_000 + now // 10))
 
--- a/ironhinge/brain.py
+++ b/ironhinge/brain.py
@@ -29,7 +29,8 @@
 from struct import unpack
 from typing import Dict, Iterator, List, Optional, Tuple
 
-from . import interface as face
+from . import interface
+from .interface import DedupScope, EndpointState, Idempotency
 
 K = 2  # caches that a req walks
 HALF_LIFE = 100_000  # of the rates in a cache's table
@@ -112,9 +113,9 @@
 class VhostRow:
     """What differs by vhost and is read here."""
 
-    def __init__(self, facts: face.Vhost):
+    def __init__(self, facts: interface.RequestClass):
         self.facts = facts
-        self.cacheable = not facts.writes
+        self.cacheable = not facts.is_write
         self.work_sum, self.work_count = facts.target * MEAN_WEIGHT, MEAN_WEIGHT
 
     def mean_work(self) -> float:
@@ -186,7 +187,7 @@
 class Node(Flow):
     """All that is known of a cache, a parent or the origin."""
 
-    def __init__(self, row: face.NodeRow):
+    def __init__(self, row: interface.Endpoint):
         super().__init__()
         self.id, self.salt, self.row = row.id, salt(row.id), row
         self.table = Table()
@@ -236,13 +237,18 @@
 
 
 class Req:
-    def __init__(self, came: face.ReqCame, vhost: VhostRow, now: int, work: int):
+    def __init__(self, came: interface.RequestReceived, vhost: VhostRow, now: int, work: int):
         self.came, self.unpaid = came, 0  # how long until a budget that had no room for it has
-        self.id, self.key, self.group, self.size = came.id, (came.obj, came.part), came.group, came.size
-        self.vhost, self.work, self.left_at = vhost, work, now + came.left
-        self.salt = mix(came.obj, came.part + 1)
-        self.home = mix(came.obj, 0)
-        self.cacheable = vhost.cacheable and not came.write
+        self.id, self.key, self.group, self.size = (
+            came.request_id,
+            (came.object_id, came.part),
+            came.group,
+            came.size,
+        )
+        self.vhost, self.work, self.left_at = vhost, work, now + came.time_remaining
+        self.salt = mix(came.object_id, came.part + 1)
+        self.home = mix(came.object_id, 0)
+        self.cacheable = vhost.cacheable and not came.is_write
         self.asked: List[Node] = []  # caches walked that had no copy
         self.ranks: Dict[Node, int] = {}  # what the tables of the caches walked said
         self.failed: List[Node] = []  # nodes and sources that failed it
@@ -251,7 +257,7 @@
         self.source: Optional[Node] = None
         self.sent_at = 0
         facts = vhost.facts
-        self.target_at = min(self.left_at, now + facts.target + int(facts.stretch * work))
+        self.target_at = min(self.left_at, now + facts.target + int(facts.target_stretch * work))
         self.may_have_run: Optional[Tuple[Node, int]] = None  # where first, and when it was sent
         self.streaming = False
         self.lately = False  # its object was asked for not long ago
@@ -260,13 +266,15 @@
 
 
 class Router:
-    purse: Optional[face.Purse] = None  # operators' budgets, and copies of our own: most have neither
-    shelf: Optional[face.Shelf] = None
+    purse: Optional[interface.FillBudget] = (
+        None  # operators' budgets, and copies of our own: most have neither
+    )
+    shelf: Optional[interface.LocalStore] = None
 
-    def __init__(self, facts: face.Deployment, seed: int):
+    def __init__(self, facts: interface.Deployment, seed: int):
         self.facts, self.chance = facts, Chance(seed)
-        self.vhosts = [VhostRow(vhost) for vhost in facts.vhosts]
-        self.longest = max([vhost.timeout for vhost in facts.vhosts], default=10_000)
+        self.vhosts = [VhostRow(vhost) for vhost in facts.request_classes]
+        self.longest = max([vhost.client_timeout for vhost in facts.request_classes], default=10_000)
         self.nodes: Dict[str, Node] = {}
         self.caches: List[Node] = []
         self.cache_salts: List[int] = []  # of the same, in the same order
@@ -279,7 +287,9 @@
         self.parents: List[Node] = []
         self.origin: Optional[Node] = None
         self.inlet = Flow()  # the location's link in, which all fills share
-        self.memory = PACE_MEMORY * self.longest * facts.routers_here**0.5  # the more, the less each sees
+        self.memory = (
+            PACE_MEMORY * self.longest * facts.local_router_count**0.5
+        )  # the more, the less each sees
         self.prior = PACE_PRIOR * self.longest
         self.listed = False
         self.reqs: Dict[str, Req] = {}
@@ -287,10 +297,10 @@
         self.usual: Dict[int, float] = {}  # by kind: what a warm node carries for us, in work a unit of time
         self.purged_objects: Dict[int, int] = {}  # the newest purge known
         self.purged_groups: Dict[int, int] = {}
-        self.acts: List[face.Action] = []
+        self.acts: List[interface.Command] = []
         self.now = 0
 
-    def step(self, now: int, what: face.Happening) -> List[face.Action]:
+    def step(self, now: int, what: interface.Event) -> List[interface.Command]:
         """The entry point."""
         self.now, self.acts = now, []
         try:
@@ -298,67 +308,73 @@
         except (
             Exception
         ):  # guards what is believed of nodes: a req lost to a fault must not stay out for ever
-            name = getattr(what, "id", "")
+            name = getattr(what, "request_id", "")
             req = self.reqs.pop(name, None)
             for way in req.crowd if req else ():
                 way.out.pop(name, None)
             raise
         return self.acts
 
-    def take_in(self, what: face.Happening) -> None:
-        if isinstance(what, face.ReqCame):
+    def take_in(self, what: interface.Event) -> None:
+        if isinstance(what, interface.RequestReceived):
             self.take(what)
-        elif isinstance(what, face.Outcome):
+        elif isinstance(what, interface.AttemptFinished):
             self.outcome(what)
-        elif isinstance(what, face.Listed):
+        elif isinstance(what, interface.EndpointsUpdated):
             self.learn_list(what)
-        elif isinstance(what, face.Left):
-            self.client_left(what.id)
-        elif isinstance(what, face.Purged):
+        elif isinstance(what, interface.ClientDisconnected):
+            self.client_left(what.request_id)
+        elif isinstance(what, interface.PurgeNotified):
             self.purge(what)
-        elif isinstance(what, face.Own):
+        elif isinstance(what, interface.LocalCopyFinished):
             self.own(what)
-        elif isinstance(what, face.Streaming):
-            if what.id in self.reqs:
-                self.reqs[what.id].streaming = True
-        elif isinstance(what, face.Closing):  # guards reqs whose client timeout is longer than our life
+        elif isinstance(what, interface.ResponseStarted):
+            if what.request_id in self.reqs:
+                self.reqs[what.request_id].streaming = True
+        elif isinstance(
+            what, interface.ShutdownStarted
+        ):  # guards reqs whose client timeout is longer than our life
             for req in self.reqs.values():
-                req.left_at = min(req.left_at, self.now + what.left)
-        elif isinstance(what, face.ListFailed):
-            self.acts.append(face.Remind(max(1, self.facts.ask_within // 10), "watch"))
-        elif isinstance(what, face.Rang) or isinstance(what, face.Started) and self.facts.must_watch:
-            self.acts.append(face.Watch(True))  # the only timer is the one to watch again
+                req.left_at = min(req.left_at, self.now + what.time_remaining)
+        elif isinstance(what, interface.DiscoveryFailed):
+            self.acts.append(interface.SetTimer(max(1, self.facts.discovery_poll_interval // 10), "watch"))
+        elif (
+            isinstance(what, interface.TimerFired)
+            or isinstance(what, interface.InstanceStarted)
+            and self.facts.watch_required
+        ):
+            self.acts.append(interface.SetWatch(True))  # the only timer is the one to watch again
 
     # The list of nodes
 
-    def learn_list(self, listed: face.Listed) -> None:
-        if listed.whole:
-            here = {row.id for row in listed.rows}
+    def learn_list(self, listed: interface.EndpointsUpdated) -> None:
+        if listed.is_full:
+            here = {row.id for row in listed.endpoints}
             for node in [each for each in self.nodes.values() if each.id not in here]:
-                node.row = node.row._replace(state="gone")
+                node.row = node.row._replace(state=EndpointState.REMOVED)
                 self.place(node)
-        for row in listed.rows:
+        for row in listed.endpoints:
             known = self.nodes.get(row.id)
             if known is None:
-                if self.listed and not listed.whole and not row.started:
-                    row = row._replace(started=self.now)  # a newcomer is cold, told when it started or not
+                if self.listed and not listed.is_full and not row.started_at:
+                    row = row._replace(started_at=self.now)  # a newcomer is cold, told when it started or not
                 known = self.nodes[row.id] = Node(row)
-            elif row.state == "gone":
-                known.row = known.row._replace(state="gone")
+            elif row.state == EndpointState.REMOVED:
+                known.row = known.row._replace(state=EndpointState.REMOVED)
             else:
-                if row.started > known.row.started:
+                if row.started_at > known.row.started_at:
                     known.reset()
                     known.table = Table()
-                known.row = row._replace(started=max(row.started, known.row.started))
+                known.row = row._replace(started_at=max(row.started_at, known.row.started_at))
             self.place(known)
         self.listed = True
 
     def place(self, node: Node) -> None:
         """Sorts a node that has changed in or out; a change of one costs that one, however many there are.
         One that is gone is forgotten: an id told again starts from nothing."""
-        facts, ready = self.facts, node.row.state == "ready"
+        facts, ready = self.facts, node.row.state == EndpointState.READY
         kind, behind = node.row.kind, (facts.parent_kind, facts.origin_kind)
-        if node.row.state == "gone":
+        if node.row.state == EndpointState.REMOVED:
             del self.nodes[node.id]
         if kind == facts.origin_kind:
             self.origin = self.first_origin()
@@ -380,7 +396,7 @@
             del self.caches[at], self.cache_salts[at]
             self.mixer = None
         node.is_cache_here = is_here
-        if is_here and (node.row.started or node.lost_at):
+        if is_here and (node.row.started_at or node.lost_at):
             self.may_be_cold[node] = None
         elif not is_here:
             self.may_be_cold.pop(node, None)
@@ -388,22 +404,22 @@
     def first_origin(self) -> Optional[Node]:
         """The origin that was listed first, of those that are ready."""
         for node in self.nodes.values():
-            if node.row.state == "ready" and node.row.kind == self.facts.origin_kind:
+            if node.row.state == EndpointState.READY and node.row.kind == self.facts.origin_kind:
                 return node
         return None
 
     # Purges
 
-    def purge(self, what: face.Purged) -> None:
+    def purge(self, what: interface.PurgeNotified) -> None:
         """Guards 'purges kept'. A late notice of an older purge must not loosen a newer one: hence the
         max. Harms only by fills: good copies older than the limit are fetched anew."""
-        book = self.purged_groups if what.obj is None else self.purged_objects
-        name = what.group if what.obj is None else what.obj
+        book = self.purged_groups if what.object_id is None else self.purged_objects
+        name = what.group if what.object_id is None else what.object_id
         at = self.now - what.age + 1
         book[name] = max(book.pop(name, at), at)
         while book:
             oldest = next(iter(book))
-            if book[oldest] + self.facts.purge_settles >= self.now:
+            if book[oldest] + self.facts.purge_retention >= self.now:
                 break
             del book[oldest]
 
@@ -412,38 +428,42 @@
         books = ((self.purged_objects, req.key[0]), (self.purged_groups, req.group))
         purges = [book[name] for book, name in books if name in book]
         at = max(purges, default=0)
-        if not purges or self.now > at + self.facts.purge_settles:
+        if not purges or self.now > at + self.facts.purge_retention:
             return 0
         limit = max(1, self.now - at)
-        fresh = req.vhost.facts.fresh
+        fresh = req.vhost.facts.freshness_lifetime
         return min(limit, fresh) if fresh else limit
 
     # Reqs
 
-    def take(self, came: face.ReqCame) -> None:
-        vhost = self.vhosts[came.vhost]
-        if came.size and self.facts.pace:
-            work = int(came.size * 10_000 / self.facts.pace) + 1
+    def take(self, came: interface.RequestReceived) -> None:
+        vhost = self.vhosts[came.class_index]
+        if came.size and self.facts.transfer_rate:
+            work = int(came.size * 10_000 / self.facts.transfer_rate) + 1
             vhost.learn(work)
         else:
             work = vhost.seen_work()
-        req = self.reqs[came.id] = Req(came, vhost, self.now, work)
-        if came.repeat:  # its client has waited before, and the first ask counts
+        req = self.reqs[came.request_id] = Req(came, vhost, self.now, work)
+        if came.is_client_retry:  # its client has waited before, and the first ask counts
             req.target_at -= int(WAITED * vhost.facts.target)
         last = self.seen.pop(req.key, None)
         if len(self.seen) >= TABLE:
             del self.seen[next(iter(self.seen))]
         self.seen[req.key] = self.now
-        req.lately = last is not None and self.now - last <= HALF_LIFE * self.facts.routers_here
-        age = self.shelf.asked(self.now, came) if self.shelf is not None and req.cacheable else -1
-        limit = (self.age_limit(req) or vhost.facts.fresh) if age >= 0 else 0
-        if age >= 0 and (not limit or age <= limit) and self.now + 2 * self.facts.tick < req.left_at:
-            return self.acts.append(face.Serve(req.id))
+        req.lately = last is not None and self.now - last <= HALF_LIFE * self.facts.local_router_count
+        age = self.shelf.lookup(self.now, came) if self.shelf is not None and req.cacheable else -1
+        limit = (self.age_limit(req) or vhost.facts.freshness_lifetime) if age >= 0 else 0
+        if (
+            age >= 0
+            and (not limit or age <= limit)
+            and self.now + 2 * self.facts.time_granularity < req.left_at
+        ):
+            return self.acts.append(interface.ServeLocalCopy(req.id))
         self.go_on(req)
 
-    def own(self, what: face.Own) -> None:
+    def own(self, what: interface.LocalCopyFinished) -> None:
         """A copy of our own that could not be read in time costs nothing but the time: the walk begins."""
-        req = self.reqs.get(what.id)
+        req = self.reqs.get(what.request_id)
         if req is not None and not what.served and not req.over:
             self.go_on(req)
         elif req is not None:
@@ -456,14 +476,17 @@
         if req is None or req.over:
             return
         req.over = True
-        if self.facts.cancels:
-            self.acts.append(face.CallOff(req.id, req.dispatches - 1))
+        if self.facts.cancellation_allowed:
+            self.acts.append(interface.CancelAttempt(req.id, req.dispatches - 1))
 
     def go_on(self, req: Req) -> None:
         """The walk: the next cache of the order, else the first one as a pass-through, else past the
         caches."""
         facts = self.facts
-        if req.dispatches >= facts.max_dispatches or self.now + max(req.work, 2 * facts.tick) >= req.left_at:
+        if (
+            req.dispatches >= facts.max_attempts
+            or self.now + max(req.work, 2 * facts.time_granularity) >= req.left_at
+        ):
             return self.give_up(req)
         known = self.look_at_those_that_change(req)
         source = self.fill_source(req)
@@ -473,7 +496,7 @@
             return self.dispatch(req, unasked, source if rank and source is not None else unasked, rank)
         if first is not None and source is not None:
             return self.dispatch(req, first, source, 0)
-        if facts.bypass and source is not None and self.allowed(req, source):
+        if facts.direct_to_source and source is not None and self.allowed(req, source):
             return self.dispatch(req, source, source, 0)
         able = [node for node in self.hash_order(req) if self.allowed(req, node)]
         rest = [node for node in able if self.now >= node.full_until and self.has_room(req, node)]
@@ -577,30 +600,32 @@
     def paid(self, req: Req, node: Node) -> bool:
         """Guards operators' budgets: a source whose budget is spent is passed over like a crowded one. The
         soonest that one has room again is what its client is told. Harms hits at caches not at all."""
-        wait = self.purse.wait(self.now, req.came, node.id) if self.purse is not None else 0
+        wait = self.purse.wait_time(self.now, req.came, node.id) if self.purse is not None else 0
         req.unpaid = min(req.unpaid or wait, wait) if wait else req.unpaid
         return not wait
 
     def dispatch(self, req: Req, node: Node, source: Node, rank: int) -> None:
         facts, now = self.facts, self.now
-        end = req.left_at - 2 * facts.tick
+        end = req.left_at - 2 * facts.time_granularity
         until = end
-        if req.vhost.facts.effect == "replayable":
+        if req.vhost.facts.idempotency == Idempotency.IDEMPOTENT:
             # a silent node must leave time for another dispatch before the client timeout
             until = min(end, max(end - int(ROOM * req.work), now + (end - now) // 2))
-        ran = req.may_have_run if req.vhost.facts.effect != "replayable" else None
-        begin = ran[1] + req.vhost.facts.window if ran else 0  # later it would run again
+        ran = req.may_have_run if req.vhost.facts.idempotency != Idempotency.IDEMPOTENT else None
+        begin = ran[1] + req.vhost.facts.dedup_window if ran else 0  # later it would run again
         limit = self.age_limit(req)
         behind = node.row.kind in (facts.parent_kind, facts.origin_kind)
         if source is node and (node is self.origin or not behind and not limit):
-            act: face.Action = face.Ask(req.id, node.id, until, begin)
+            act: interface.Command = interface.SendAttempt(req.id, node.id, until, begin)
         else:
             if source is node and node in self.parents and self.origin is not None:
                 source = self.origin
-            renew = bool(req.vhost.facts.fresh) and source is not node
+            renew = bool(req.vhost.facts.freshness_lifetime) and source is not node
             # guards against pushing a crowded origin further, each parent asking it anew; see blame
             held = source in self.parents and self.origin is not None and now < self.origin.full_until
-            act = face.Fetch(req.id, node.id, until, source.id, rank, limit, facts.joins, renew, held, begin)
+            act = interface.SendAttemptWithFill(
+                req.id, node.id, until, source.id, rank, limit, facts.coalesces_fills, renew, held, begin
+            )
         req.node, req.source, req.sent_at = node, source if source is not node else None, now
         req.dispatches += 1
         inlet = self.inlet if req.source is not None or node.row.zone != facts.zone else None
@@ -613,30 +638,35 @@
                 each.room -= self.weight(req, each)
         self.acts.append(act)
 
-    def outcome(self, what: face.Outcome) -> None:
-        req = self.reqs.get(what.id)
-        if req is None or req.node is None or req.node.id != what.node or what.number != req.dispatches - 1:
+    def outcome(self, what: interface.AttemptFinished) -> None:
+        req = self.reqs.get(what.request_id)
+        if (
+            req is None
+            or req.node is None
+            or req.node.id != what.endpoint_id
+            or what.attempt_number != req.dispatches - 1
+        ):
             return
         node, source, result = req.node, req.source, what.result
-        if what.load and "busy" in self.facts.load_fields:
-            told = min(1.0, what.load[self.facts.load_fields.index("busy")])
+        if what.load_report and "busy" in self.facts.load_report_fields:
+            told = min(1.0, what.load_report[self.facts.load_report_fields.index("busy")])
             node.busy += LATELY * (told - node.busy)
         req.node = req.source = None
         for each in (node, source, self.inlet):
             if each is not None:
                 each.out.pop(req.id, None)
         if result == "done":
-            filler = source if what.note in (2, 3, 4) else None
+            filler = source if what.fill_note in (2, 3, 4) else None
             self.succeeded(node, req, req.work)
             if not req.size:
-                req.vhost.learn(what.took)
-            if self.shelf is not None and req.cacheable and self.shelf.wants(self.now, req.came):
-                self.acts.append(face.Keep(req.id))
+                req.vhost.learn(what.duration)
+            if self.shelf is not None and req.cacheable and self.shelf.should_store(self.now, req.came):
+                self.acts.append(interface.StoreLocalCopy(req.id))
             if filler is not None:
                 self.succeeded(filler, req, req.work)
             if filler is not None or node.row.zone != self.facts.zone:
-                self.inlet.paced(what.took, req, self.now, self.memory)
-            (filler or node).paced(what.took, req, self.now, self.memory)
+                self.inlet.paced(what.duration, req, self.now, self.memory)
+            (filler or node).paced(what.duration, req, self.now, self.memory)
         elif result == "miss":
             self.succeeded(node, req, 0)
             req.asked.append(node)
@@ -646,32 +676,39 @@
             req.failed.append(self.blame(req, node, source, what))
         if result in ("error", "timeout", "reset", "cancelled") and req.may_have_run is None:
             req.may_have_run = node, req.sent_at
-        if what.closed or req.streaming or req.over:
+        if what.request_closed or req.streaming or req.over:
             del self.reqs[req.id]
         else:
             self.go_on(req)
 
     def allowed(self, req: Req, node: Node) -> bool:
         """Guards 'no effect twice': where a req that may have run can still be sent."""
-        if req.may_have_run is None or req.vhost.facts.effect == "replayable":
+        if req.may_have_run is None or req.vhost.facts.idempotency == Idempotency.IDEMPOTENT:
             return True
         facts, (first, at) = req.vhost.facts, req.may_have_run
-        if facts.effect == "non-replayable" or self.now >= at + facts.window:
+        if facts.idempotency == Idempotency.NON_IDEMPOTENT or self.now >= at + facts.dedup_window:
             return False
-        same_zone = facts.scope == "zone" and node.row.zone == first.row.zone
-        same_cell = facts.scope == "cell" and node.row.cell == first.row.cell
-        return facts.scope == "all" or same_zone or same_cell
+        same_zone = facts.dedup_scope == DedupScope.ZONE and node.row.zone == first.row.zone
+        same_cell = facts.dedup_scope == DedupScope.CELL and node.row.cell == first.row.cell
+        return facts.dedup_scope == DedupScope.ALL or same_zone or same_cell
 
     def give_up(self, req: Req) -> None:
         """The final answer of a req not done: a denial where trying again is harmless, else an abort."""
         del self.reqs[req.id]
         vhost, ran = req.vhost.facts, req.may_have_run
-        dropped = vhost.effect == "uniqued" and vhost.scope == "all"  # repeats are, everywhere
-        harmless = vhost.effect == "replayable" or not ran or dropped and self.now < ran[1] + vhost.window
+        dropped = vhost.idempotency == Idempotency.KEYED and vhost.dedup_scope == DedupScope.ALL
+        harmless = (
+            vhost.idempotency == Idempotency.IDEMPOTENT
+            or not ran
+            or dropped
+            and self.now < ran[1] + vhost.dedup_window
+        )
         slack = max(0, req.target_at - self.now - req.work)
         # back while the target can still be met, or when a budget that had no room should have it
-        advice = min(self.facts.backoff, max(int(ADVICE * slack), req.unpaid))
-        self.acts.append(face.Deny(req.id, advice) if harmless else face.Abort(req.id))
+        advice = min(self.facts.max_retry_after, max(int(ADVICE * slack), req.unpaid))
+        self.acts.append(
+            interface.RejectRequest(req.id, advice) if harmless else interface.FailRequest(req.id)
+        )
 
     # Health
 
@@ -686,33 +723,42 @@
             if node.bad < WELL:
                 node.bench = 0.0
 
-    def blame(self, req: Req, node: Node, source: Optional[Node], what: face.Outcome) -> Node:
+    def blame(self, req: Req, node: Node, source: Optional[Node], what: interface.AttemptFinished) -> Node:
         """Finds who failed a dispatch, the cache or its source: by the note if it tells, else whoever fails
         more. Guards against nodes that are dead, silent or failing, without a bad parent condemning good
         caches. What fails everywhere benches nobody; that may harm where most nodes of a location die at
         once."""
         result, culprit = what.result, node
-        quick = what.took <= 2 * self.facts.tick  # too soon for word from any source
+        quick = what.duration <= 2 * self.facts.time_granularity  # too soon for word from any source
         if result == "full":  # turned away at the door of one or the other: alive, but crowded
-            culprit = node if quick or source is None or what.note == 9 else source
-            culprit.full_until = self.now + int(FULL * req.vhost.mean_work() * self.facts.routers_here)
+            culprit = node if quick or source is None or what.fill_note == 9 else source
+            culprit.full_until = self.now + int(FULL * req.vhost.mean_work() * self.facts.local_router_count)
             node.answered_at = self.now
-            behind = what.note == 10 or not what.note and any(each in self.parents for each in req.failed)
-            if culprit is source and self.origin is not None and behind and self.facts.origin_fall_multiple:
+            behind = (
+                what.fill_note == 10
+                or not what.fill_note
+                and any(each in self.parents for each in req.failed)
+            )
+            if (
+                culprit is source
+                and self.origin is not None
+                and behind
+                and self.facts.origin_overload_multiple
+            ):
                 self.origin.full_until = culprit.full_until  # the second parent in turn: it is behind them
-            if culprit is source and what.took > req.vhost.facts.target:  # waited for in vain
+            if culprit is source and what.duration > req.vhost.facts.target:  # waited for in vain
                 source.bad += LATELY * (1 - source.bad)
                 self.bench(source)
             return culprit
         suspects = [node]
         if source is not None and not quick and result not in ("unconnected", "cut"):
             suspects.append(source)
-            if what.note in (6, 7, 8, 10) or (not what.note and source.bad >= node.bad):
+            if what.fill_note in (6, 7, 8, 10) or (not what.fill_note and source.bad >= node.bad):
                 culprit = source
         if (
             result == "timeout"
         ):  # guards the caches' hits while fills hang: see outcome, they are their sources'
-            (source or culprit).paced(what.took, req, self.now, self.memory)
+            (source or culprit).paced(what.duration, req, self.now, self.memory)
         if result == "timeout" and culprit.answered_at > req.sent_at:
             return culprit  # slow, not silent
         if result != "timeout":
@@ -776,9 +822,13 @@
     # Cold nodes
 
     def is_cold(self, node: Node) -> bool:
-        length = self.facts.parent_cold if node.row.kind == self.facts.parent_kind else self.facts.cold
+        length = (
+            self.facts.parent_slow_start_duration
+            if node.row.kind == self.facts.parent_kind
+            else self.facts.slow_start_duration
+        )
         lost = node.lost_at and self.now < node.lost_at + LOST * length
-        return bool(lost or node.row.started and self.now < node.row.started + length)
+        return bool(lost or node.row.started_at and self.now < node.row.started_at + length)
 
     def weight(self, req: Req, node: Node) -> float:
         """In a budget: at a cache its vhost's mean sending time, at a parent its own if that is longer."""
@@ -798,21 +848,34 @@
             return True
         facts = self.facts
         parent = node.row.kind == facts.parent_kind
-        least, length, multiple = facts.cold_from, facts.cold, facts.fall_multiple
+        least, length, multiple = (
+            facts.slow_start_min_share,
+            facts.slow_start_duration,
+            facts.overload_multiple,
+        )
         if parent:
-            least, length, multiple = facts.parent_cold_from, facts.parent_cold, facts.parent_fall_multiple
-        age = max(0, self.now - facts.fall - max(node.row.started, node.lost_at))
+            least, length, multiple = (
+                facts.parent_slow_start_min_share,
+                facts.parent_slow_start_duration,
+                facts.parent_overload_multiple,
+            )
+        age = max(0, self.now - facts.overload_window - max(node.row.started_at, node.lost_at))
         share = least + (1 - least) * age / max(1, length)
-        routers, weight = facts.routers if parent else facts.routers_here, max(1, self.weight(req, node))
-        told = facts.weights in ("nominal", "rough")
+        routers, weight = (
+            facts.router_count if parent else facts.local_router_count,
+            max(1, self.weight(req, node)),
+        )
+        told = facts.weight_kind in ("nominal", "rough")
         capacity = node.row.weight / routers if told else self.carried_by_kind(node.row.kind)
         allowed = multiple * share * capacity  # ours
-        most = allowed * routers * facts.fall / weight  # of all routers together, in reqs: N in the rule
+        most = (
+            allowed * routers * facts.overload_window / weight
+        )  # of all routers together, in reqs: N in the rule
         keep = weight * ((1 - COLD_MARGIN) * most / 2 + most**0.5 + 1) / routers
         if node.room is None:
             node.room = -self.chance.share() * weight
         else:  # two reqs of all routers together are always allowed; we dare one
-            gain = max(COLD_MARGIN * allowed, weight / (routers * max(1, facts.fall)))
+            gain = max(COLD_MARGIN * allowed, weight / (routers * max(1, facts.overload_window)))
             node.room += gain * (self.now - node.room_at)
         if node.room > keep:
             node.room = (node.room + weight) % (weight + keep) - weight
@@ -824,7 +887,7 @@
         alike = self.parents if kind == self.facts.parent_kind else self.caches
         warm = [each for each in alike if each.row.kind == kind and not self.is_cold(each) and not each.bench]
         if warm:
-            busy = sum(node.busy for node in warm) if "busy" in self.facts.load_fields else len(warm)
+            busy = sum(node.busy for node in warm) if "busy" in self.facts.load_report_fields else len(warm)
             can = sum(node.carry_now(self.now) for node in warm) / max(busy, 0.1 * len(warm))
             self.usual[kind] = max(can, self.usual.get(kind, 0.0))  # less may only mean that less was asked
         return self.usual.get(kind, 0.0)
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -16,7 +16,7 @@
 import anyio
 from loguru import logger
 
-from .. import interface as face
+from .. import interface
 from ..jobs.plan import Job
 from ..jobs.runner import Runner
 from ..settings import records
@@ -44,7 +44,7 @@
     def __init__(
         self,
         told: records.Disk,
-        facts: face.Deployment,
+        facts: interface.Deployment,
         name: str,
         now: Callable[[], int],
         unix_ms: Callable[[], int],
@@ -56,7 +56,7 @@
         began = now()
         sys.setswitchinterval(SWITCH)
         self.folder = Path(told.folder)
-        limits = Limits(told.room, told.segment, told.entries, facts.purge_settles // 10)
+        limits = Limits(told.room, told.segment, told.entries, facts.purge_retention // 10)
         self.store = Store(files(self.folder), name.encode(), limits, unix_ms)
         write = float(told.write or 0)
         self.admission = Admission(
@@ -86,40 +86,40 @@
 
     # What the module asks
 
-    def asked(self, now: int, came: face.ReqCame) -> int:
+    def lookup(self, now: int, came: interface.RequestReceived) -> int:
         """Counts the req; the age of the copy at hand, in tenths of a millisecond; -1 where there is none."""
         size = int(came.size * self.per_kb)
-        self.admission.asked(now, (came.obj, came.part), size)
+        self.admission.asked(now, (came.object_id, came.part), size)
         self._kind(came, size)[1] += 1
         if self.reads >= MOST_READS:
             return -1
-        entry = self.store.find(came.obj, came.part)
+        entry = self.store.find(came.object_id, came.part)
         if entry is None:
             self.counts["misses"] += 1
             return -1
         return max(0, (self.unix_ms() - entry.dated) * 10)
 
-    def _kind(self, came: face.ReqCame, size: int) -> List[int]:
-        return self.by_kind.setdefault((came.vhost, size.bit_length()), [0, 0])
+    def _kind(self, came: interface.RequestReceived, size: int) -> List[int]:
+        return self.by_kind.setdefault((came.class_index, size.bit_length()), [0, 0])
 
-    def wants(self, now: int, came: face.ReqCame) -> bool:
+    def should_store(self, now: int, came: interface.RequestReceived) -> bool:
         if self.store.queued > MOST_QUEUED or self.store.full:
             return False
         size = int(came.size * self.per_kb) or 1
-        wanted = self.admission.wants(now, (came.obj, came.part), size)
+        wanted = self.admission.wants(now, (came.object_id, came.part), size)
         self.counts["refused"] += not wanted
         return wanted
 
     # What the director does
 
-    async def read(self, came: face.ReqCame) -> Optional[Copy]:
+    async def read(self, came: interface.RequestReceived) -> Optional[Copy]:
         """The copy, verified, within the patience; None is a miss."""
         self.reads += 1
         copy: Optional[Copy] = None
         try:
             with anyio.move_on_after(self.told.patience / TICKS) as scope:
                 copy = await anyio.to_thread.run_sync(
-                    self.store.get, came.obj, came.part, limiter=self.readers, abandon_on_cancel=True
+                    self.store.get, came.object_id, came.part, limiter=self.readers, abandon_on_cancel=True
                 )
             if scope.cancelled_caught:
                 self.counts["slow"] += 1
@@ -132,15 +132,15 @@
         self.runner.late(copy is None)
         return copy
 
-    def keep(self, came: face.ReqCame, tag: str, dated: int, body: bytes) -> None:
+    def keep(self, came: interface.RequestReceived, tag: str, dated: int, body: bytes) -> None:
         if came.size:
             self.kb = min(self.kb + came.size, 1e6)
             self.per_kb += (len(body) / came.size - self.per_kb) * came.size / self.kb
-        key = came.obj, came.part
+        key = came.object_id, came.part
         if self.pending.get(key, 0) >= dated:
             return  # the same copy, come twice before it was written once
-        old = self.store.find(came.obj, came.part)
-        if self.store.put(came.obj, came.part, came.group, dated, tag.encode(), body):
+        old = self.store.find(came.object_id, came.part)
+        if self.store.put(came.object_id, came.part, came.group, dated, tag.encode(), body):
             self.pending[key] = dated
             if old is not None:
                 self.admission.held(key, old.length, -1)
--- a/ironhinge/facts.py
+++ b/ironhinge/facts.py
@@ -9,7 +9,8 @@
 
 from typing import Any, Dict, List, NamedTuple, Optional, Tuple
 
-from . import interface as face
+from . import interface
+from .interface import DedupScope, EndpointState, FillNoteLevel, Idempotency, SiblingFill, WeightKind
 
 UNIT = 100  # microseconds in a tenth of a millisecond
 REQUIRED = object()
@@ -102,13 +103,30 @@
         return self.numbers("stats") if self.has("stats") else None
 
 
-STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
-LIST_STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
-EFFECTS = {"repeatable": "replayable", "by_key": "uniqued", "once": "non-replayable"}
-SCOPES = {"all": "all", "zone": "zone", "cell": "cell", "": "cell"}
-NEIGHBOURS = {"off": "none", "location": "location", "any": "any"}
-NOTES = {"off": "none", "hit": "hit", "all": "all"}
-WEIGHTS = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
+STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
+}
+LIST_STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
+}
+EFFECTS = {
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.KEYED,
+    "once": Idempotency.NON_IDEMPOTENT,
+}
+SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL, "": DedupScope.CELL}
+NEIGHBOURS = {"off": SiblingFill.NONE, "location": SiblingFill.LOCATION, "any": SiblingFill.ANY}
+NOTES = {"off": FillNoteLevel.NONE, "hit": FillNoteLevel.HIT, "all": FillNoteLevel.ALL}
+WEIGHTS = {
+    "off": WeightKind.NONE,
+    "nominal": WeightKind.NOMINAL,
+    "rough": WeightKind.ROUGH,
+    "live": WeightKind.LIVE,
+}
 DISCOVERY = {"automatic": False, "subscribe": True}
 LOADS = {
     "rif": "in_hand",
@@ -132,7 +150,7 @@
     return rows[place] if place < len(rows) else absent
 
 
-def deployment(info: Fields) -> face.Deployment:
+def deployment(info: Fields) -> interface.Deployment:
     """The settings that come with SPAWN, as facts of the deployment."""
     extra, rules = info.inner("extra", {}), info.inner("rules", {})
     limits, report = info.inner("policy-limits", {}), info.inner("telemetry", {})
@@ -143,75 +161,75 @@
         one = Fields(f"{info.message} classes[{place}]", row)
         effect = one.word("semantics", EFFECTS)
         vhosts.append(
-            face.Vhost(
+            interface.RequestClass(
                 target=one.down("aim", REQUIRED),
-                stretch=one.number("aim-stretch"),
-                timeout=one.down("deadline", REQUIRED),
-                value=one.number("importance", 1),
-                late_share=one.number("late-worth"),
-                effect=effect,
-                scope=one.word("dedup-scope", SCOPES, ""),
-                window=one.down("window"),
-                writes=_at(writes, place, False),
-                fresh=_at(fresh, place, 0) // UNIT,
-                grace=_at(grace, place, 0) // UNIT,
-                aged_share=_at(aged, place, 1.0),
-                parts=_at(parts, place, False),
+                target_stretch=one.number("aim-stretch"),
+                client_timeout=one.down("deadline", REQUIRED),
+                priority_weight=one.number("importance", 1),
+                late_value_share=one.number("late-worth"),
+                idempotency=effect,
+                dedup_scope=one.word("dedup-scope", SCOPES, ""),
+                dedup_window=one.down("window"),
+                is_write=_at(writes, place, False),
+                freshness_lifetime=_at(fresh, place, 0) // UNIT,
+                stale_grace=_at(grace, place, 0) // UNIT,
+                stale_value_share=_at(aged, place, 1.0),
+                is_segmented=_at(parts, place, False),
             )
         )
     zone, crews = info.whole("zone"), extra.wholes("crew-by-zone")
     routers = max(1, info.whole("balancers", 1))
     prices = info.inner("prices", {})
-    return face.Deployment(
-        vhosts=tuple(vhosts),
+    return interface.Deployment(
+        request_classes=tuple(vhosts),
         zone=zone,
-        routers=routers,
-        routers_here=max(1, _at(crews, zone, routers)),
-        hub_of=extra.wholes("attached-to"),
-        inlet=extra.numbers("inlet-kb-per-s"),
+        router_count=routers,
+        local_router_count=max(1, _at(crews, zone, routers)),
+        hub_by_zone=extra.wholes("attached-to"),
+        ingress_bandwidth=extra.numbers("inlet-kb-per-s"),
         parent_kind=extra.whole("second-tier-kind", -1),
         origin_kind=extra.whole("store-kind", -1),
-        bypass=extra.mark("bypass-allowed"),
-        siblings=extra.word("neighbours", NEIGHBOURS, "off"),
-        joins=extra.mark("joins"),
-        notes=extra.word("note-level", NOTES, "off"),
-        pace=extra.number("one-flow-kb-per-s"),
-        weights=info.word("weight-kind", WEIGHTS, "off"),
-        load_fields=tuple(LOADS.get(name, name) for name in report.texts("fields")),
-        must_watch=info.word("discovery", DISCOVERY, "automatic"),
-        ask_within=rules.down("ask-within"),
-        max_dispatches=max(1, limits.whole("max-attempts", 1)),
-        probes=limits.mark("probes"),
-        peers=limits.mark("peers"),
-        cancels=limits.mark("may-cancel"),
-        backoff=limits.down("max-retry-after") if limits.mark("retry-after") else 0,
-        cold_from=rules.number("cold-from"),
-        cold=rules.up("cold"),
-        fall_multiple=rules.number("fall-multiple"),
-        fall=rules.up("fall"),
-        parent_cold_from=extra.number("parent-cold-from"),
-        parent_cold=extra.up("parent-warms-in"),
-        parent_fall_multiple=extra.number("parent-limit-factor"),
-        origin_fall_multiple=extra.number("origin-limit-factor"),
+        direct_to_source=extra.mark("bypass-allowed"),
+        sibling_fill=extra.word("neighbours", NEIGHBOURS, "off"),
+        coalesces_fills=extra.mark("joins"),
+        fill_note_level=extra.word("note-level", NOTES, "off"),
+        transfer_rate=extra.number("one-flow-kb-per-s"),
+        weight_kind=info.word("weight-kind", WEIGHTS, "off"),
+        load_report_fields=tuple(LOADS.get(name, name) for name in report.texts("fields")),
+        watch_required=info.word("discovery", DISCOVERY, "automatic"),
+        discovery_poll_interval=rules.down("ask-within"),
+        max_attempts=max(1, limits.whole("max-attempts", 1)),
+        health_checks_allowed=limits.mark("probes"),
+        gossip_allowed=limits.mark("peers"),
+        cancellation_allowed=limits.mark("may-cancel"),
+        max_retry_after=limits.down("max-retry-after") if limits.mark("retry-after") else 0,
+        slow_start_min_share=rules.number("cold-from"),
+        slow_start_duration=rules.up("cold"),
+        overload_multiple=rules.number("fall-multiple"),
+        overload_window=rules.up("fall"),
+        parent_slow_start_min_share=extra.number("parent-cold-from"),
+        parent_slow_start_duration=extra.up("parent-warms-in"),
+        parent_overload_multiple=extra.number("parent-limit-factor"),
+        origin_overload_multiple=extra.number("origin-limit-factor"),
         drain_grace=rules.down("drain-grace"),
         purge_grace=extra.down("obey-after"),
-        purge_settles=extra.up("purge-settles"),
-        tick=info.up("granularity"),
+        purge_retention=extra.up("purge-settles"),
+        time_granularity=info.up("granularity"),
         prices=tuple((name, prices.number(name)) for name in prices.values),
     )
 
 
-def node_rows(event: Fields) -> Tuple[face.NodeRow, ...]:
+def node_rows(event: Fields) -> Tuple[interface.Endpoint, ...]:
     rows = []
     for place, values in enumerate(event.rows("rows")):
         row = Fields(f"{event.message} rows[{place}]", values)
         rows.append(
-            face.NodeRow(
+            interface.Endpoint(
                 id=row.text("node"),
                 state=row.word("state", STATES),
                 cell=row.whole("stripe"),
                 zone=row.whole("campus"),
-                started=row.up("online-since"),
+                started_at=row.up("online-since"),
                 weight=row.number("share", 1),
                 kind=row.whole("family-type"),
             )
@@ -253,7 +271,7 @@
 class Listing(NamedTuple):
     """A record of the coordinator's list: `started` is its Unix millisecond, 0 for long ago."""
 
-    row: face.NodeRow
+    row: interface.Endpoint
     address: Address
     started_unix: int
 
@@ -284,7 +302,7 @@
     coordinator: Optional[Address]
     names: Names
     transport: Transport
-    deployment: face.Deployment
+    deployment: interface.Deployment
     known_number: int
     known: Tuple[Any, ...]  # ListNews and PurgeNews
 
@@ -312,12 +330,12 @@
 def _listing(values: Any, where: str, names: Names) -> Listing:
     row = Fields(where, values)
     return Listing(
-        face.NodeRow(
+        interface.Endpoint(
             id=row.text("name"),
             state=row.word("status", LIST_STATES),
             cell=row.whole("group"),
             zone=_place(names.zones, row.text("zone"), where),
-            started=0,
+            started_at=0,
             weight=row.number("weight", 1),
             kind=_place(names.kinds, row.text("type"), where),
         ),
@@ -388,9 +406,9 @@
     )
 
 
-def load_report(found: Dict[str, float], facts: face.Deployment) -> Optional[Tuple[float, ...]]:
+def load_report(found: Dict[str, float], facts: interface.Deployment) -> Optional[Tuple[float, ...]]:
     """A load report told by name, in the order of the deployment; None where a value is missing."""
     named = {LOADS.get(name, name): value for name, value in found.items()}
-    if any(name not in named for name in facts.load_fields):
+    if any(name not in named for name in facts.load_report_fields):
         return None
-    return tuple(named[name] for name in facts.load_fields)
+    return tuple(named[name] for name in facts.load_report_fields)
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -16,9 +16,10 @@
 from anyio import lowlevel
 from loguru import logger
 
-from .. import interface as face
+from .. import interface
 from ..brain import Router
 from ..facts import Assignment, load_report
+from ..interface import FillNote
 from . import clientwire, nodewire
 from .client_connection import HURRIED_STALLED, UNASKED_NOTICE, Client, CloseCause, Use
 from .clock import MILLISECOND as MS
@@ -67,12 +68,12 @@
         self.router.purse, self.router.shelf = books, shelf
         driver.give_way = self.give_way
         self.at_hand: Dict[
-            str, Tuple[face.ReqCame, nodewire.Answer]
+            str, Tuple[interface.RequestReceived, nodewire.Answer]
         ] = {}  # what came just now, while it may be kept
         self.reqs: Dict[str, OpenRequest] = {}
         self.clients: Dict[Client, None] = {}  # the one that was heard of longest ago first
         self.nodes: Dict[str, Node] = {}
-        self.queue: Deque[face.Happening] = deque()
+        self.queue: Deque[interface.Event] = deque()
         self.stepping = False
         self.leave_at: Optional[int] = None  # by then all is answered
         self.no_more_at: Optional[int] = None  # reqs read after that are not taken
@@ -88,29 +89,29 @@
         self.links_each = 1  # connections that a node may have
         self.clients_seen = 0
         self.carry_out: Dict[type, Callable[[Any], None]] = {
-            face.Ask: self._ask,
-            face.Fetch: self._fetch,
-            face.Serve: self._serve,
-            face.Keep: self._keep,
-            face.CallOff: self._call_off,
-            face.Deny: self._deny,
-            face.Abort: self._abort,
-            face.Remind: self._remind,
-            face.Watch: self._nothing,
-            face.Snapshot: self._nothing,
-            face.Probe: self._probe,
-            face.Say: self.peers.say,
-            face.Log: self._log,
+            interface.SendAttempt: self._ask,
+            interface.SendAttemptWithFill: self._fetch,
+            interface.ServeLocalCopy: self._serve,
+            interface.StoreLocalCopy: self._keep,
+            interface.CancelAttempt: self._call_off,
+            interface.RejectRequest: self._deny,
+            interface.FailRequest: self._abort,
+            interface.SetTimer: self._remind,
+            interface.SetWatch: self._nothing,
+            interface.RequestFullList: self._nothing,
+            interface.SendHealthCheck: self._probe,
+            interface.SendGossip: self.peers.say,
+            interface.WriteLog: self._log,
         }
 
     def start(self) -> None:
         """All that is known goes to the module before any client does."""
-        self.happen(face.Started())
+        self.happen(interface.InstanceStarted())
         for news in self.told.known:
             self.discovery.learn(news)
         self.discovery.number = max(self.discovery.number, self.told.known_number)
 
-    def happen(self, what: face.Happening) -> None:
+    def happen(self, what: interface.Event) -> None:
         """Tells the module, in order, and carries out what it answers. A fault of the module costs the req at
         hand, not the program."""
         self.queue.append(what)
@@ -127,7 +128,7 @@
                     logger.exception("the module failed on {}", type(what).__name__)
                     self.counts["faults"] += 1
                     self.events.dump_for_fault("the decision module failed")
-                    self._finish(getattr(what, "id", ""), clientwire.ABORTED, {})
+                    self._finish(getattr(what, "request_id", ""), clientwire.ABORTED, {})
         finally:
             self.stepping = False
             self.at_hand.clear()
@@ -147,7 +148,7 @@
             margin = self.margin(client.link)
             told = self.told
             came = read_request(message.fields, told.names, told.deployment, client.number, margin)
-            if came.id in self.reqs:
+            if came.request_id in self.reqs:
                 raise ValueError("field 'trace' names an open req")
         except ValueError as fault:
             self.complain("unreadable", f"a req can't be read: {fault}")
@@ -155,7 +156,7 @@
             client.link.write(clientwire.answer(message.stream, clientwire.ABORTED, {}, text))
             return
         if self.leave_at is not None:
-            came = came._replace(left=max(0, min(came.left, self.leave_at - now)))
+            came = came._replace(time_remaining=max(0, min(came.time_remaining, self.leave_at - now)))
         req = OpenRequest(came, client, message, now)
         client.open[req.stream] = self.reqs[req.id] = req
         self.counts["reqs"] += 1
@@ -168,7 +169,7 @@
         req.closed = req.gone = True
         self.counts["left"] += 1
         self.events.record(EventKind.REQUEST_LEFT, req.id, "client")
-        self.happen(face.Left(req.id))
+        self.happen(interface.ClientDisconnected(req.id))
         if req.out is not None and req.out.taken_back():
             # guards nodes against work for nobody, also where the settings allow no giving up of what has
             # begun: what waits for its connection or behind a blocked socket has not
@@ -255,12 +256,12 @@
             if answer is not None and ending not in DELIVERED:
                 # guards the req's next dispatch against a second answer to this one: it takes another way
                 errand.carrier.spent[errand.name] = now + SECOND
-        took, node, note, load = now - errand.sent_at, errand.node.id, 0, None
+        took, node, note, load = now - errand.sent_at, errand.node.id, FillNote.NONE, None
         if answer is not None:
             note = answer.note
             load = load_report(answer.load, self.told.deployment) if answer.load else None
         if not isinstance(errand, Dispatch):
-            return self.happen(face.Probed(node, RESULTS[ending], took, load))
+            return self.happen(interface.HealthCheckFinished(node, RESULTS[ending], took, load))
         body = len(answer.body) if answer is not None and ending is Ending.SERVED else None
         req = errand.req
         have = req.fields.get("have")
@@ -284,7 +285,9 @@
             self.at_hand[req.id] = req.came, answer
         if self.books is not None:
             self.books.ended(now, req.came, result, note, body, took, req.gone)
-        self.happen(face.Outcome(req.id, errand.number, node, result, took, req.closed, note, 0, load))
+        self.happen(
+            interface.AttemptFinished(req.id, errand.number, node, result, took, req.closed, note, 0, load)
+        )
 
     def _give_up(self, errand: Errand, ending: Ending) -> None:
         """Ends what has no answer: what was not begun is never sent, and the node is told of the rest."""
@@ -311,29 +314,33 @@
 
     # Actions
 
-    def _ask(self, act: face.Ask) -> None:
+    def _ask(self, act: interface.SendAttempt) -> None:
         self._dispatch(act, None, {})
 
-    def _fetch(self, act: face.Fetch) -> None:
+    def _fetch(self, act: interface.SendAttemptWithFill) -> None:
         how: Dict[str, str] = {}
-        if act.source != act.node:
-            how["parent"] = act.source
-        if act.rank:
-            how["shelf"] = str(act.rank)
+        if act.source_id != act.endpoint_id:
+            how["parent"] = act.source_id
+        if act.admission_rank:
+            how["shelf"] = str(act.admission_rank)
         oldest = 0
-        if act.age:
-            how["accept"] = str(max(1, act.age // MS))
-            oldest = self.clock.unix_ms() - max(1, act.age // MS) - SLACK // MS
-        hints = (("join", act.join), ("held", act.held_only), ("renew", act.renew))
+        if act.max_copy_age:
+            how["accept"] = str(max(1, act.max_copy_age // MS))
+            oldest = self.clock.unix_ms() - max(1, act.max_copy_age // MS) - SLACK // MS
+        hints = (("join", act.may_join_fill), ("held", act.source_cached_only), ("renew", act.revalidates))
         text = "+".join(word for word, on in hints if on)
         if text:
             how["hints"] = text
-        self._dispatch(act, self.nodes.get(act.source), how, oldest)
+        self._dispatch(act, self.nodes.get(act.source_id), how, oldest)
 
     def _dispatch(
-        self, act: Union[face.Ask, face.Fetch], source: Optional[Node], how: Dict[str, str], oldest: int = 0
+        self,
+        act: Union[interface.SendAttempt, interface.SendAttemptWithFill],
+        source: Optional[Node],
+        how: Dict[str, str],
+        oldest: int = 0,
     ) -> None:
-        name, to, until = act.id, act.node, act.until
+        name, to, until = act.request_id, act.endpoint_id, act.deadline
         req, now = self.reqs.get(name), self.clock.now()
         if req is None:
             return
@@ -354,12 +361,12 @@
         if req.fields.get("have"):
             fields["got"] = req.fields["have"]
         self._send(out, until, lambda: self._command(out, fields))
-        if act.begin_by:
-            out.begin_by = act.begin_by
-            self._at(act.begin_by, out)
+        if act.start_deadline:
+            out.begin_by = act.start_deadline
+            self._at(act.start_deadline, out)
 
-    def _serve(self, act: face.Serve) -> None:
-        req = self.reqs.get(act.id)
+    def _serve(self, act: interface.ServeLocalCopy) -> None:
+        req = self.reqs.get(act.request_id)
         if req is not None:
             self.driver.tasks.start_soon(self._serve_copy, req)
 
@@ -376,40 +383,40 @@
                 )
         except Exception:
             logger.exception("a copy of our own could not be served")
-        self.happen(face.Own(req.id, served))
+        self.happen(interface.LocalCopyFinished(req.id, served))
         self.driver.flush()
 
-    def _keep(self, act: face.Keep) -> None:
-        found = self.at_hand.pop(act.id, None)
+    def _keep(self, act: interface.StoreLocalCopy) -> None:
+        found = self.at_hand.pop(act.request_id, None)
         if found is not None and self.shelf is not None:
             came, answer = found
             self.shelf.keep(came, answer.tag, answer.dated, answer.body)
 
-    def _call_off(self, act: face.CallOff) -> None:
-        req = self.reqs.get(act.id)
-        if req is not None and req.out is not None and req.out.number == act.number:
+    def _call_off(self, act: interface.CancelAttempt) -> None:
+        req = self.reqs.get(act.request_id)
+        if req is not None and req.out is not None and req.out.number == act.attempt_number:
             self._give_up(req.out, Ending.CALLED_OFF)
 
-    def _deny(self, act: face.Deny) -> None:
-        pause = act.backoff // MS
-        self._finish(act.id, clientwire.DENIED, {"pause": str(pause)} if pause else {})
+    def _deny(self, act: interface.RejectRequest) -> None:
+        pause = act.retry_after // MS
+        self._finish(act.request_id, clientwire.DENIED, {"pause": str(pause)} if pause else {})
 
-    def _abort(self, act: face.Abort) -> None:
-        self._finish(act.id, clientwire.ABORTED, {})
+    def _abort(self, act: interface.FailRequest) -> None:
+        self._finish(act.request_id, clientwire.ABORTED, {})
 
-    def _remind(self, act: face.Remind) -> None:
-        self._at(self.clock.now() + act.after, act.token)
+    def _remind(self, act: interface.SetTimer) -> None:
+        self._at(self.clock.now() + act.delay, act.token)
 
     def _nothing(self, act: Any) -> None:
         """The coordinator's feed is always followed, and holds all changes."""
 
-    def _probe(self, act: face.Probe) -> None:
+    def _probe(self, act: interface.SendHealthCheck) -> None:
         self.probes += 1
-        probe = Errand(f"probe-{self.probes}", self.nodes[act.node], self.clock.now())
+        probe = Errand(f"probe-{self.probes}", self.nodes[act.endpoint_id], self.clock.now())
         command = (nodewire.busy(probe.name),)
         self._send(probe, probe.sent_at + self.told.transport.dial, lambda: command)
 
-    def _log(self, act: face.Log) -> None:
+    def _log(self, act: interface.WriteLog) -> None:
         logger.info("module: {}", act.text)
 
     # Time
@@ -429,7 +436,7 @@
                 if when > now:
                     return
                 heappop(self.timers)
-                self.happen(face.Rang(what))
+                self.happen(interface.TimerFired(what))
             else:
                 if when > now and not what.over:
                     return
@@ -538,7 +545,7 @@
     def leave(self, left: int) -> None:
         """Not ready any more: clients are told, and what was taken is answered within that time."""
         self.leave_at = self.clock.now() + left
-        self.happen(face.Closing(left))
+        self.happen(interface.ShutdownStarted(left))
         for req in list(self.reqs.values()):
             if req.out is not None:
                 self._at(self.leave_at, req.out)
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -11,7 +11,7 @@
 import anyio
 from loguru import logger
 
-from .. import interface as face
+from .. import interface
 from ..facts import Assignment, Listing, ListNews, PurgeNews
 from .clock import SECOND
 from .ending import Ending
@@ -48,7 +48,7 @@
             self._learn_purge(news)
         elif isinstance(news, ListNews) and news.number > self.number:
             self.number = news.number
-            listed = face.Listed(news.whole, self._learn_nodes(news))
+            listed = interface.EndpointsUpdated(news.whole, self._learn_nodes(news))
             if director.books is not None:
                 director.books.listed(director.clock.now(), listed)
             director.happen(listed)
@@ -59,13 +59,13 @@
         if director.shelf is not None:
             director.shelf.purge(news.obj, news.group, news.unix_ms)
         age = director.clock.age_of_event(news.unix_ms, self.caught_up_at)
-        director.happen(face.Purged(news.obj, news.group, age))
+        director.happen(interface.PurgeNotified(news.obj, news.group, age))
         if news.obj is None:
             director.take_back(lambda out: out.req.came.group == news.group)
         else:
-            director.take_back(lambda out: out.req.came.obj == news.obj)
+            director.take_back(lambda out: out.req.came.object_id == news.obj)
 
-    def _learn_nodes(self, news: ListNews) -> Tuple[face.NodeRow, ...]:
+    def _learn_nodes(self, news: ListNews) -> Tuple[interface.Endpoint, ...]:
         nodes = self.director.nodes
         rows = tuple(self._learn_node(listing) for listing in news.listings)
         here = {row.id for row in rows}
@@ -76,7 +76,7 @@
                 node.retire()
         return rows
 
-    def _learn_node(self, listing: Listing) -> face.NodeRow:
+    def _learn_node(self, listing: Listing) -> interface.Endpoint:
         row, address, started_unix = listing
         nodes = self.director.nodes
         node = nodes.get(row.id)
@@ -90,7 +90,7 @@
         if started_unix > node.started_unix:  # once: told again it must not look like another restart
             node.started_unix = started_unix
             node.started = self.director.clock.start_of(started_unix, self.caught_up_at)
-        return row._replace(started=node.started if started_unix else 0)
+        return row._replace(started_at=node.started if started_unix else 0)
 
     async def follow(self) -> None:
         """Keeps a connection to the coordinator, wherever it is by now."""
--- a/ironhinge/net/ending.py
+++ b/ironhinge/net/ending.py
@@ -7,6 +7,8 @@
 
 from enum import Enum, auto
 
+from ..interface import AttemptResult
+
 
 class Ending(Enum):
     SERVED = auto()  # the bytes came whole
@@ -34,24 +36,24 @@
 
 
 RESULTS = {
-    Ending.SERVED: "done",
-    Ending.SAME: "done",
-    Ending.MISSED: "miss",
-    Ending.FULL: "full",
-    Ending.ERRED: "error",
-    Ending.READY: "done",
-    Ending.AILING: "error",
-    Ending.STALE: "unsent",
-    Ending.REFUSED: "unconnected",
-    Ending.NEVER_UP: "unconnected",
-    Ending.UNWRITTEN: "unsent",
-    Ending.CUT: "cut",
-    Ending.BESIDE: "cancelled",
-    Ending.STUCK: "reset",
-    Ending.RESET: "reset",
-    Ending.CLOSED: "reset",
-    Ending.GARBLED: "error",
-    Ending.OVERLOADED: "cancelled",
-    Ending.TIMED_OUT: "timeout",
-    Ending.CALLED_OFF: "cancelled",
+    Ending.SERVED: AttemptResult.DONE,
+    Ending.SAME: AttemptResult.DONE,
+    Ending.MISSED: AttemptResult.MISS,
+    Ending.FULL: AttemptResult.REJECTED,
+    Ending.ERRED: AttemptResult.ERROR,
+    Ending.READY: AttemptResult.DONE,
+    Ending.AILING: AttemptResult.ERROR,
+    Ending.STALE: AttemptResult.NOT_SENT,
+    Ending.REFUSED: AttemptResult.NOT_CONNECTED,
+    Ending.NEVER_UP: AttemptResult.NOT_CONNECTED,
+    Ending.UNWRITTEN: AttemptResult.NOT_SENT,
+    Ending.CUT: AttemptResult.CUT_BEFORE_SEND,
+    Ending.BESIDE: AttemptResult.CANCELLED,
+    Ending.STUCK: AttemptResult.RESET,
+    Ending.RESET: AttemptResult.RESET,
+    Ending.CLOSED: AttemptResult.RESET,
+    Ending.GARBLED: AttemptResult.ERROR,
+    Ending.OVERLOADED: AttemptResult.CANCELLED,
+    Ending.TIMED_OUT: AttemptResult.TIMEOUT,
+    Ending.CALLED_OFF: AttemptResult.CANCELLED,
 }
--- a/ironhinge/net/extensions.py
+++ b/ironhinge/net/extensions.py
@@ -5,20 +5,22 @@
 
 from typing import Any, Dict, Optional, Protocol
 
-from .. import interface as face
+from .. import interface
 
 
-class TrafficAccount(face.Purse, Protocol):
+class TrafficAccount(interface.FillBudget, Protocol):
     """Keeps the account of crossings."""
 
-    def listed(self, now: int, what: face.Listed) -> None: ...
+    def listed(self, now: int, what: interface.EndpointsUpdated) -> None: ...
 
-    def sent(self, now: int, came: face.ReqCame, node: str, source: str, how: Dict[str, str]) -> None: ...
+    def sent(
+        self, now: int, came: interface.RequestReceived, node: str, source: str, how: Dict[str, str]
+    ) -> None: ...
 
     def ended(
         self,
         now: int,
-        came: face.ReqCame,
+        came: interface.RequestReceived,
         result: str,
         note: int,
         body: Optional[int],
@@ -29,12 +31,12 @@
     def heard(self, now: int, sender: int, data: bytes) -> bool: ...
 
 
-class CopyStore(face.Shelf, Protocol):
+class CopyStore(interface.LocalStore, Protocol):
     """Holds copies of our own."""
 
-    async def read(self, came: face.ReqCame) -> Any: ...
+    async def read(self, came: interface.RequestReceived) -> Any: ...
 
-    def keep(self, came: face.ReqCame, tag: str, dated: int, body: bytes) -> None: ...
+    def keep(self, came: interface.RequestReceived, tag: str, dated: int, body: bytes) -> None: ...
 
     def purge(self, obj: Optional[int], group: int, unix_ms: int) -> None: ...
 
--- a/ironhinge/net/feed.py
+++ b/ironhinge/net/feed.py
@@ -8,13 +8,14 @@
 import struct
 from typing import Any, List, NamedTuple, Optional, Tuple
 
-from .. import interface as face
+from .. import interface
 from ..facts import Address, Listing, ListNews, PurgeNews
+from ..interface import EndpointState
 
 RECORD = struct.Struct(">I4sHBBBHIQ")
 HEAD = 9  # number and kind
 MOST = 16_777_216
-STATES = ("ready", "draining", "gone")
+STATES = (EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED)
 NOTHING, WHOLE, CHANGES, OBJECT, GROUP = range(5)
 
 
@@ -35,7 +36,7 @@
     name, host, port, state, zone, kind, cell, weight, started = values
     if state >= len(STATES):
         raise Unparsable(f"a record with state {state}")
-    row = face.NodeRow(f"s-{name:08x}", STATES[state], cell, zone, 0, weight / 1000, kind)
+    row = interface.Endpoint(f"s-{name:08x}", STATES[state], cell, zone, 0, weight / 1000, kind)
     return Listing(row, Address(".".join(map(str, host)), port), started)
 
 
--- a/ironhinge/net/nodewire.py
+++ b/ironhinge/net/nodewire.py
@@ -8,6 +8,7 @@
 
 from typing import Dict, List, NamedTuple, Optional, Tuple
 
+from ..interface import FillNote
 from .ending import Ending
 
 MOST_ITEM = 262_144
@@ -24,13 +25,24 @@
     b"READY": Ending.READY,
     b"AILING": Ending.AILING,
 }
-NOTES = {letter: place + 1 for place, letter in enumerate("hfojsrblnx")}
+NOTES = {
+    "h": FillNote.HIT,
+    "f": FillNote.FILLED_FROM_SOURCE,
+    "o": FillNote.FILLED_FROM_ORIGIN,
+    "j": FillNote.JOINED_FILL,
+    "s": FillNote.STALE_HIT,
+    "r": FillNote.SOURCE_REJECTED,
+    "b": FillNote.SOURCE_UNAVAILABLE,
+    "l": FillNote.SOURCE_MISS,
+    "n": FillNote.FILL_LIMIT_REACHED,
+    "x": FillNote.ORIGIN_FAILED,
+}
 
 
 class Answer(NamedTuple):
     id: str
     ending: Ending
-    note: int
+    note: FillNote
     load: Dict[str, float]
     dated: int  # the Unix millisecond of the copy; 0: not told
     tagged: bool
@@ -76,7 +88,7 @@
     ending = ENDINGS.get(items[1]) if 2 <= len(items) <= 4 else None
     if ending is None or ending is Ending.SERVED and len(items) < 4:
         raise Unparsable(f"an answer {[item[:20] for item in items[:2]]} of {len(items)} items")
-    note, dated, digest = 0, 0, ""
+    note, dated, digest = FillNote.NONE, 0, ""
     load: Dict[str, float] = {}
     try:
         name, text = items[0].decode(), items[2].decode() if len(items) > 2 else "-"
@@ -86,7 +98,7 @@
         for part in text.split(","):
             key, _, value = part.partition("=")
             if key == "res":
-                note = NOTES.get(value, 0)
+                note = NOTES.get(value, FillNote.NONE)
             elif key == "gauges" and value:
                 load = _loads(value)
             elif key == "dated" and value.isdigit() and len(value) < 16:
--- a/ironhinge/net/parties.py
+++ b/ironhinge/net/parties.py
@@ -77,7 +77,7 @@
             errand = self.open.get(answer.id)
             if errand is None:
                 continue  # given up, and answered all the same
-            copy = isinstance(errand, Dispatch) and not errand.req.came.write  # a write leaves none
+            copy = isinstance(errand, Dispatch) and not errand.req.came.is_write  # a write leaves none
             if copy and answer.ending is Ending.SERVED and not (answer.dated and answer.tagged):
                 fault = nodewire.Unparsable("bytes without their tag or date")
                 break
--- a/ironhinge/net/peers.py
+++ b/ironhinge/net/peers.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from .. import interface as face
+from .. import interface
 from ..facts import Address
 from .system_calls import Backoff, Remedy
 
@@ -24,7 +24,7 @@
         self.director = director
         self.sock: Optional[socket.socket] = None  # none where the configuration has no address for it
 
-    def say(self, act: face.Say) -> None:
+    def say(self, act: interface.SendGossip) -> None:
         """To one of them, or to all where the platform has an address for that."""
         told = self.director.told
         to = told.peers_all if act.peer is None else told.peers[act.peer]
@@ -35,13 +35,13 @@
         """To all of the tier at once, or to each where there is no address for all; nothing where the
         settings do not allow it."""
         told = self.director.told
-        if not told.deployment.peers:
+        if not told.deployment.gossip_allowed:
             return
         if told.peers_all is not None:
-            return self.say(face.Say(None, data))
+            return self.say(interface.SendGossip(None, data))
         for place, peer in enumerate(told.peers):
             if peer != told.peer_listen:
-                self.say(face.Say(place, data))
+                self.say(interface.SendGossip(place, data))
 
     async def hear(self) -> None:
         """Hands on the datagrams of other directors."""
@@ -63,5 +63,5 @@
         place = director.told.peers.index(sender)
         if director.books is not None and director.books.heard(director.clock.now(), place, data):
             return
-        director.happen(face.PeerSaid(place, data))
+        director.happen(interface.GossipReceived(place, data))
         director.driver.flush()
--- a/ironhinge/traffic/keeper.py
+++ b/ironhinge/traffic/keeper.py
@@ -15,7 +15,7 @@
 import anyio
 from loguru import logger
 
-from .. import interface as face
+from .. import interface
 from ..jobs.plan import Job
 from ..jobs.runner import Runner
 from ..settings import records
@@ -73,7 +73,7 @@
     def __init__(
         self,
         told: records.Traffic,
-        facts: face.Deployment,
+        facts: interface.Deployment,
         who: Origin,
         now: Callable[[], int],
         unix_ms: Callable[[], int],
@@ -84,7 +84,7 @@
         self.now, self.unix_ms = now, unix_ms
         self.life, self.number = unix_ms(), 0
         self.tell: Callable[[bytes], None] = lambda data: None
-        self.rows: Dict[str, face.NodeRow] = {}
+        self.rows: Dict[str, interface.Endpoint] = {}
         self.lock, self.written = threading.Lock(), 0  # of the file, and the newest snapshot in it
         self.asked_at = 0
         self.ledger = self._ledger(told)
@@ -138,7 +138,7 @@
         logger.info("SIGHUP: new budgets hold from now on: {}", ", ".join(told.budgets) or "none")
         old, self.told = self.ledger, told
         self.ledger = self._ledger(told)
-        self.ledger.step(self.now(), face.Listed(True, tuple(self.rows.values())))
+        self.ledger.step(self.now(), interface.EndpointsUpdated(True, tuple(self.rows.values())))
         self._do(self.ledger.restore(old.plain(True), self.now()))
         self.ledger.fills = old.fills  # what is out is settled where it was charged
         self.ledger.means, self.ledger.crossed = old.means, old.crossed
@@ -161,33 +161,35 @@
 
     # What the director says
 
-    def wait(self, now: int, came: face.ReqCame, source: str) -> int:
-        return self.ledger.wait(now, came, source)
+    def wait_time(self, now: int, came: interface.RequestReceived, source: str) -> int:
+        return self.ledger.wait_time(now, came, source)
 
-    def listed(self, now: int, what: face.Listed) -> None:
-        if what.whole:
+    def listed(self, now: int, what: interface.EndpointsUpdated) -> None:
+        if what.is_full:
             self.rows = {}
-        for row in what.rows:
+        for row in what.endpoints:
             self.rows[row.id] = row
             if row.state == "gone":
                 del self.rows[row.id]
         self._do(self.ledger.step(now, what))
 
-    def sent(self, now: int, came: face.ReqCame, node: str, source: str, how: Dict[str, str]) -> None:
+    def sent(
+        self, now: int, came: interface.RequestReceived, node: str, source: str, how: Dict[str, str]
+    ) -> None:
         rank, renew = int(how.get("shelf", "0")), "renew" in how.get("hints", "")
         self._do(self.ledger.step(now, Sent(came, node, source, rank, renew)))
 
     def ended(
         self,
         now: int,
-        came: face.ReqCame,
+        came: interface.RequestReceived,
         result: str,
         note: int,
         body: Optional[int],
         took: int,
         gone: bool,
     ) -> None:
-        self._do(self.ledger.step(now, Ended(came.id, result, note, body, took, gone)))
+        self._do(self.ledger.step(now, Ended(came.request_id, result, note, body, took, gone)))
 
     def heard(self, now: int, sender: int, data: bytes) -> bool:
         """True when the datagram was one of the account's."""
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -12,7 +12,7 @@
 
 from typing import Any, Dict, List, NamedTuple, Optional, Sequence, Tuple
 
-from .. import interface as face
+from .. import interface
 from ..brain import mix, salt
 from ..settings import records
 from .account import Account
@@ -51,7 +51,9 @@
         "again",
     )
 
-    def __init__(self, came: face.ReqCame, source: str, way: Way, into: int, out_of: int, at: int):
+    def __init__(
+        self, came: interface.RequestReceived, source: str, way: Way, into: int, out_of: int, at: int
+    ):
         self.came, self.source, self.way = came, source, way
         self.into, self.out_of, self.at = into, out_of, at
         self.kept = self.renew = self.forced = self.again = False
@@ -96,7 +98,7 @@
     def __init__(
         self,
         told: records.Traffic,
-        facts: face.Deployment,
+        facts: interface.Deployment,
         zones: Sequence[str],
         vhosts: Sequence[str],
         now: int,
@@ -121,7 +123,7 @@
         ends, left = self.calendar.ends(), self.calendar.left()
         self.budgets: Dict[str, Budget] = {}
         for name, one in told.budgets.items():
-            among = facts.routers_here if one.scope == "branch" else facts.routers
+            among = facts.local_router_count if one.scope == "branch" else facts.router_count
             self.budgets[name] = Budget(name, one, 1.0 / max(1, among), now, ends, left)
         for name, one in told.budgets.items():
             self.budgets[name].above = self.budgets[one.within] if one.within else None
@@ -156,7 +158,7 @@
             self._sent(now, what)
         elif isinstance(what, Ended):
             self._ended(now, what)
-        elif isinstance(what, face.Listed):
+        elif isinstance(what, interface.EndpointsUpdated):
             self._listed(now, what)
         elif isinstance(what, Tick):
             self._tick(now, what.unix_ms)
@@ -180,14 +182,14 @@
         if self.sharing is not None:
             self.acts += self.sharing.tick(now)
 
-    def _listed(self, now: int, what: face.Listed) -> None:
+    def _listed(self, now: int, what: interface.EndpointsUpdated) -> None:
         self.homes.clear()
         self.judged = None
-        if what.whole:
-            here = {row.id for row in what.rows}
+        if what.is_full:
+            here = {row.id for row in what.endpoints}
             for name in [name for name in self.nodes if name not in here]:
                 self._gone(now, name)
-        for row in what.rows:
+        for row in what.endpoints:
             if row.state == "gone":
                 self._gone(now, row.id)
                 continue
@@ -208,24 +210,24 @@
 
     # What the module asks
 
-    def wait(self, now: int, came: face.ReqCame, source: str) -> int:
+    def wait_time(self, now: int, came: interface.RequestReceived, source: str) -> int:
         """0 where the budgets of that source have room for this req's fill, else the time until they
         should."""
         place = self.nodes.get(source)
         if place is None:
             return 0
-        budgets = self._matching(came.vhost, place)
+        budgets = self._matching(came.class_index, place)
         if not budgets:
             return 0
         need, begun = self.size(came), False
-        if self.streams is not None and self.facts.vhosts[came.vhost].parts:
-            stream = self.streams.find((came.viewer, came.obj), now)
+        if self.streams is not None and self.facts.request_classes[came.class_index].is_segmented:
+            stream = self.streams.find((came.connection_id, came.object_id), now)
             begun = stream is not None
             if stream is None:
-                rate = self.streams.rate(came.vhost, need)
+                rate = self.streams.rate(came.class_index, need)
                 if any(each.book is not None and not each.book.admits(rate) for each in budgets):
                     self._refused(budgets, need)
-                    return int(self.streams.gap(came.vhost)) + 1
+                    return int(self.streams.gap(came.class_index)) + 1
         forced = self._forced(came, source, place)
         found = [budget.wait(now, need, begun, forced) for budget in budgets]
         wait = max([each for each, _ in found])
@@ -240,9 +242,9 @@
             budget.refused += 1
             budget.wanted += need
 
-    def size(self, came: face.ReqCame) -> float:
+    def size(self, came: interface.RequestReceived) -> float:
         """The bytes that its fill should carry: what is told, else the most that its vhost's lately were."""
-        return came.size * self.per_kb if came.size else self.means[came.vhost].most
+        return came.size * self.per_kb if came.size else self.means[came.class_index].most
 
     def _way(self, zone: int, kind: int) -> Way:
         facts = self.facts
@@ -250,7 +252,7 @@
             return Way.ORIGIN
         if kind != facts.parent_kind:
             return Way.NEIGHBOUR
-        own = facts.hub_of[facts.zone] if facts.zone < len(facts.hub_of) else facts.zone
+        own = facts.hub_by_zone[facts.zone] if facts.zone < len(facts.hub_by_zone) else facts.zone
         return Way.OWN_HUB if zone == own else Way.OTHER_HUB
 
     def _matching(self, vhost: int, place: Place) -> Tuple[Budget, ...]:
@@ -277,18 +279,18 @@
     def zone_name(self, place: int) -> str:
         return self.zones[place] if 0 <= place < len(self.zones) else ""
 
-    def _forced(self, came: face.ReqCame, source: str, place: Place) -> bool:
+    def _forced(self, came: interface.RequestReceived, source: str, place: Place) -> bool:
         """True when another hub should have served it: the first of its hash order over all hubs that are
         listed, or went lately. Told from crossings that the order itself chose."""
         if place.kind not in (self.facts.parent_kind, self.facts.origin_kind) or not self.hubs:
             return False
-        first = self.homes.get(came.obj)
+        first = self.homes.get(came.object_id)
         if first is None:
-            home = mix(came.obj, 0)
+            home = mix(came.object_id, 0)
             first = max(self.hubs, key=lambda name: mix(home, self.hubs[name].salt))
             if len(self.homes) >= HOMES:
                 self.homes.clear()
-            self.homes[came.obj] = first
+            self.homes[came.object_id] = first
         return first != source
 
     # What goes out and comes to its end
@@ -297,8 +299,10 @@
         came, node = what.came, self.nodes.get(what.node)
         if node is None:
             return
-        if self.streams is not None and self.facts.vhosts[came.vhost].parts:
-            self.streams.goes_on((came.viewer, came.obj), came.vhost, now)  # also where it needs no fill
+        if self.streams is not None and self.facts.request_classes[came.class_index].is_segmented:
+            self.streams.goes_on(
+                (came.connection_id, came.object_id), came.class_index, now
+            )  # also where it needs no fill
         behind = node.kind in (self.facts.parent_kind, self.facts.origin_kind)
         name = what.node if behind else what.source  # past the caches the node itself is what bytes come from
         source = self.nodes.get(name)
@@ -311,14 +315,14 @@
         if judged is None or judged[:3] != (now, came, name):
             judged = None
         fill.forced = self._forced(came, name, source) if judged is None else judged[3]
-        fill.again = came.id in self.crossed
+        fill.again = came.request_id in self.crossed
         fill.guess = self.size(came)
-        self.fills[came.id] = fill
-        budgets = self._matching(came.vhost, source)
+        self.fills[came.request_id] = fill
+        budgets = self._matching(came.class_index, source)
         if not budgets:
             return
-        parts = self.streams is not None and self.facts.vhosts[came.vhost].parts
-        key = came.viewer, came.obj
+        parts = self.streams is not None and self.facts.request_classes[came.class_index].is_segmented
+        key = came.connection_id, came.object_id
         if judged is None:
             begun = bool(parts and self.streams and self.streams.find(key, now))
             all_pots = [budget.wait(now, fill.guess, begun, fill.forced)[1] for budget in budgets]
@@ -330,7 +334,7 @@
             budget.wanted = max(0.0, budget.wanted - fill.guess)
         if parts and self.streams is not None:
             books = [budget.book for budget in budgets if budget.book is not None]
-            self.streams.part_came(key, came.vhost, fill.guess, now, books)
+            self.streams.part_came(key, came.class_index, fill.guess, now, books)
 
     def _ended(self, now: int, what: Ended) -> None:
         fill = self.fills.pop(what.id, None)
@@ -338,7 +342,7 @@
             if what.gone:
                 self.crossed.pop(what.id, None)
             return
-        came, means = fill.came, self.means[fill.came.vhost]
+        came, means = fill.came, self.means[fill.came.class_index]
         carried, guessed = self._carried(fill, what)
         if what.result == "done" and what.body:
             if came.size and what.body:  # bytes on the socket for each KB told: the same everywhere
@@ -348,14 +352,14 @@
                 self.lively.setdefault(fill.source, [0, 0])[1] = now
                 means.learn(what.body, what.took, what.note == BY_ORIGIN)
                 if self.shapes is not None:
-                    self.shapes.add(came.vhost, what.body, what.took)
+                    self.shapes.add(came.class_index, what.body, what.took)
         use = Use.KEPT if fill.kept else Use.UNKEPT
         if what.result != "done" or (what.gone and what.body is None) or what.note == OLD:
             use = Use.WASTED
         elif fill.again:
             use = Use.REPEATED
         if carried:
-            crossing = Crossing(fill.into, fill.out_of, fill.way, use, came.vhost, fill.forced)
+            crossing = Crossing(fill.into, fill.out_of, fill.way, use, came.class_index, fill.forced)
             behind = carried if what.note == BY_ORIGIN and fill.way is not Way.ORIGIN else 0
             self.account.add(self.calendar.at(now), crossing, 1, carried, guessed, behind)
         for budget, pots, charged in fill.charges:
@@ -382,7 +386,7 @@
         asked, gave = self.lively.get(fill.source, (0, 0))
         if what.result == "timeout" and gave < fill.at < asked:
             return 0, 0  # asked again since, and it gave nothing to anyone: a silent source, not a slow one
-        guess = int(size * self.means[fill.came.vhost].part(size, what.took))
+        guess = int(size * self.means[fill.came.class_index].part(size, what.took))
         return guess, guess
 
     # What is kept and told
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -9,7 +9,7 @@
 from enum import IntEnum
 from typing import NamedTuple, Optional, Union
 
-from ..interface import Listed, ReqCame
+from ..interface import EndpointsUpdated, RequestReceived
 
 
 class Way(IntEnum):
@@ -49,7 +49,7 @@
 class Sent(NamedTuple):
     """A dispatch went out."""
 
-    came: ReqCame
+    came: RequestReceived
     node: str
     source: str  # empty: no fill
     rank: int
@@ -80,7 +80,7 @@
     data: bytes
 
 
-Told = Union[Listed, Sent, Ended, Tick, Heard]
+Told = Union[EndpointsUpdated, Sent, Ended, Tick, Heard]
 
 
 class Tell(NamedTuple):
--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -9,27 +9,32 @@
 import binascii
 from typing import Any, Dict, List, Optional, Tuple
 
-from .. import interface as face
+from .. import interface
 from ..facts import REQUIRED, UNIT, Fields, Malformed
+from ..interface import AttemptResult, FillNote
 
 RESULTS = {
-    "S": "done",
-    "E": "error",
-    "F": "full",
-    "T": "timeout",
-    "C": "unconnected",
-    "R": "reset",
-    "X": "cancelled",
-    "N": "unsent",
-    "M": "miss",
+    "S": AttemptResult.DONE,
+    "E": AttemptResult.ERROR,
+    "F": AttemptResult.REJECTED,
+    "T": AttemptResult.TIMEOUT,
+    "C": AttemptResult.NOT_CONNECTED,
+    "R": AttemptResult.RESET,
+    "X": AttemptResult.CANCELLED,
+    "N": AttemptResult.NOT_SENT,
+    "M": AttemptResult.MISS,
 }
 
 
-def happening(event: Fields, lists: Dict[int, Tuple[face.NodeRow, ...]]) -> Optional[face.Happening]:
+def _fill_note(number: int) -> FillNote:
+    return FillNote(number) if number < FillNote.UNKNOWN else FillNote.UNKNOWN
+
+
+def happening(event: Fields, lists: Dict[int, Tuple[interface.Endpoint, ...]]) -> Optional[interface.Event]:
     """One event in the interface's words; None for an event that the interface does not know."""
     name = event.message
     if name == "QUERY":
-        return face.ReqCame(
+        return interface.RequestReceived(
             event.text("tid"),
             event.whole("object"),
             event.whole("range-no"),
@@ -41,14 +46,14 @@
             event.mark("is-write"),
         )
     if name == "REPORT_BACK":
-        return face.Outcome(
+        return interface.AttemptFinished(
             event.text("tid"),
             event.whole("leg"),
             event.text("node"),
             event.word("reason", RESULTS),
             event.down("lag"),
             event.mark("finished"),
-            event.whole("remark"),
+            _fill_note(event.whole("remark")),
             event.down("ttfb"),
             event.load(),
         )
@@ -57,72 +62,79 @@
             "scope", {"update": "update", "replace": "whole", "restored": "whole", "unavailable": ""}
         )
         if not scope:
-            return face.ListFailed()
+            return interface.DiscoveryFailed()
         number = event.whole("list")
         if number not in lists:
             raise Malformed(f"{name}: field 'list' names the list {number}, which has not come")
-        return face.Listed(scope == "whole", lists[number])
+        return interface.EndpointsUpdated(scope == "whole", lists[number])
     if name == "VANISHED":
-        return face.Left(event.text("tid"))
+        return interface.ClientDisconnected(event.text("tid"))
     if name == "INVALIDATED":
-        return face.Purged(
+        return interface.PurgeNotified(
             event.whole("object") if event.has("object") else None, event.whole("set-no"), event.down("age")
         )
     if name == "ALARM":
-        return face.Rang(event.text("ref"))
+        return interface.TimerFired(event.text("ref"))
     if name == "STARTED":
-        return face.Streaming(event.text("tid"))
+        return interface.ResponseStarted(event.text("tid"))
     if name == "STATUS_BACK":
-        return face.Probed(event.text("node"), event.word("reason", RESULTS), event.down("lag"), event.load())
+        return interface.HealthCheckFinished(
+            event.text("node"), event.word("reason", RESULTS), event.down("lag"), event.load()
+        )
     if name == "FROM_PEER":
         try:
-            return face.PeerSaid(event.whole("who"), base64.b64decode(event.text("bytes", ""), validate=True))
+            return interface.GossipReceived(
+                event.whole("who"), base64.b64decode(event.text("bytes", ""), validate=True)
+            )
         except binascii.Error:
             raise Malformed(f"{name}: field 'bytes' is not base64") from None
     return None
 
 
-def message(director: int, act: face.Action) -> Dict[str, Dict[str, Any]]:
+def message(director: int, act: interface.Command) -> Dict[str, Dict[str, Any]]:
     """One action in the wire's words."""
-    if isinstance(act, face.Ask):
-        name, body = "ISSUE", {"tid": act.id, "node": act.node, "try-until": act.until * UNIT}
-    elif isinstance(act, face.Fetch):
-        opts = act.join * 1 + act.held_only * 2 + act.renew * 8
+    if isinstance(act, interface.SendAttempt):
+        name, body = (
+            "ISSUE",
+            {"tid": act.request_id, "node": act.endpoint_id, "try-until": act.deadline * UNIT},
+        )
+    elif isinstance(act, interface.SendAttemptWithFill):
+        opts = act.may_join_fill * 1 + act.source_cached_only * 2 + act.revalidates * 8
         name, body = (
             "ANSWER_FROM",
             {
-                "tid": act.id,
-                "try-until": act.until * UNIT,
+                "tid": act.request_id,
+                "try-until": act.deadline * UNIT,
                 "opts": opts,
-                "supplier": act.source,
-                "admit": act.rank,
-                "age": act.age * UNIT,
-                "node": act.node,
+                "supplier": act.source_id,
+                "admit": act.admission_rank,
+                "age": act.max_copy_age * UNIT,
+                "node": act.endpoint_id,
             },
         )
-    elif isinstance(act, face.Deny):
-        name, body = "DECLINE", {"tid": act.id, "backoff": act.backoff * UNIT}
-    elif isinstance(act, face.Abort):
-        name, body = "ERROR", {"tid": act.id}
-    elif isinstance(act, face.CallOff):
-        name, body = "CALL_OFF", {"tid": act.id, "leg": act.number}
-    elif isinstance(act, face.Remind):
-        name, body = "REMIND", {"offset": act.after * UNIT, "ref": act.token}
-    elif isinstance(act, face.Watch):
-        name, body = "WATCH", {"active": act.on}
-    elif isinstance(act, face.Snapshot):
+    elif isinstance(act, interface.RejectRequest):
+        name, body = "DECLINE", {"tid": act.request_id, "backoff": act.retry_after * UNIT}
+    elif isinstance(act, interface.FailRequest):
+        name, body = "ERROR", {"tid": act.request_id}
+    elif isinstance(act, interface.CancelAttempt):
+        name, body = "CALL_OFF", {"tid": act.request_id, "leg": act.attempt_number}
+    elif isinstance(act, interface.SetTimer):
+        name, body = "REMIND", {"offset": act.delay * UNIT, "ref": act.token}
+    elif isinstance(act, interface.SetWatch):
+        name, body = "WATCH", {"active": act.enabled}
+    elif isinstance(act, interface.RequestFullList):
         name, body = "SNAPSHOT", {}
-    elif isinstance(act, face.Probe):
-        name, body = "TOUCH", {"node": act.node}
-    elif isinstance(act, face.Say):
+    elif isinstance(act, interface.SendHealthCheck):
+        name, body = "TOUCH", {"node": act.endpoint_id}
+    elif isinstance(act, interface.SendGossip):
         target: Any = "*" if act.peer is None else act.peer
         name, body = "POST", {"target": target, "bytes": base64.b64encode(act.data).decode("ascii")}
-    elif isinstance(act, face.Log):
+    elif isinstance(act, interface.WriteLog):
         name, body = "DEBUG", {"msg": act.text}
     else:  # copies of our own: no shelf stands on this wire, so that the module never says it
         raise TypeError(f"{type(act).__name__} has no word on this wire")
     return {name: {"director": director, **body}}
 
 
-def messages(director: int, acts: List[face.Action]) -> List[Dict[str, Dict[str, Any]]]:
+def messages(director: int, acts: List[interface.Command]) -> List[Dict[str, Dict[str, Any]]]:
     return [message(director, act) for act in acts]
--- a/ironhinge/wirehost/host.py
+++ b/ironhinge/wirehost/host.py
@@ -6,7 +6,7 @@
 import traceback
 from typing import Any, BinaryIO, Dict, List, TextIO, Tuple
 
-from .. import interface as face
+from .. import interface
 from ..brain import Router
 from ..facts import REQUIRED, UNIT, Fields, Malformed, deployment, node_rows
 from . import codec
@@ -18,7 +18,7 @@
     def __init__(self, errors: TextIO):
         self.errors = errors
         self.routers: Dict[int, Router] = {}
-        self.lists: Dict[int, Tuple[face.NodeRow, ...]] = {}
+        self.lists: Dict[int, Tuple[interface.Endpoint, ...]] = {}
 
     def batch(self, line: bytes) -> Dict[str, Any]:
         try:
@@ -52,13 +52,13 @@
             self.errors.write(traceback.format_exc())
             return [reply]
 
-    def hand_over(self, now: int, director: int, fields: Fields) -> List[face.Action]:
+    def hand_over(self, now: int, director: int, fields: Fields) -> List[interface.Command]:
         name = fields.message
         if name == "SPAWN":
             router = self.routers[director] = Router(
                 deployment(fields.inner("settings")), fields.whole("seed")
             )
-            return router.step(now, face.Started())
+            return router.step(now, interface.InstanceStarted())
         if name == "STOP":
             self.routers.pop(director, None)
             return []
@@ -69,8 +69,12 @@
         if director not in self.routers:
             raise Malformed(f"{name}: field 'director' names instance {director}, which has not started")
         router = self.routers[director]
-        if type(happened) is face.ReqCame and happened.vhost >= len(router.facts.vhosts):
-            raise Malformed(f"{name}: field 'cls' names class {happened.vhost}, which the settings lack")
+        if type(happened) is interface.RequestReceived and happened.class_index >= len(
+            router.facts.request_classes
+        ):
+            raise Malformed(
+                f"{name}: field 'cls' names class {happened.class_index}, which the settings lack"
+            )
         return router.step(now, happened)
 
     def fatal(self, director: int, text: str) -> Dict[str, Any]:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,80 +12,106 @@
 import time
 from random import Random
 
-from ironhinge import interface as face
+from ironhinge import interface
 from ironhinge.brain import Router
+from ironhinge.interface import DedupScope, EndpointState, Idempotency
 
 PARENT, ORIGIN = 1, 2
 CACHES = ["c%d" % i for i in range(5)]
-EFFECTS = (("replayable", "all"), ("uniqued", "cell"), ("uniqued", "all"), ("non-replayable", "all"))
+IDEMPOTENCY = (
+    (Idempotency.IDEMPOTENT, DedupScope.ALL),
+    (Idempotency.KEYED, DedupScope.CELL),
+    (Idempotency.KEYED, DedupScope.ALL),
+    (Idempotency.NON_IDEMPOTENT, DedupScope.ALL),
+)
 
 
 def deployment(**other):
     vhosts = tuple(
-        face.Vhost(
-            4000, 1.6, 30000, 1.0, 0.2, effect, scope, 9000, False, 20000 if i % 2 else 0, 0, 1.0, True
+        interface.RequestClass(
+            4000,
+            1.6,
+            30000,
+            1.0,
+            0.2,
+            idempotency,
+            dedup_scope,
+            9000,
+            False,
+            20000 if i % 2 else 0,
+            0,
+            1.0,
+            True,
         )
-        for i, (effect, scope) in enumerate(EFFECTS)
+        for i, (idempotency, dedup_scope) in enumerate(IDEMPOTENCY)
     )
     facts = dict(
-        vhosts=vhosts,
+        request_classes=vhosts,
         zone=0,
-        routers=2,
-        routers_here=2,
-        hub_of=(1, 1),
-        inlet=(),
+        router_count=2,
+        local_router_count=2,
+        hub_by_zone=(1, 1),
+        ingress_bandwidth=(),
         parent_kind=PARENT,
         origin_kind=ORIGIN,
-        bypass=True,
-        siblings="location",
-        joins=True,
-        notes="all",
-        pace=5000.0,
-        weights="rough",
-        load_fields=("in_hand",),
-        must_watch=False,
-        ask_within=0,
-        max_dispatches=6,
-        probes=False,
-        peers=False,
-        cancels=True,
-        backoff=10000,
-        cold_from=0.2,
-        cold=150000,
-        fall_multiple=2.0,
-        fall=20000,
-        parent_cold_from=0.1,
-        parent_cold=200000,
-        parent_fall_multiple=2.0,
-        origin_fall_multiple=2.5,
+        direct_to_source=True,
+        sibling_fill="location",
+        coalesces_fills=True,
+        fill_note_level="all",
+        transfer_rate=5000.0,
+        weight_kind="rough",
+        load_report_fields=("in_hand",),
+        watch_required=False,
+        discovery_poll_interval=0,
+        max_attempts=6,
+        health_checks_allowed=False,
+        gossip_allowed=False,
+        cancellation_allowed=True,
+        max_retry_after=10000,
+        slow_start_min_share=0.2,
+        slow_start_duration=150000,
+        overload_multiple=2.0,
+        overload_window=20000,
+        parent_slow_start_min_share=0.1,
+        parent_slow_start_duration=200000,
+        parent_overload_multiple=2.0,
+        origin_overload_multiple=2.5,
         drain_grace=5000,
         purge_grace=3000,
-        purge_settles=60000,
-        tick=20,
+        purge_retention=60000,
+        time_granularity=20,
         prices=(),
     )
-    return face.Deployment(**{**facts, **other})
+    return interface.Deployment(**{**facts, **other})
 
 
 def row(name, state="ready", started=0, weight=20.0):
     kind = ORIGIN if name == "o" else PARENT if name[0] == "p" else 0
-    return face.NodeRow(name, state, int(name[1:] or 0) % 2, 1 if kind else 0, started, weight, kind)
+    return interface.Endpoint(name, state, int(name[1:] or 0) % 2, 1 if kind else 0, started, weight, kind)
 
 
 def router(facts=None, names=(*CACHES, "p0", "p1", "o")):
     one = Router(facts or deployment(), 7)
-    one.step(0, face.Started())
-    one.step(0, face.Listed(True, tuple(row(name) for name in names)))
+    one.step(0, interface.InstanceStarted())
+    one.step(0, interface.EndpointsUpdated(True, tuple(row(name) for name in names)))
     return one
 
 
 def req(name, obj=1, vhost=0, size=500.0, left=25000, group=0):
-    return face.ReqCame(name, obj, 0, group, size, left, vhost, False, False)
+    return interface.RequestReceived(name, obj, 0, group, size, left, vhost, False, False)
 
 
 def outcome(act, result, number=0, took=100, closed=None, note=0):
-    return face.Outcome(
-        act.id, number, act.node, result, took, result == "done" if closed is None else closed, note, 0, None
+    return interface.AttemptFinished(
+        act.request_id,
+        number,
+        act.endpoint_id,
+        result,
+        took,
+        result == "done" if closed is None else closed,
+        note,
+        0,
+        None,
     )
 
 
@@ -98,34 +124,34 @@
         self.loads = {}  # node: what was sent to it while cold
 
     def happened(self, now, what):
-        if type(what) is face.ReqCame:
-            self.came[what.id], self.sent[what.id] = (now, what), []
-            self.works.setdefault(what.vhost, []).append(what.size * 10_000 / self.facts.pace)
-        elif type(what) is face.Listed:
-            for one in what.rows:
+        if type(what) is interface.RequestReceived:
+            self.came[what.request_id], self.sent[what.request_id] = (now, what), []
+            self.works.setdefault(what.class_index, []).append(what.size * 10_000 / self.facts.transfer_rate)
+        elif type(what) is interface.EndpointsUpdated:
+            for one in what.endpoints:
                 self.rows[one.id] = one
-            if what.whole:
-                for name in set(self.rows) - {one.id for one in what.rows}:
-                    self.rows[name] = self.rows[name]._replace(state="gone")
-        elif type(what) is face.Purged:
+            if what.is_full:
+                for name in set(self.rows) - {one.id for one in what.endpoints}:
+                    self.rows[name] = self.rows[name]._replace(state=EndpointState.REMOVED)
+        elif type(what) is interface.PurgeNotified:
             self.purges.append((now - what.age, what))
-        elif type(what) is face.Outcome:
-            self.sent[what.id][what.number][2] = what.result
-            if what.closed:
-                self.ended[what.id] = "done"
-        elif type(what) is face.Left:
-            self.ended.setdefault(what.id, "left")
+        elif type(what) is interface.AttemptFinished:
+            self.sent[what.request_id][what.attempt_number][2] = what.result
+            if what.request_closed:
+                self.ended[what.request_id] = "done"
+        elif type(what) is interface.ClientDisconnected:
+            self.ended.setdefault(what.request_id, "left")
 
     def acted(self, now, act):
-        if type(act) in (face.Ask, face.Fetch):
+        if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
             self.dispatched(now, act)
-        elif type(act) in (face.Deny, face.Abort):
-            assert act.id not in self.ended, "two final answers"
-            at, came = self.came[act.id]
-            assert now <= at + came.left, "answered after the client timeout"
-            if type(act) is face.Deny:
-                assert self.harmless(act.id, now), "denied what may have run"
-            self.ended[act.id] = "answered"
+        elif type(act) in (interface.RejectRequest, interface.FailRequest):
+            assert act.request_id not in self.ended, "two final answers"
+            at, came = self.came[act.request_id]
+            assert now <= at + came.time_remaining, "answered after the client timeout"
+            if type(act) is interface.RejectRequest:
+                assert self.harmless(act.request_id, now), "denied what may have run"
+            self.ended[act.request_id] = "answered"
 
     def ran(self, name):
         return [
@@ -133,58 +159,64 @@
         ]
 
     def harmless(self, name, now):
-        vhost, ran = self.facts.vhosts[self.came[name][1].vhost], self.ran(name)
-        return not ran or vhost.effect == "replayable" or (vhost.effect == "uniqued" and vhost.scope == "all")
+        vhost, ran = self.facts.request_classes[self.came[name][1].class_index], self.ran(name)
+        return (
+            not ran
+            or vhost.idempotency == Idempotency.IDEMPOTENT
+            or (vhost.idempotency == Idempotency.KEYED and vhost.dedup_scope == "all")
+        )
 
     def dispatched(self, now, act):
-        at, came = self.came[act.id]
-        vhost, before = self.facts.vhosts[came.vhost], self.sent[act.id]
-        assert act.id not in self.ended, "sent after the end"
-        assert len(before) < self.facts.max_dispatches
+        at, came = self.came[act.request_id]
+        vhost, before = self.facts.request_classes[came.class_index], self.sent[act.request_id]
+        assert act.request_id not in self.ended, "sent after the end"
+        assert len(before) < self.facts.max_attempts
         assert all(one[2] for one in before), "two dispatches out together"
-        assert now < act.until <= at + came.left
-        ran = self.ran(act.id)
-        if ran and vhost.effect != "replayable":
-            assert vhost.effect == "uniqued" and now < ran[0][1] + vhost.window, "an effect twice"
-            assert vhost.scope == "all" or self.rows[act.node].cell == self.rows[ran[0][0]].cell, (
-                "outside its group"
+        assert now < act.deadline <= at + came.time_remaining
+        ran = self.ran(act.request_id)
+        if ran and vhost.idempotency != Idempotency.IDEMPOTENT:
+            assert vhost.idempotency == Idempotency.KEYED and now < ran[0][1] + vhost.dedup_window, (
+                "an effect twice"
             )
-        source = getattr(act, "source", act.node)
-        for name in {act.node, source}:
+            assert (
+                vhost.dedup_scope == "all" or self.rows[act.endpoint_id].cell == self.rows[ran[0][0]].cell
+            ), "outside its group"
+        source = getattr(act, "source_id", act.endpoint_id)
+        for name in {act.endpoint_id, source}:
             assert self.rows[name].state == "ready", "sent to a node that drains or is gone"
-            self.load(now, name, came, act.node)
+            self.load(now, name, came, act.endpoint_id)
         purges = [
             when
             for when, what in self.purges
-            if (what.obj == came.obj if what.obj is not None else what.group == came.group)
-            and when + self.facts.purge_settles >= now
+            if (what.object_id == came.object_id if what.object_id is not None else what.group == came.group)
+            and when + self.facts.purge_retention >= now
         ]
-        if purges and act.node != "o":
-            assert type(act) is face.Fetch and 0 < act.age <= max(1, now - max(purges)), (
-                "an old copy would do"
-            )
-        if type(act) is face.Fetch and vhost.fresh:
-            assert act.age <= vhost.fresh + vhost.grace
-        before.append([act.node, now, None])
+        if purges and act.endpoint_id != "o":
+            assert type(act) is interface.SendAttemptWithFill and 0 < act.max_copy_age <= max(
+                1, now - max(purges)
+            ), "an old copy would do"
+        if type(act) is interface.SendAttemptWithFill and vhost.freshness_lifetime:
+            assert act.max_copy_age <= vhost.freshness_lifetime + vhost.stale_grace
+        before.append([act.endpoint_id, now, None])
 
     def load(self, now, name, came, node):
         one, facts, parent = self.rows[name], self.facts, self.rows[name].kind == PARENT
-        length = facts.parent_cold if parent else facts.cold
-        if not one.started or now >= one.started + length or one.kind == ORIGIN:
+        length = facts.parent_slow_start_duration if parent else facts.slow_start_duration
+        if not one.started_at or now >= one.started_at + length or one.kind == ORIGIN:
             return
-        works = self.works[came.vhost]
-        work = came.size * 10_000 / self.facts.pace if parent else sum(works) / len(works)
-        loads = self.loads.setdefault((name, one.started), [])
+        works = self.works[came.class_index]
+        work = came.size * 10_000 / self.facts.transfer_rate if parent else sum(works) / len(works)
+        loads = self.loads.setdefault((name, one.started_at), [])
         loads.append((now, work))
         least, multiple = (
-            (facts.parent_cold_from, facts.parent_fall_multiple)
+            (facts.parent_slow_start_min_share, facts.parent_overload_multiple)
             if parent
-            else (facts.cold_from, facts.fall_multiple)
+            else (facts.slow_start_min_share, facts.overload_multiple)
         )
-        share = least + (1 - least) * max(0, now - one.started) / length
-        routers = facts.routers if parent else facts.routers_here
-        assert sum(work for when, work in loads if when > now - facts.fall) <= (
-            multiple * share * one.weight * facts.fall / routers
+        share = least + (1 - least) * max(0, now - one.started_at) / length
+        routers = facts.router_count if parent else facts.local_router_count
+        assert sum(work for when, work in loads if when > now - facts.overload_window) <= (
+            multiple * share * one.weight * facts.overload_window / routers
         ), "a cold node pushed over"
 
 
@@ -197,20 +229,20 @@
         rules.happened(now, what)
         for act in one.step(now, what):
             rules.acted(now, act)
-            if type(act) in (face.Ask, face.Fetch):
-                due = min(act.until, now + int(chance.expovariate(1 / 3000)) + 1)
+            if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
+                due = min(act.deadline, now + int(chance.expovariate(1 / 3000)) + 1)
                 out.append(
                     (
                         due,
-                        len(rules.came) * 10 + len(rules.sent[act.id]),
+                        len(rules.came) * 10 + len(rules.sent[act.request_id]),
                         act,
-                        len(rules.sent[act.id]) - 1,
-                        act.until,
+                        len(rules.sent[act.request_id]) - 1,
+                        act.deadline,
                     )
                 )
 
-    tell(face.Started())
-    tell(face.Listed(True, tuple(row(name) for name in names)))
+    tell(interface.InstanceStarted())
+    tell(interface.EndpointsUpdated(True, tuple(row(name) for name in names)))
     while number < steps or out:
         then = now + chance.randrange(200)
         while out and min(out)[0] <= then:
@@ -218,10 +250,17 @@
             out.remove(due)
             now, act, place, until = max(now, due[0]), due[2], due[3], due[4]
             result = chance.choice(["done"] * 9 + ["miss", "full", "error", "reset", "unconnected"])
-            result = "cancelled" if act.id in rules.ended else "timeout" if due[0] == until else result
+            result = (
+                "cancelled" if act.request_id in rules.ended else "timeout" if due[0] == until else result
+            )
             tell(
                 outcome(
-                    act, result, place, 200, result == "done" or act.id in rules.ended, chance.randrange(11)
+                    act,
+                    result,
+                    place,
+                    200,
+                    result == "done" or act.request_id in rules.ended,
+                    chance.randrange(11),
                 )
             )
         now = then
@@ -243,17 +282,17 @@
         elif dice < 0.78:
             held = [name for name in rules.came if name not in rules.ended]
             if held:
-                tell(face.Left(chance.choice(held)))
+                tell(interface.ClientDisconnected(chance.choice(held)))
         elif dice < 0.86:
             tell(
-                face.Purged(
+                interface.PurgeNotified(
                     chance.choice([None, chance.randrange(40)]), chance.randrange(3), chance.randrange(3000)
                 )
             )
         else:
             name = chance.choice(names)
             state = chance.choice(["ready", "ready", "draining", "gone"])
-            tell(face.Listed(False, (row(name, state, chance.choice([0, now])),)))
+            tell(interface.EndpointsUpdated(False, (row(name, state, chance.choice([0, now])),)))
     assert set(rules.ended) == set(rules.came), "a req without a final answer"
     return rules
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from ironhinge import interface as face
+from ironhinge import interface
 from ironhinge.brain import Router
 from ironhinge.facts import assignment
 from ironhinge.net import clientwire
@@ -91,16 +91,23 @@
 
 
 def ask(node="s-00000001", after=90000, name=TRACE):
-    return lambda now: [face.Ask(name, node, now + after)]
+    return lambda now: [interface.SendAttempt(name, node, now + after)]
 
 
 def fetch(source, after=90000, **other):
-    how = {"rank": 2, "age": 15, "join": True, "renew": True, "held_only": True, **other}
-    return lambda now: [face.Fetch(TRACE, "s-00000001", now + after, source, **how)]
+    how = {
+        "admission_rank": 2,
+        "max_copy_age": 15,
+        "may_join_fill": True,
+        "revalidates": True,
+        "source_cached_only": True,
+        **other,
+    }
+    return lambda now: [interface.SendAttemptWithFill(TRACE, "s-00000001", now + after, source, **how)]
 
 
 def test_a_fault_of_the_module_costs_the_req_not_the_program():
-    script = Scripted(ReqCame=[lambda now: 1 / 0, ask()])
+    script = Scripted(RequestReceived=[lambda now: 1 / 0, ask()])
 
     async def scene(director, client, until):
         director.take(client, came(1))
@@ -114,28 +121,34 @@
 
 def test_a_req_takes_one_answer_and_late_ends_still_reach_the_module():
     def twice(now):
-        return [face.Ask(TRACE, "s-00000001", now + 90000), face.Deny(TRACE, 55), face.Abort(TRACE)]
+        return [
+            interface.SendAttempt(TRACE, "s-00000001", now + 90000),
+            interface.RejectRequest(TRACE, 55),
+            interface.FailRequest(TRACE),
+        ]
 
-    script = Scripted(ReqCame=[twice])
+    script = Scripted(RequestReceived=[twice])
 
     async def scene(director, client, until):
         director.take(client, came(1))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         assert client.link.frames == [b"".join(clientwire.answer(1, 2, {"pause": "5"}))]
-        assert script.got(face.Outcome)[0].closed and not director.reqs and not client.open
+        assert (
+            script.got(interface.AttemptFinished)[0].request_closed and not director.reqs and not client.open
+        )
 
     play(script, scene)
 
 
 def test_every_field_of_a_fetch_is_on_the_wire():
     node = FakeNode()
-    script = Scripted(ReqCame=[fetch("s-00000002")])
+    script = Scripted(RequestReceived=[fetch("s-00000002")])
 
     async def scene(director, client, until):
         director.take(client, came(1, part="3", have="4be0c1927d55a6f3", nonce="715d2556fdad052d"))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
 
     play(script, scene, (node, FakeNode()))
     word, name, fields, _ = node.next()
@@ -151,59 +164,59 @@
         "hints": "join+held+renew",
         "got": "4be0c1927d55a6f3",
     }
-    (end,) = script.got(face.Outcome)
-    assert (end.result, end.closed, end.note, end.load) == ("done", True, 1, None)
+    (end,) = script.got(interface.AttemptFinished)
+    assert (end.result, end.request_closed, end.fill_note, end.load_report) == ("done", True, 1, None)
 
 
 @pytest.mark.parametrize("route, result", [("order", "done"), ("film", "error")])
 def test_only_copies_have_a_tag_and_a_date(route, result):
     """What answers a write is no copy; a read's bytes without them can't be told from spoilt ones."""
     node = FakeNode(lambda told: resp(told[1], "ACK", "res=h", b"written"))
-    script = Scripted(ReqCame=[ask()])
+    script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
         director.take(client, came(1, route=route))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
 
     play(script, scene, (node, node))
-    assert script.got(face.Outcome)[0].result == result
+    assert script.got(interface.AttemptFinished)[0].result == result
 
 
 def test_load_reports_come_in_the_order_of_the_settings():
     node = FakeNode(lambda told: resp(told[1], "AGAIN", "gauges=inflight:7;util:0.61", b""))
-    script = Scripted(ReqCame=[ask()])
+    script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
         director.take(client, came(1))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         assert list(director.reqs) == [TRACE]  # the module has not answered it yet
 
     play(script, scene, (node, node))
-    (end,) = script.got(face.Outcome)
-    assert (end.result, end.closed, end.load) == ("full", False, (0.61, 7.0))
+    (end,) = script.got(interface.AttemptFinished)
+    assert (end.result, end.request_closed, end.load_report) == ("full", False, (0.61, 7.0))
 
 
 def test_same_for_a_client_without_a_copy_is_no_answer():
     """Guards against a node that says the client's copy is the one when there is none."""
     node = FakeNode(lambda told: resp(told[1], "NOMOD", "-", b""))
-    script = Scripted(ReqCame=[ask()])
+    script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
         director.take(client, came(1))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         assert not client.link.frames
 
     play(script, scene, (node, node))
-    assert script.got(face.Outcome)[0].result == "error"
+    assert script.got(interface.AttemptFinished)[0].result == "error"
 
 
 @pytest.mark.parametrize("news", ["drain", "drain of the source", "move", "purge", "group purge", "other"])
 def test_what_waits_for_a_connection_is_taken_back_by_news(news):
     """Guards drains and purges: a dispatch that could not be sent yet is not sent later."""
-    script = Scripted(ReqCame=[fetch("s-00000002")])
+    script = Scripted(RequestReceived=[fetch("s-00000002")])
 
     async def scene(director, client, until):
         node = director.nodes["s-00000001"]
@@ -223,7 +236,7 @@
             event = {"index": 2, "evict": {**which, "unix_ms": 5}}
         told = assignment(configuration([], updates=[event]))
         director.discovery.learn(told.known[1])
-        taken = [end.result for end in script.got(face.Outcome)]
+        taken = [end.result for end in script.got(interface.AttemptFinished)]
         assert taken == ([] if news == "other" else ["unsent"]) and bool(waiting.link.pending) is (
             news == "other"
         )
@@ -233,30 +246,38 @@
 
 def test_timers_ring_and_time_outs_end_dispatches_in_order():
     script = Scripted(
-        Started=[
-            lambda now: [face.Remind(600, "b"), face.Remind(20, "a"), face.Watch(True), face.Snapshot()]
+        InstanceStarted=[
+            lambda now: [
+                interface.SetTimer(600, "b"),
+                interface.SetTimer(20, "a"),
+                interface.SetWatch(True),
+                interface.RequestFullList(),
+            ]
         ],
-        ReqCame=[ask(after=400)],
-        Outcome=[lambda now: [face.Abort(TRACE)]],
+        RequestReceived=[ask(after=400)],
+        AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]],
     )
 
     async def scene(director, client, until):
         director.take(client, came(1))
         director.driver.flush()
-        await until(lambda: len(script.got(face.Rang)) == 2)
+        await until(lambda: len(script.got(interface.TimerFired)) == 2)
         assert client.link.frames == [b"".join(clientwire.answer(1, 3, {}))]
 
     node = FakeNode(lambda told: None)
     play(script, scene, (node, node))
-    assert [what.token for what in script.got(face.Rang)] == ["a", "b"]
-    (end,) = script.got(face.Outcome)
-    assert end.result == "timeout" and end.took >= 390 and not end.closed
+    assert [what.token for what in script.got(interface.TimerFired)] == ["a", "b"]
+    (end,) = script.got(interface.AttemptFinished)
+    assert end.result == "timeout" and end.duration >= 390 and not end.request_closed
     assert node.next("never_mind")[1] == TRACE
 
 
 def test_a_connection_silent_through_a_time_out_takes_nothing_more():
     """Guards against connections to a machine that has vanished: they stay open and never answer."""
-    script = Scripted(ReqCame=[ask(after=200)], Outcome=[ask(after=200), lambda now: [face.Abort(TRACE)]])
+    script = Scripted(
+        RequestReceived=[ask(after=200)],
+        AttemptFinished=[ask(after=200), lambda now: [interface.FailRequest(TRACE)]],
+    )
     node = FakeNode(lambda told: None)
 
     async def scene(director, client, until):
@@ -274,8 +295,8 @@
     connection by connection, so that the second dispatch of one came before the end of its first."""
     other = TRACE[::-1]
     script = Scripted(
-        ReqCame=[ask("s-00000001"), ask("s-00000002", name=other)],
-        Outcome=[ask("s-00000002"), ask("s-00000001", name=other)],
+        RequestReceived=[ask("s-00000001"), ask("s-00000002", name=other)],
+        AttemptFinished=[ask("s-00000002"), ask("s-00000001", name=other)],
     )
     reading = threading.Event()  # until then the first node takes one command and reads no further
     nodes = FakeNode(lambda told: stuck and reading.wait(PATIENCE) and None), FakeNode(lambda told: None)
@@ -299,7 +320,7 @@
 
     play(script, scene, nodes)
     reading.set()
-    assert [end.result for end in script.got(face.Outcome)][:2] == ["timeout", "timeout"]
+    assert [end.result for end in script.got(interface.AttemptFinished)][:2] == ["timeout", "timeout"]
     if not stuck:
         assert nodes[0].next("never_mind")[1] == TRACE and nodes[1].next("never_mind")[1] == other
 
@@ -311,24 +332,30 @@
     theirs.settimeout(PATIENCE)
     peers = ["127.0.0.1:%d" % each.getsockname()[1] for each in (ours, theirs)]
     script = Scripted(
-        Listed=[lambda now: [face.Probe("s-00000001"), face.Say(1, b"one"), face.Say(None, b"all")]]
+        EndpointsUpdated=[
+            lambda now: [
+                interface.SendHealthCheck("s-00000001"),
+                interface.SendGossip(1, b"one"),
+                interface.SendGossip(None, b"all"),
+            ]
+        ]
     )
 
     async def scene(director, client, until):
         director.driver.flush()
-        await until(lambda: script.got(face.Probed))
+        await until(lambda: script.got(interface.HealthCheckFinished))
         assert [theirs.recv(300), theirs.recv(300)] == [b"one", b"all"]
         theirs.sendto(b"back", ours.getsockname())
-        await until(lambda: script.got(face.PeerSaid))
+        await until(lambda: script.got(interface.GossipReceived))
 
     play(script, scene, (node, node), ours, peers=peers, peers_all=peers[1])
-    (probed,) = script.got(face.Probed)
-    assert (probed.node, probed.result, probed.load) == ("s-00000001", "error", (0.5, 2.0))
-    assert script.got(face.PeerSaid) == [face.PeerSaid(1, b"back")]
+    (probed,) = script.got(interface.HealthCheckFinished)
+    assert (probed.endpoint_id, probed.result, probed.load_report) == ("s-00000001", "error", (0.5, 2.0))
+    assert script.got(interface.GossipReceived) == [interface.GossipReceived(1, b"back")]
 
 
 def test_a_dispatch_past_its_time_or_after_the_end_is_never_sent():
-    script = Scripted(ReqCame=[lambda now: [face.Ask(TRACE, "s-00000001", now - 1)]])
+    script = Scripted(RequestReceived=[lambda now: [interface.SendAttempt(TRACE, "s-00000001", now - 1)]])
     node = FakeNode()
 
     async def scene(director, client, until):
@@ -338,7 +365,9 @@
         assert not director.reqs
 
     play(script, scene, (node, node))
-    assert script.got(face.Outcome)[0].result == RESULTS[Ending.UNWRITTEN] and node.commands.empty()
+    assert (
+        script.got(interface.AttemptFinished)[0].result == RESULTS[Ending.UNWRITTEN] and node.commands.empty()
+    )
 
 
 def test_a_wait_before_reading_counts_against_the_clients_patience():
@@ -351,7 +380,7 @@
         director.lag = 1000
         director.take(client, came(2, patience="900", trace=TRACE[::-1]))
 
-    first, second = (what.left for what in play(script, scene).got(face.ReqCame))
+    first, second = (what.time_remaining for what in play(script, scene).got(interface.RequestReceived))
     assert 7000 < first <= 7500 and 6000 < second <= 6500  # of 200 ms, and 100 more, the protocol leaves 50
 
 
@@ -367,7 +396,9 @@
             director.discovery.learn(assignment(configuration([], updates=[event])).known[1])
             director.clock.from_unix = lambda unix_ms: 10**12
 
-    _, first, second = (what.rows[0].started for what in play(script, scene).got(face.Listed))
+    _, first, second = (
+        what.endpoints[0].started_at for what in play(script, scene).got(interface.EndpointsUpdated)
+    )
     assert first == second < 10**12
 
 
@@ -403,7 +434,7 @@
 def test_a_connection_that_breaks_is_one_failure_however_many_are_out_on_it(written):
     """Guards a healthy node's name against a reset, and the reqs beside against another wait."""
     names = [f"{i:016x}" for i in range(6)]
-    script = Scripted(ReqCame=[ask(name=name) for name in names])
+    script = Scripted(RequestReceived=[ask(name=name) for name in names])
     node = FakeNode(lambda told: None)
 
     async def scene(director, client, until):
@@ -421,7 +452,7 @@
         carrier.link.end(Ending.RESET)
 
     play(script, scene, (node, node))
-    results = [end.result for end in script.got(face.Outcome)]
+    results = [end.result for end in script.got(interface.AttemptFinished)]
     ends = {True: ["reset"] + ["cancelled"] * 5, False: ["cut"] + ["unsent"] * 5}
     assert results == ends.get(written, ["timeout"] + ["cancelled"] * 5)
 
@@ -429,7 +460,7 @@
 @pytest.mark.parametrize("late", [True, False])
 def test_an_answer_that_stops_within_ends_its_connection_unless_it_is_we_who_are_late(late):
     node = FakeNode(lambda told: b"*4\r\n$1")
-    script = Scripted(ReqCame=[ask()])
+    script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
         director.take(client, came(1))
@@ -442,11 +473,11 @@
         assert carrier.link.is_over is not late
 
     play(script, scene, (node, node))
-    assert [end.result for end in script.got(face.Outcome)] == ([] if late else ["reset"])
+    assert [end.result for end in script.got(interface.AttemptFinished)] == ([] if late else ["reset"])
 
 
 def test_what_is_out_is_spread_over_connections_and_an_idle_one_is_used_again():
-    script = Scripted(ReqCame=[ask(name=f"{i:016x}") for i in range(9)])
+    script = Scripted(RequestReceived=[ask(name=f"{i:016x}") for i in range(9)])
     nodes = FakeNode(), FakeNode()
 
     async def scene(director, client, until):
@@ -455,7 +486,7 @@
             director.take(client, came(i + 1, trace=f"{i:016x}"))
         assert [len(each.open) for each in links] == [2, 1, 1]
         director.driver.flush()
-        await until(lambda: len(script.got(face.Outcome)) == 4)
+        await until(lambda: len(script.got(interface.AttemptFinished)) == 4)
         director.take(client, came(5, trace=f"{4:016x}"))
         assert len(links) == 3 and sum(len(each.open) for each in links) == 1
 
@@ -465,7 +496,7 @@
 def test_connections_that_end_leave_no_circles():
     """Guards the memory while collection is rare: thousands of connections a minute must free themselves."""
     node = FakeNode(lambda told: resp(told[1], "NOENT", "-", b""))
-    script = Scripted(ReqCame=[ask()], Outcome=[lambda now: [face.Abort(TRACE)]])
+    script = Scripted(RequestReceived=[ask()], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]])
     seen = []
 
     async def scene(director, client, until):
@@ -488,23 +519,23 @@
 
 def test_an_answer_older_than_was_asked_for_is_not_passed_on():
     """Guards purges against a node that forgets them."""
-    script = Scripted(ReqCame=[fetch("s-00000002")])
+    script = Scripted(RequestReceived=[fetch("s-00000002")])
     node = FakeNode(lambda told: resp(told[1], "ACK", "digest=4b,dated=1764576000123,res=h", b"old"))
 
     async def scene(director, client, until):
         director.take(client, came(1))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         assert not client.link.frames
 
     play(script, scene, (node, node))
-    assert script.got(face.Outcome)[0].result == "error"
+    assert script.got(interface.AttemptFinished)[0].result == "error"
 
 
 def test_room_for_new_clients_is_made_by_those_who_waited_longest_and_no_more_than_needed():
     """Guards usual clients: one whose idle connection is closed comes back at once, so closing many of them
     makes a crowd (the incident r6d922e)."""
-    script = Scripted(ReqCame=[ask()])
+    script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
         clients, now = [], director.clock.now()
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ironhinge import interface as face
+from ironhinge import interface
 from ironhinge.brain import Mixer, Req, Router, mix
 
 from .helpers import CACHES, deployment, outcome, req, router, row
@@ -12,7 +12,7 @@
 
 def asked(acts):
     (act,) = acts
-    assert type(act) in (face.Ask, face.Fetch), act
+    assert type(act) in (interface.SendAttempt, interface.SendAttemptWithFill), act
     return act
 
 
@@ -25,21 +25,24 @@
         8
     ):  # half of them are still out, and those that came back took six times their sending time
         for act in one.step(25001 + i, req("x%d" % i, obj=500 + i, size=2000)):
-            assert type(act) is face.Deny or getattr(act, "source", act.node) == act.node
+            assert (
+                type(act) is interface.RejectRequest
+                or getattr(act, "source_id", act.endpoint_id) == act.endpoint_id
+            )
 
 
 def test_given_up_reqs_are_answered_at_once():
     one = router(names=())
     (act,) = one.step(5, req("a"))
-    assert type(act) is face.Deny and act.backoff <= 10000
+    assert type(act) is interface.RejectRequest and act.retry_after <= 10000
 
 
 def test_failing_parent_does_not_condemn_caches():
-    one, now = router(deployment(notes="hit")), 0
+    one, now = router(deployment(fill_note_level="hit")), 0
     for i in range(60):
         now += 100
         act = asked(one.step(now, req("a%d" % i, obj=i)))
-        if getattr(act, "source", "") == "p0":
+        if getattr(act, "source_id", "") == "p0":
             retry = asked(one.step(now + 80, outcome(act, "error", took=80)))
             one.step(now + 90, outcome(retry, "done", 1, note=2))
         else:
@@ -64,58 +67,58 @@
     first = asked(one.step(10, req("a", obj=3)))
     for i in range(9):
         act = asked(one.step(6000 + i, req("n%d" % i, obj=40 + i)))
-        if act.node != first.node:
+        if act.endpoint_id != first.endpoint_id:
             one.step(6000 + i, outcome(act, "done", note=1))
-    assert asked(one.step(12000, req("z", obj=3))).node != first.node
+    assert asked(one.step(12000, req("z", obj=3))).endpoint_id != first.endpoint_id
 
 
 def test_full_origin_is_not_asked_again_at_once():
     one = router(names=(*CACHES, "o"))
     act = asked(one.step(10, req("a", obj=3)))
-    assert act.source == "o"
+    assert act.source_id == "o"
     for other in one.step(300, outcome(act, "full", took=250, note=6)):
-        assert getattr(other, "source", None) != "o" and getattr(other, "node", None) != "o"
+        assert getattr(other, "source_id", None) != "o" and getattr(other, "endpoint_id", None) != "o"
 
 
 def test_left_clients_dispatch_weighs_until_its_outcome():
     one = router()
     act = asked(one.step(10, req("a")))
-    (off,) = one.step(20, face.Left("a"))
-    assert off == face.CallOff("a", 0) and "a" in one.nodes[act.node].out
-    assert one.step(30, outcome(act, "cancelled", closed=True)) == [] and not one.nodes[act.node].out
+    (off,) = one.step(20, interface.ClientDisconnected("a"))
+    assert off == interface.CancelAttempt("a", 0) and "a" in one.nodes[act.endpoint_id].out
+    assert one.step(30, outcome(act, "cancelled", closed=True)) == [] and not one.nodes[act.endpoint_id].out
 
 
 def test_late_notice_of_an_older_purge_loosens_nothing():
     one = router()
-    one.step(100000, face.Purged(1, 0, 10))
-    one.step(100010, face.Purged(1, 0, 5000))
-    assert 0 < asked(one.step(100500, req("a"))).age <= 510
+    one.step(100000, interface.PurgeNotified(1, 0, 10))
+    one.step(100010, interface.PurgeNotified(1, 0, 5000))
+    assert 0 < asked(one.step(100500, req("a"))).max_copy_age <= 510
 
 
 def test_unknown_purge_of_the_past_holds_on_a_young_clock():
     one = router()
-    one.step(10, face.Purged(1, 0, 2000))
-    assert 0 < asked(one.step(20, req("a"))).age <= 2010
+    one.step(10, interface.PurgeNotified(1, 0, 2000))
+    assert 0 < asked(one.step(20, req("a"))).max_copy_age <= 2010
 
 
 def test_newcomer_without_a_start_time_is_cold():
     one = router()
-    one.step(1000, face.Listed(False, (row("c9"),)))
+    one.step(1000, interface.EndpointsUpdated(False, (row("c9"),)))
     assert one.is_cold(one.nodes["c9"])
 
 
 def test_denied_clients_come_back_before_their_target():
     one = router(names=())
     (act,) = one.step(5, req("a", size=500.0))
-    assert act.backoff <= 4000 + 0.6 * 1000
+    assert act.retry_after <= 4000 + 0.6 * 1000
 
 
 def test_half_failing_parent_is_kept():
-    one, now = router(deployment(notes="hit")), 0
+    one, now = router(deployment(fill_note_level="hit")), 0
     for i in range(60):
         now += 100
         act, number = asked(one.step(now, req("a%d" % i, obj=i))), 0
-        if act.source == "p0" and i % 2:
+        if act.source_id == "p0" and i % 2:
             act, number = asked(one.step(now + 80, outcome(act, "error", took=80))), 1
         one.step(now + 90, outcome(act, "done", number, note=2))
     assert not one.nodes["p0"].bench
@@ -124,7 +127,7 @@
 def test_repeat_has_part_of_its_target_left():
     one = router()
     one.step(10, req("a"))
-    one.step(10, req("b")._replace(repeat=True))
+    one.step(10, req("b")._replace(is_client_retry=True))
     assert one.reqs["b"].target_at < one.reqs["a"].target_at
 
 
@@ -138,11 +141,11 @@
 
 
 def test_source_waited_for_in_vain_is_benched():
-    one, now = router(deployment(notes="hit")), 0
+    one, now = router(deployment(fill_note_level="hit")), 0
     for i in range(40):
         now += 6000
         act, number = asked(one.step(now, req("a%d" % i, obj=i))), 0
-        if act.source == "p0":
+        if act.source_id == "p0":
             act, number = asked(one.step(now + 5000, outcome(act, "full", took=5000))), 1
         one.step(now + 5500, outcome(act, "done", number, note=2))
     assert one.nodes["p0"].bench and not any(one.nodes[name].bench for name in CACHES)
@@ -152,7 +155,7 @@
     one = router()
     held = asked(one.step(10, req("a", obj=3)))
     one.step(12000, req("z", obj=3))
-    node = one.nodes[held.node]
+    node = one.nodes[held.endpoint_id]
     assert one.is_cold(node)
     one.step(12500, outcome(held, "done", took=12490))
     assert not one.is_cold(node)
@@ -168,52 +171,62 @@
 def test_many_routers_together_keep_a_cold_budget_and_use_it():
     """Each sees far less than a req in the time that the rule counts by."""
     count, now, sent = 40, 200000, []
-    facts = deployment(routers=count, routers_here=count, weights="nominal")
+    facts = deployment(router_count=count, local_router_count=count, weight_kind="nominal")
     many = [router(facts, ("c0",)) for _ in range(count)]
     for place, one in enumerate(many):
         one.chance.state += place * 0x9E3779B97F4A7C15
-        one.step(now, face.Listed(False, (row("c0", started=now),)))
+        one.step(now, interface.EndpointsUpdated(False, (row("c0", started=now),)))
     for i in range(4000):
         now += 20
         for act in many[i * 7 % count].step(now, req("a%d" % i, obj=i, size=500.0)):
-            if type(act) in (face.Ask, face.Fetch):
+            if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
                 sent.append(now)
                 many[i * 7 % count].step(now + 10, outcome(act, "done", note=1))
-    start, rule = 200000, facts.fall_multiple * 20.0 * facts.fall / 1000  # in reqs, but for the share
-    for at in range(start + facts.fall, now, 5000):
-        share = facts.cold_from + (1 - facts.cold_from) * (at - facts.fall - start) / facts.cold
-        count_here = sum(at - facts.fall < when <= at for when in sent)
+    start, rule = (
+        200000,
+        facts.overload_multiple * 20.0 * facts.overload_window / 1000,
+    )  # in reqs, but for the share
+    for at in range(start + facts.overload_window, now, 5000):
+        share = (
+            facts.slow_start_min_share
+            + (1 - facts.slow_start_min_share)
+            * (at - facts.overload_window - start)
+            / facts.slow_start_duration
+        )
+        count_here = sum(at - facts.overload_window < when <= at for when in sent)
         assert 0.1 * share * rule <= count_here <= share * rule
 
 
 def test_many_routers_remember_paces_for_longer():
-    assert router(deployment(routers_here=16)).memory > 2 * router().memory
+    assert router(deployment(local_router_count=16)).memory > 2 * router().memory
 
 
 def test_first_sightings_rank_lowest():
     one = router(names=("c0", "p0", "o"))
-    ranks = [asked(one.step(10 + i, req("a%d" % i))).rank for i in range(3)]
+    ranks = [asked(one.step(10 + i, req("a%d" % i))).admission_rank for i in range(3)]
     assert ranks == [1, 3, 3]
 
 
 def test_parents_are_asked_only_for_what_they_hold_after_two_said_full():
-    one = router(deployment(notes="hit", bypass=False))
+    one = router(deployment(fill_note_level="hit", direct_to_source=False))
     act = asked(one.step(10, req("a")))
     act = asked(one.step(1000, outcome(act, "full", took=990)))
-    assert not act.held_only
+    assert not act.source_cached_only
     one.step(1900, outcome(act, "full", 1, took=900))
     act = asked(one.step(3300, req("b", obj=1)._replace(part=1)))
-    assert act.held_only and act.source in ("p0", "p1")
+    assert act.source_cached_only and act.source_id in ("p0", "p1")
     act = one.step(3310, outcome(act, "miss"))[0]
-    assert type(act) is face.Ask or type(act) is face.Deny  # no other parent is asked
+    assert (
+        type(act) is interface.SendAttempt or type(act) is interface.RejectRequest
+    )  # no other parent is asked
 
 
 def test_a_silent_node_is_not_held_for_cold_for_long_when_the_list_tells_nothing():
     one = router()
     held = asked(one.step(10, req("a", obj=3)))
     one.step(12000, req("z", obj=3))
-    one.now = 12000 + one.facts.cold // 2
-    assert not one.is_cold(one.nodes[held.node])
+    one.now = 12000 + one.facts.slow_start_duration // 2
+    assert not one.is_cold(one.nodes[held.endpoint_id])
 
 
 def test_a_parent_is_asked_for_as_much_as_it_can_send():
@@ -222,10 +235,10 @@
 
     def sources(weight):
         rows = [row("c0"), row("p0", weight=weight), row("o")]
-        one = router(deployment(routers=3), ())
-        one.step(0, face.Listed(True, tuple(rows)))
+        one = router(deployment(router_count=3), ())
+        one.step(0, interface.EndpointsUpdated(True, tuple(rows)))
         acts = [asked(one.step(1 + i, req("a%d" % i, obj=i, size=1.0))) for i in range(60)]
-        return [act.source for act in acts]
+        return [act.source_id for act in acts]
 
     assert sources(60.0) == ["p0"] * 60
     assert sources(20.0) == ["p0"] * 24 + ["o"] * 36
@@ -240,7 +253,7 @@
         now += 1
         one.step(now, outcome(act, "done", took=4400, note=2))
     acts = [one.step(now + i, req("b%d" % i, obj=50 + i, size=2000, left=60000)) for i in range(18)]
-    assert all(asked(each).source == "p0" for each in acts)
+    assert all(asked(each).source_id == "p0" for each in acts)
 
 
 def test_objects_that_no_node_can_use_condemn_no_node():
@@ -249,7 +262,7 @@
     for i in range(60):
         now += 100
         acts, number = one.step(now, req("a%d" % i, obj=i)), 0
-        while type(acts[0]) in (face.Ask, face.Fetch):
+        while type(acts[0]) in (interface.SendAttempt, interface.SendAttemptWithFill):
             ends = i % 2 == 0  # every other req is one that nobody can use
             act = acts[0]
             acts = one.step(now + 5, outcome(act, "done" if ends else "error", number, took=5, note=1))
@@ -264,7 +277,7 @@
     asked(one.step(10, req("a")))
     one.client_left = None
     with pytest.raises(TypeError):
-        one.step(20, face.Left("a"))
+        one.step(20, interface.ClientDisconnected("a"))
     assert not one.reqs and not one.inlet.out and not any(node.out for node in one.nodes.values())
 
 
@@ -272,7 +285,7 @@
     """Guards the hits of caches while the origin stands still and all fills hang."""
     one = router()
     act = asked(one.step(10, req("a", size=2000)))
-    cache, source = one.nodes[act.node], one.nodes[act.source]
+    cache, source = one.nodes[act.endpoint_id], one.nodes[act.source_id]
     cache.bad = 0.5  # it fails more than the source, and is held to have failed here too
     one.step(20010, outcome(act, "timeout", took=20000))
     paces = [each.pace(20010, one.memory, one.prior) for each in (cache, source)]
@@ -281,7 +294,7 @@
 
 def test_a_request_looks_at_few_caches_however_many_there_are(monkeypatch):
     """Guards the CPU of large fleets: those that owe an answer or may be cold, and the first that fit."""
-    one = router(deployment(weights="nominal"), [*(f"c{2 * i}" for i in range(2000)), "p0", "p1", "o"])
+    one = router(deployment(weight_kind="nominal"), [*(f"c{2 * i}" for i in range(2000)), "p0", "p1", "o"])
     looked, plain = [], Router.fit
     monkeypatch.setattr(Router, "fit", lambda self, req, node: looked.append(node) or plain(self, req, node))
     acts = [one.step(1000 + i, req(f"r{i}", obj=i)) for i in range(20)]
@@ -292,11 +305,11 @@
 def test_a_node_that_is_not_asked_for_turns_cold_and_warm_all_the_same():
     """What changes by being looked at is looked at with each request, wherever it stands in the order."""
     one = router(names=(*CACHES, "p0", "o"))
-    one.step(1000, face.Listed(False, (row("c2", started=1000),)))
+    one.step(1000, interface.EndpointsUpdated(False, (row("c2", started=1000),)))
     node = one.nodes["c2"]
     one.step(1001, req("a"))
     assert node.room is not None and node in one.may_be_cold
-    one.step(1000 + one.facts.cold + 1, req("b"))
+    one.step(1000 + one.facts.slow_start_duration + 1, req("b"))
     assert node.room is None and node not in one.may_be_cold
 
 
@@ -314,7 +327,7 @@
         for _ in range(chance.choice([1, 1, 1, 90])):
             name = f"c{2 * chance.randrange(150)}"
             state = chance.choice(["ready", "ready", "draining", "gone"])
-            one.step(step, face.Listed(False, (row(name, state),)))
+            one.step(step, interface.EndpointsUpdated(False, (row(name, state),)))
             ready = ready - {name} if state != "ready" else ready | {name}
         kept, anew = order_of(one, chance.randrange(6))
         assert kept == anew and ready <= set(kept)
@@ -323,10 +336,10 @@
 
 def test_a_change_of_one_node_costs_one(monkeypatch):
     """Guards the CPU of large fleets while many nodes are replaced."""
-    one = router(deployment(weights="nominal"), [*(f"c{2 * i}" for i in range(2000)), "p0", "p1", "o"])
+    one = router(deployment(weight_kind="nominal"), [*(f"c{2 * i}" for i in range(2000)), "p0", "p1", "o"])
     placed, plain = [], Router.place
     monkeypatch.setattr(Router, "place", lambda self, node: placed.append(node) or plain(self, node))
-    one.step(10, face.Listed(False, (row("c4", "draining"),)))
+    one.step(10, interface.EndpointsUpdated(False, (row("c4", "draining"),)))
     assert [node.id for node in placed] == ["c4"]
 
 
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -11,7 +11,7 @@
 import anyio
 import pytest
 
-from ironhinge import interface as face
+from ironhinge import interface
 from ironhinge.brain import COLD_MARGIN, Req, Router
 from ironhinge.facts import Address, Limits
 from ironhinge.net import clientwire, driver
@@ -130,7 +130,9 @@
 def test_nothing_begins_for_a_client_that_left_where_nothing_may_be_called_off():
     """A dispatch that waits for its connection is not written once its client has gone."""
     node = FakeNode(holds_all=True)
-    script = Scripted(ReqCame=[ask(), lambda now: [face.Ask(TRACE[::-1], "s-00000001", now + 90000)]])
+    script = Scripted(
+        RequestReceived=[ask(), lambda now: [interface.SendAttempt(TRACE[::-1], "s-00000001", now + 90000)]]
+    )
 
     async def scene(director, client, until):
         director.take(client, came(1))
@@ -140,10 +142,10 @@
         await until(lambda: link.link.is_up)
         director.take(client, came(2, trace=TRACE[::-1]))
         director.driver.flush()
-        await until(lambda: len(script.got(face.Outcome)) == 2)
+        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
-    assert [end.result for end in script.got(face.Outcome)] == ["unsent", "done"]
+    assert [end.result for end in script.got(interface.AttemptFinished)] == ["unsent", "done"]
     assert node.next()[1] == TRACE[::-1] and node.wanted == {TRACE[::-1]}
 
 
@@ -151,7 +153,7 @@
 def test_a_request_that_comes_as_a_resting_connection_is_ended_is_answered(by):
     """The bytes come right after the look for unread ones. The client is told first, and all that comes for a
     while after that is answered; then our side ends, and no reset takes anything along."""
-    script = Scripted(ReqCame=[lambda now: [face.Deny(TRACE, 0)]])
+    script = Scripted(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]])
 
     async def scene(director, _, until):
         listener = listen(Address("127.0.0.1", 0))
@@ -169,7 +171,7 @@
         peer.sendall(request(1))
         director.driver.flush()
         expected = b"".join(clientwire.no_more()) + b"".join(clientwire.answer(1, DENIED, {}))
-        await until(lambda: not client.open and script.got(face.ReqCame))
+        await until(lambda: not client.open and script.got(interface.RequestReceived))
         client.since -= 10**6  # quiet for long enough
         client.look(director.clock.now() + 10**6)
         assert client.phase is Phase.HALF_CLOSED
@@ -184,12 +186,12 @@
         await until(lambda: client not in director.clients)
 
     play(script, scene)
-    assert len(script.got(face.ReqCame)) == 1
+    assert len(script.got(interface.RequestReceived)) == 1
 
 
 def test_a_connection_in_use_does_not_end_while_requests_come_on_it():
     """A client that goes on asking after the announcement is answered each time."""
-    script = Scripted(ReqCame=[lambda now: [face.Deny(TRACE, 0)]] * 3)
+    script = Scripted(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]] * 3)
 
     async def scene(director, _, until):
         listener = listen(Address("127.0.0.1", 0))
@@ -220,15 +222,15 @@
         return ack(told[1], b"the bytes") if conns[1] is not conns[0] else None
 
     node = FakeNode(act)
-    script = Scripted(ReqCame=[ask()], Outcome=[ask()])
+    script = Scripted(RequestReceived=[ask()], AttemptFinished=[ask()])
 
     async def scene(director, client, until):
         director.take(client, came(1))
         director.driver.flush()
-        await until(lambda: len(script.got(face.Outcome)) == 2)
+        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
-    assert [end.result for end in script.got(face.Outcome)] == ["error", "done"]
+    assert [end.result for end in script.got(interface.AttemptFinished)] == ["error", "done"]
 
 
 @pytest.mark.parametrize("when", ["with the answer", "after it", "and never more"])
@@ -247,24 +249,24 @@
         return b"*4\r\n$16\r\n"
 
     node, other = FakeNode(act), TRACE[::-1]
-    first = lambda now: [face.Ask(TRACE, "s-00000001", now + 2000)]  # noqa: E731
-    script = Scripted(ReqCame=[first, ask(name=other)], Outcome=[lambda now: []])
+    first = lambda now: [interface.SendAttempt(TRACE, "s-00000001", now + 2000)]  # noqa: E731
+    script = Scripted(RequestReceived=[first, ask(name=other)], AttemptFinished=[lambda now: []])
 
     async def scene(director, client, until):
         director.told = director.told._replace(transport=director.told.transport._replace(dial=10**6))
         director.take(client, came(1))
         director.driver.flush()
         (link,) = director.nodes["s-00000001"].links
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         more.set()
         if when == "after it":
             await until(lambda: link.wire.begun() or link.link.is_over)
         director.take(client, came(2, trace=other))
         director.driver.flush()
-        await until(lambda: len(script.got(face.Outcome)) == 2)
+        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
-    assert script.got(face.Outcome)[1].result == "done"
+    assert script.got(interface.AttemptFinished)[1].result == "done"
 
 
 def test_a_connection_that_its_node_has_closed_takes_no_dispatch():
@@ -276,22 +278,22 @@
         return ack(told[1], b"the bytes")
 
     node = FakeNode(act)
-    script = Scripted(ReqCame=[ask(), ask(name=other)])
+    script = Scripted(RequestReceived=[ask(), ask(name=other)])
 
     async def scene(director, client, until):
         director.take(client, came(1))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         (link,) = director.nodes["s-00000001"].links
         conns[0].shutdown(socket.SHUT_RDWR)
         while not link.link.has_ended():
             time.sleep(0.001)  # the event loop has no turn
         director.take(client, came(2, trace=other))
         director.driver.flush()
-        await until(lambda: len(script.got(face.Outcome)) == 2)
+        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
-    assert [end.result for end in script.got(face.Outcome)] == ["done", "done"]
+    assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
 
 
 @pytest.mark.parametrize(
@@ -310,16 +312,16 @@
 @pytest.mark.parametrize("named", ["digest=aaaa", "res=h"])
 def test_a_clients_copy_is_current_only_if_the_node_names_it(named):
     node = FakeNode(lambda told: resp(told[1], "NOMOD", f"dated={int(time.time() * 1000)},{named}", b""))
-    script = Scripted(ReqCame=[ask()])
+    script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
         director.take(client, came(1, have="4be0c1927d55a6f3"))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         assert not client.link.frames
 
     play(script, scene, (node, node))
-    assert script.got(face.Outcome)[0].result == "error"
+    assert script.got(interface.AttemptFinished)[0].result == "error"
 
 
 def test_the_coordinator_is_reached_while_no_descriptor_is_left_for_others():
@@ -336,17 +338,17 @@
 def test_an_idle_connection_to_a_node_makes_room_for_another_nodes():
     """Guards the way to nodes where there are more of them than descriptors."""
     nodes = FakeNode(holds_all=True), FakeNode(holds_all=True)
-    script = Scripted(ReqCame=[ask(), ask("s-00000002", name=TRACE[::-1])])
+    script = Scripted(RequestReceived=[ask(), ask("s-00000002", name=TRACE[::-1])])
 
     async def scene(director, client, until):
         director.driver.most = director.driver.open + 1
         for stream, trace in enumerate((TRACE, TRACE[::-1])):
             director.take(client, came(stream + 1, trace=trace))
             director.driver.flush()
-            await until(lambda: len(script.got(face.Outcome)) == director.counts["reqs"])
+            await until(lambda: len(script.got(interface.AttemptFinished)) == director.counts["reqs"])
 
     play(script, scene, nodes)
-    assert [end.result for end in script.got(face.Outcome)] == ["done", "done"]
+    assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
 
 
 def test_reqs_read_when_all_is_said_are_answered_at_once_and_sent_nowhere():
@@ -360,7 +362,7 @@
         assert client.link.frames[-1] == b"".join(clientwire.answer(1, DENIED, {}))
 
     play(script, scene)
-    assert not script.got(face.ReqCame)
+    assert not script.got(interface.RequestReceived)
 
 
 def test_the_backlog_is_taken_before_the_listener_closes():
@@ -462,7 +464,7 @@
 @pytest.mark.parametrize("where", ["backlog", "failing recv"])
 def test_a_request_that_waited_unread_has_that_much_less_time(where, monkeypatch):
     """It waited to be accepted, or could not be read: its client has counted on."""
-    script = Scripted(ReqCame=[lambda now: [face.Deny(TRACE, 0)]])
+    script = Scripted(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]])
 
     async def scene(director, _, until):
         listener = listen(Address("127.0.0.1", 0))
@@ -479,12 +481,14 @@
             short = lambda *args: (0, Remedy.PAUSE) if time.monotonic() < failing_until else plain(*args)  # noqa: E731
             monkeypatch.setattr(director.driver.caller, "receive", short)
             peer.sendall(request(1))
-        await until(lambda: script.got(face.ReqCame))
+        await until(lambda: script.got(interface.RequestReceived))
         assert client.link.unread_since is None or where == "backlog"
 
     play(script, scene)
-    (came_,) = script.got(face.ReqCame)
-    assert 9000 * 10 - 4000 < came_.left <= 9000 * 10 - 2000  # 0.3 s, less the 50 ms that are allowed
+    (came_,) = script.got(interface.RequestReceived)
+    assert (
+        9000 * 10 - 4000 < came_.time_remaining <= 9000 * 10 - 2000
+    )  # 0.3 s, less the 50 ms that are allowed
 
 
 def test_what_came_while_the_program_was_stopped_is_known_to_have_waited():
@@ -526,34 +530,37 @@
             await anyio.wait_readable(late)
         assert late.recv(1000)
 
-    play(Scripted(ReqCame=[lambda now: [face.Deny(TRACE, 0)]]), scene)
+    play(Scripted(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]]), scene)
 
 
 def test_an_attempt_does_not_begin_for_a_client_whose_end_was_not_read_yet():
     """The request and the end of its connection are found together; the connection to the node is up."""
     node, other = FakeNode(holds_all=True), TRACE[::-1]
-    script = Scripted(ReqCame=[ask(name=other), ask()])
+    script = Scripted(RequestReceived=[ask(name=other), ask()])
 
     async def scene(director, first, until):
         director.take(first, came(1, trace=other))
         director.driver.flush()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
         director.driver.take(listener.accept()[0], Client(director))
         director.driver.poll.since = time.monotonic() - 0.2  # the program was kept from running for a while
         peer.sendall(request(1))
         peer.shutdown(socket.SHUT_RDWR)
-        await until(lambda: len(script.got(face.Outcome)) == 2)
+        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
-    assert [end.result for end in script.got(face.Outcome)] == ["done", "unsent"] and node.wanted == {other}
+    assert [end.result for end in script.got(interface.AttemptFinished)] == [
+        "done",
+        "unsent",
+    ] and node.wanted == {other}
 
 
 def test_the_time_an_attempt_names_is_what_is_left_when_it_is_written():
     """It waited for its connection for a while."""
     node = FakeNode(holds_all=True)
-    script = Scripted(ReqCame=[lambda now: [face.Ask(TRACE, "s-00000001", now + 20000)]])
+    script = Scripted(RequestReceived=[lambda now: [interface.SendAttempt(TRACE, "s-00000001", now + 20000)]])
 
     async def scene(director, client, until):
         director.take(client, came(1))
@@ -562,7 +569,7 @@
         await anyio.sleep(0.3)
         link.link.pump = pump
         pump()
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
 
     play(script, scene, (node, node))
     assert 1500 < int(node.next()[2]["ms"]) <= 1700
@@ -570,40 +577,47 @@
 
 def test_a_repeat_that_waits_past_the_window_is_never_sent():
     """Guards 'no effect twice': repeats are dropped for a while, and the connection comes up after that."""
-    late = lambda now: [face.Ask(TRACE, "s-00000001", now + 90000, now + 200)]  # noqa: E731
-    script = Scripted(ReqCame=[late], Outcome=[lambda now: [face.Abort(TRACE)]])
+    late = lambda now: [interface.SendAttempt(TRACE, "s-00000001", now + 90000, now + 200)]  # noqa: E731
+    script = Scripted(RequestReceived=[late], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]])
 
     async def scene(director, client, until):
         director.take(client, came(1))  # not flushed: the connection is not up before the window ends
         (link,) = director.nodes["s-00000001"].links
         link.link.pump = lambda: None
-        await until(lambda: script.got(face.Outcome))
+        await until(lambda: script.got(interface.AttemptFinished))
         assert not link.link.pending
 
     play(script, scene)
-    (end,) = script.got(face.Outcome)
-    assert end.result == "unsent" and end.took < 10000  # long before its time-out, which would say the same
+    (end,) = script.got(interface.AttemptFinished)
+    assert (
+        end.result == "unsent" and end.duration < 10000
+    )  # long before its time-out, which would say the same
 
 
 def test_a_repeat_is_to_begin_within_the_window_of_the_first():
-    one = router(deployment(cancels=False))
+    one = router(deployment(cancellation_allowed=False))
     first = one.step(1000, req("a", vhost=2))[0]
     then = one.step(1100, outcome(first, "reset"))[0]
-    assert (first.begin_by, then.begin_by) == (0, 1000 + one.facts.vhosts[2].window)
+    assert (first.start_deadline, then.start_deadline) == (
+        0,
+        1000 + one.facts.request_classes[2].dedup_window,
+    )
 
 
 @pytest.mark.parametrize("count", [3, 9, 20, 30, 200])
 def test_routers_that_all_have_a_req_at_once_push_no_cold_node_over(count):
     """Room that filled up while nobody asked would go all together, in a hot object's first moment; what
     grows while the rule counts comes on top."""
-    facts = deployment(routers=count, routers_here=count, weights="nominal", fall=10000)
+    facts = deployment(
+        router_count=count, local_router_count=count, weight_kind="nominal", overload_window=10000
+    )
     many, seeds = [router(facts, ("c0", "o")) for _ in range(count)], Random(count)
     start, total = 200000, 0
     for one in many:
         one.chance.state = seeds.getrandbits(64)  # each has a seed of its own
-        one.step(start, face.Listed(False, (row("c0", started=start),)))
+        one.step(start, interface.EndpointsUpdated(False, (row("c0", started=start),)))
         one.in_budget(one_req(one), one.nodes["c0"])
-    for at in range(start + 10000, start + facts.cold, 2500):
+    for at in range(start + 10000, start + facts.slow_start_duration, 2500):
         sent = 0
         for one in many:
             node, one.now = one.nodes["c0"], at
@@ -612,17 +626,22 @@
                 node.room -= one.weight(one_req(one), node)
                 sent += 1
             node.room, node.room_at = before
-        share = facts.cold_from + (1 - facts.cold_from) * (at - facts.fall - start) / facts.cold
-        most = facts.fall_multiple * share * 20.0 * facts.fall / one.weight(one_req(one), node)
+        share = (
+            facts.slow_start_min_share
+            + (1 - facts.slow_start_min_share)
+            * (at - facts.overload_window - start)
+            / facts.slow_start_duration
+        )
+        most = facts.overload_multiple * share * 20.0 * facts.overload_window / one.weight(one_req(one), node)
         assert sent + COLD_MARGIN * most <= most + 2 * most**0.5 + 2
         total += sent
-    assert total > 2 * (facts.cold - 10000) / 2500  # and the room is there
+    assert total > 2 * (facts.slow_start_duration - 10000) / 2500  # and the room is there
 
 
 def test_a_cold_node_is_weighed_where_no_target_and_no_size_is_told():
-    vhosts = tuple(vhost._replace(target=0) for vhost in deployment().vhosts)
-    one = router(deployment(vhosts=vhosts), ("c0", "o"))
-    one.step(1000, face.Listed(False, (row("c0", started=1000),)))
+    vhosts = tuple(vhost._replace(target=0) for vhost in deployment().request_classes)
+    one = router(deployment(request_classes=vhosts), ("c0", "o"))
+    one.step(1000, interface.EndpointsUpdated(False, (row("c0", started=1000),)))
     assert one.step(2000, req("a", size=0.0))
 
 
@@ -662,11 +681,13 @@
 
 def test_a_restarted_router_serves_also_where_all_nodes_are_cold_and_none_has_a_weight():
     """Nothing has been carried yet, so that nothing tells what a node can do: still no node is starved."""
-    facts = deployment(weights="none", routers=4, routers_here=4, bypass=False)
+    facts = deployment(weight_kind="none", router_count=4, local_router_count=4, direct_to_source=False)
     one, start = Router(facts, 7), 10
-    one.step(start, face.Listed(True, tuple(row(n, started=start) for n in (*CACHES, "p0", "o"))))
+    one.step(
+        start, interface.EndpointsUpdated(True, tuple(row(n, started=start) for n in (*CACHES, "p0", "o")))
+    )
     acts = [act for i in range(200) for act in one.step(start + i * 500, req(f"a{i}", obj=i, size=50.0))]
-    assert any(type(act) in (face.Ask, face.Fetch) for act in acts)
+    assert any(type(act) in (interface.SendAttempt, interface.SendAttemptWithFill) for act in acts)
 
 
 def test_serve_imports_only_what_is_on():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,10 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_rules_hold_on_generated_happenings(seed):
-    other = [{}, {"bypass": False}, {"notes": "hit", "joins": False}, {"max_dispatches": 2, "pace": 900.0}][
-        seed % 4
-    ]
+    other = [
+        {},
+        {"direct_to_source": False},
+        {"fill_note_level": "hit", "coalesces_fills": False},
+        {"max_attempts": 2, "transfer_rate": 900.0},
+    ][seed % 4]
     assert len(play(seed, deployment(**other)).came) == 400
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from ironhinge import interface as face
+from ironhinge import interface
 from ironhinge.disk.files import Files
 from ironhinge.disk.tier import Tier
 from ironhinge.jobs.plan import Budgets, Cancelled, Job, Late, Plan, Run, Sliced, Stop, Submitted, Tick, Wake
@@ -107,11 +107,11 @@
     def __init__(self, age):
         self.age, self.wanted = age, []
 
-    def asked(self, now, came):
+    def lookup(self, now, came):
         return self.age
 
-    def wants(self, now, came):
-        self.wanted.append(came.id)
+    def should_store(self, now, came):
+        self.wanted.append(came.request_id)
         return True
 
 
@@ -122,38 +122,42 @@
 
 
 def test_a_young_copy_is_served_and_an_old_one_walked_past():
-    assert with_shelf(100).step(0, req("r")) == [face.Serve("r")]
-    assert type(with_shelf(-1).step(0, req("r"))[0]) is face.Fetch
-    assert type(with_shelf(20_001).step(0, req("r", vhost=1))[0]) is face.Fetch, "past its fresh time"
-    assert with_shelf(20_000).step(0, req("r", vhost=1)) == [face.Serve("r")]
-    assert type(with_shelf(100).step(0, req("r", left=30))[0]) is face.Deny, "no time to read it"
+    assert with_shelf(100).step(0, req("r")) == [interface.ServeLocalCopy("r")]
+    assert type(with_shelf(-1).step(0, req("r"))[0]) is interface.SendAttemptWithFill
+    assert type(with_shelf(20_001).step(0, req("r", vhost=1))[0]) is interface.SendAttemptWithFill, (
+        "past its fresh time"
+    )
+    assert with_shelf(20_000).step(0, req("r", vhost=1)) == [interface.ServeLocalCopy("r")]
+    assert type(with_shelf(100).step(0, req("r", left=30))[0]) is interface.RejectRequest, (
+        "no time to read it"
+    )
 
 
 def test_a_copy_older_than_a_purge_is_not_served():
     one = with_shelf(500)
-    one.step(1000, face.Purged(1, 0, 0))
-    assert type(one.step(1400, req("r"))[0]) is face.Fetch
-    assert one.step(1600, req("s")) == [face.Serve("s")], "it came after the purge"
+    one.step(1000, interface.PurgeNotified(1, 0, 0))
+    assert type(one.step(1400, req("r"))[0]) is interface.SendAttemptWithFill
+    assert one.step(1600, req("s")) == [interface.ServeLocalCopy("s")], "it came after the purge"
 
 
 def test_a_copy_that_could_not_be_read_begins_the_walk_and_one_that_was_ends_it():
     one = with_shelf(5)
     one.step(0, req("r"))
-    assert type(one.step(10, face.Own("r", False))[0]) is face.Fetch
+    assert type(one.step(10, interface.LocalCopyFinished("r", False))[0]) is interface.SendAttemptWithFill
     one.step(0, req("s"))
-    assert one.step(10, face.Own("s", True)) == [] and "s" not in one.reqs
+    assert one.step(10, interface.LocalCopyFinished("s", True)) == [] and "s" not in one.reqs
     one.step(0, req("t"))
-    one.step(1, face.Left("t"))
-    assert one.step(10, face.Own("t", False)) == [] and "t" not in one.reqs
-    assert one.step(11, face.Own("t", False)) == []
+    one.step(1, interface.ClientDisconnected("t"))
+    assert one.step(10, interface.LocalCopyFinished("t", False)) == [] and "t" not in one.reqs
+    assert one.step(11, interface.LocalCopyFinished("t", False)) == []
 
 
 def test_what_came_is_kept_where_the_shelf_wants_it():
     one = with_shelf(-1)
     act = one.step(0, req("r"))[0]
-    assert one.step(50, outcome(act, "done", note=2)) == [face.Keep("r")]
+    assert one.step(50, outcome(act, "done", note=2)) == [interface.StoreLocalCopy("r")]
     act = one.step(60, req("s"))[0]
-    assert face.Keep("s") not in one.step(70, outcome(act, "error", note=2))
+    assert interface.StoreLocalCopy("s") not in one.step(70, outcome(act, "error", note=2))
 
 
 # A director with a tier
@@ -291,7 +295,7 @@
         came = req("r", 1)
         tier.keep(came, "t", 1_764_576_000_000 - 5, b"bytes")
         tier._write()
-        assert tier.asked(0, came) == 50
+        assert tier.lookup(0, came) == 50
         assert await tier.read(came) is None
         assert tier.counts["slow"] == 1 and runner.plan.share < 1
         Slow.held.set()
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironhinge import interface as face
+from ironhinge import interface
 from ironhinge.settings import records
 from ironhinge.settings.load import load_texts
 from ironhinge.traffic.account import MOST_KINDS, Account, total
@@ -37,16 +37,16 @@
 
 def ledger(budgets="", facts=None, me=0, life=1, more="", rows=ROWS, now=0, unix=UNIX):
     told = load_texts([("f", 'traffic: {period: "1h"\n%s\nbudgets: {%s}}' % (more, budgets))]).operations
-    facts = facts or deployment(routers=1, routers_here=1)
+    facts = facts or deployment(router_count=1, local_router_count=1)
     one = Ledger(told.traffic, facts, ZONES, VHOSTS, now, unix, me, life)
-    one.step(now, face.Listed(True, rows))
+    one.step(now, interface.EndpointsUpdated(True, rows))
     return one
 
 
 def send(
     one, now, name, source="p1", size=10.0, obj=1, vhost=0, part=0, viewer=0, rank=1, node="c0", renew=False
 ):
-    came = req(name, obj, vhost, size)._replace(part=part, viewer=viewer)
+    came = req(name, obj, vhost, size)._replace(part=part, connection_id=viewer)
     one.step(now, Sent(came, node, source, rank, renew))
     return came
 
@@ -204,8 +204,8 @@
 def spend(one, now, name, size=10.0, **other):
     """A fill if there is room; the time until there is, else 0."""
     came = req(name, other.get("obj", 1), other.get("vhost", 0), size)
-    came = came._replace(part=other.get("part", 0), viewer=other.get("viewer", 0))
-    wait = one.wait(now, came, other.get("source", "p1"))
+    came = came._replace(part=other.get("part", 0), connection_id=other.get("viewer", 0))
+    wait = one.wait_time(now, came, other.get("source", "p1"))
     if not wait:
         send(one, now, name, size=size, **other)
     return wait
@@ -260,14 +260,14 @@
 
 def test_directors_keep_their_parts_alone():
     """Both ask for the last of it in the same instant."""
-    facts = deployment(routers=8, routers_here=2)
+    facts = deployment(router_count=8, local_router_count=2)
     both = [ledger(RATE, facts), ledger(RATE, facts)]
     went = sum(not spend(one, 0, f"r{at}") for at in range(20) for one in both)
     assert went == 4  # 2 x 25 KB
 
 
 def test_a_purge_that_refills_a_whole_group_at_once_stays_within_the_budget():
-    facts = deployment(bypass=False, routers=1, routers_here=1)
+    facts = deployment(direct_to_source=False, router_count=1, local_router_count=1)
     purse = ledger(RATE.replace("{", '{ways: ["own-hub", "other-hub", "origin"], '), facts)
     one = router(facts, ("c0", "c1", "p0", "p1", "o"))
     one.purse = purse
@@ -275,18 +275,22 @@
     for at in range(60):
         asked = req(f"r{at}", at, size=10.0)
         acts = one.step(0, asked)
-        while acts and type(acts[0]) in (face.Fetch, face.Ask):
+        while acts and type(acts[0]) in (interface.SendAttemptWithFill, interface.SendAttempt):
             act = acts[0]
-            source = "" if type(act) is face.Ask or act.source == act.node else act.source
-            purse.step(0, Sent(asked, act.node, source, getattr(act, "rank", 0), False))
+            source = (
+                ""
+                if type(act) is interface.SendAttempt or act.source_id == act.endpoint_id
+                else act.source_id
+            )
+            purse.step(0, Sent(asked, act.endpoint_id, source, getattr(act, "admission_rank", 0), False))
             if source:
                 fills += 1
                 break
-            purse.step(0, Ended(act.id, "miss", 0, None, 1, False))
-            acts = one.step(0, outcome(act, "miss", one.reqs[act.id].dispatches - 1))
-        if acts and type(acts[0]) is face.Deny:
+            purse.step(0, Ended(act.request_id, "miss", 0, None, 1, False))
+            acts = one.step(0, outcome(act, "miss", one.reqs[act.request_id].dispatches - 1))
+        if acts and type(acts[0]) is interface.RejectRequest:
             denied += 1
-            assert acts[0].backoff >= 1000, "told to come back before there is room"
+            assert acts[0].retry_after >= 1000, "told to come back before there is room"
     assert fills <= 5 and denied >= 55 and fills + denied == 60
 
 
@@ -304,7 +308,9 @@
         acts = plain.step(at * 50, what)
         assert watched.step(at * 50, what) == acts
         out += [
-            (act, plain.reqs[act.id].dispatches - 1) for act in acts if type(act) in (face.Ask, face.Fetch)
+            (act, plain.reqs[act.request_id].dispatches - 1)
+            for act in acts
+            if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill)
         ]
 
 
@@ -328,13 +334,13 @@
     obj = of["p0"][0]
     assert not spend(one, 0, "r0", obj=of["p1"][0])
     assert spend(one, 0, "r1", obj=of["p1"][1]), "chosen crossings draw on no allowance"
-    one.step(0, face.Listed(False, (ROWS[2]._replace(state="gone"),)))
+    one.step(0, interface.EndpointsUpdated(False, (ROWS[2]._replace(state=interface.EndpointState.REMOVED),)))
     went = [not spend(one, 0, f"f{at}", obj=obj) for at in range(6)]
     assert went == [True, True, True, False, False, False]
     for at in range(3):
         end(one, 10, f"f{at}")
     assert carried(one, forced=True) == 30_000 and one.budgets["e"].drawn == 30_000
-    one.step(20, face.Listed(False, (ROWS[2]._replace(started=20),)))
+    one.step(20, interface.EndpointsUpdated(False, (ROWS[2]._replace(started_at=20),)))
     assert not one._forced(req("x", obj), "p0", one.nodes["p0"])
     assert one._forced(req("x", obj), "p1", one.nodes["p1"]), "while it is cold others serve, by force"
 
@@ -343,17 +349,25 @@
     one = ledger(EMERGENCY)
     obj, went = homes(one)["p0"][0], 0
     for turn in range(20):
-        one.step(turn, face.Listed(False, (ROWS[2]._replace(state="gone"),)))
+        one.step(
+            turn,
+            interface.EndpointsUpdated(False, (ROWS[2]._replace(state=interface.EndpointState.REMOVED),)),
+        )
         went += sum(not spend(one, turn, f"{turn}.{at}", obj=obj) for at in range(5))
-        one.step(turn, face.Listed(False, (ROWS[2]._replace(started=turn),)))
+        one.step(turn, interface.EndpointsUpdated(False, (ROWS[2]._replace(started_at=turn),)))
     assert went <= 4 + 1
 
 
 def test_hubs_that_went_are_forgotten_in_time_and_number():
     one = ledger(EMERGENCY)
     for at in range(500):
-        one.step(at, face.Listed(False, (place(f"p{at + 9}", 2),)))
-        one.step(at, face.Listed(False, (place(f"p{at + 9}", 2)._replace(state="gone"),)))
+        one.step(at, interface.EndpointsUpdated(False, (place(f"p{at + 9}", 2),)))
+        one.step(
+            at,
+            interface.EndpointsUpdated(
+                False, (place(f"p{at + 9}", 2)._replace(state=interface.EndpointState.REMOVED),)
+            ),
+        )
     assert len(one.went) <= 10 and len(one.hubs) <= 12
     one.step(700 * S, Tick(UNIX))
     assert not one.went and set(one.hubs) == {"p0", "p1"}
@@ -365,7 +379,7 @@
 
 
 def facts_of_streams():
-    return deployment(routers=1, routers_here=1)
+    return deployment(router_count=1, local_router_count=1)
 
 
 def play_streams(budgets, per_second, parts=10, seconds=40, body=10):
@@ -444,10 +458,10 @@
 
 
 def test_other_fills_leave_the_next_parts_of_open_streams():
-    facts = deployment(routers=1, routers_here=1)
-    vhosts = list(facts.vhosts)
-    vhosts[1] = vhosts[1]._replace(parts=False)
-    one = ledger(STREAMS, deployment(routers=1, routers_here=1, vhosts=tuple(vhosts)))
+    facts = deployment(router_count=1, local_router_count=1)
+    vhosts = list(facts.request_classes)
+    vhosts[1] = vhosts[1]._replace(is_segmented=False)
+    one = ledger(STREAMS, deployment(router_count=1, local_router_count=1, request_classes=tuple(vhosts)))
     for viewer in range(3):
         spend(one, 0, f"s{viewer}", obj=viewer, viewer=viewer + 1)
     went = sum(not spend(one, 0, f"o{at}", vhost=1, obj=100 + at) for at in range(20))
@@ -605,7 +619,7 @@
 
 
 def test_what_one_does_not_need_goes_to_the_one_that_does():
-    facts = deployment(routers=2, routers_here=2)
+    facts = deployment(router_count=2, local_router_count=2)
     two = [ledger(SHARED.split("\n")[0], facts, me, 7, SHARE) for me in range(2)]
     alone, spent = 0, 0
     for tick in range(200):
@@ -626,7 +640,7 @@
 def test_no_interleaving_of_messages_losses_and_restarts_spends_more(seed, count, lost):
     """Messages are lost, doubled, held back and delivered after restarts; clients ask for all that there
     is."""
-    chance, facts = Random(seed), deployment(routers=count, routers_here=count)
+    chance, facts = Random(seed), deployment(router_count=count, local_router_count=count)
     now, life, held, spent, number = 0, 1, [], 0, 0
     ones = [ledger(SHARED, facts, me, life, SHARE) for me in range(count)]
     for _ in range(150):
@@ -656,7 +670,7 @@
 
 
 def test_a_poisoned_grant_from_another_life_or_for_another_is_nothing():
-    facts = deployment(routers=2, routers_here=2)
+    facts = deployment(router_count=2, local_router_count=2)
     giver, taker = (ledger(SHARED, facts, me, 7, SHARE) for me in range(2))
     for tick in range(40):
         now = tick * 1000
@@ -675,4 +689,4 @@
         taker.step(40 * S, Heard(0, told))
         first, level = level, taker.budgets["r"].pots[0].level
     assert first == level, "a doubled grant was taken twice"
-    assert taker.wait(0, req("x"), "p9") == 0 and NEVER > S
+    assert taker.wait_time(0, req("x"), "p9") == 0 and NEVER > S
