--- a/benchmarks/disk_burst.py
+++ b/benchmarks/disk_burst.py
@@ -14,14 +14,15 @@
 import json
 import sys
 from collections import OrderedDict
+from collections.abc import Iterator
 from random import Random
-from typing import Any, Dict, Iterator, NamedTuple, Protocol, Tuple
+from typing import Any, NamedTuple, Protocol
 
 from ironhinge.disk.admission import Admission, Rules
 
 SECOND = 10_000
 CARD, FILM = 4_000, 60_000
-Key = Tuple[int, int]
+Key = tuple[int, int]
 
 
 class Ask(NamedTuple):
@@ -67,7 +68,7 @@
 
     def __init__(self, room: int, most: int = 1 << 60):
         self.room, self.most, self.used, self.written = room, most, 0, 0
-        self.copies: "OrderedDict[Key, int]" = OrderedDict()
+        self.copies: OrderedDict[Key, int] = OrderedDict()
 
     def ask(self, ask: Ask) -> bool:
         if ask.key in self.copies:
@@ -84,13 +85,14 @@
 
 class Ranked:
     """As the store does: a log in segments; room is made from the oldest, and what still ranks is written
-    anew."""
+    anew.
+    """
 
     def __init__(self, room: int, write: float):
         self.room, self.used, self.written = room, 0, 0
         rules = Rules(int(room * 0.95), 65_536, 0.05, 0.5, write, 4 * write)
         self.admission = Admission(rules)
-        self.log: "OrderedDict[Key, int]" = OrderedDict()
+        self.log: OrderedDict[Key, int] = OrderedDict()
 
     def ask(self, ask: Ask) -> bool:
         one = self.admission
@@ -118,7 +120,7 @@
         self.written += size
 
 
-def play(tier: Tier, seed: int, seconds: int, rate: int) -> Dict[str, Any]:
+def play(tier: Tier, seed: int, seconds: int, rate: int) -> dict[str, Any]:
     """Hit shares of cards in the 24 s before the burst and within it, and bytes written."""
     burst_at = seconds - 24
     before, burst, films, hit_bytes, asked_bytes = [0, 0], [0, 0], [0, 0], 0, 0
@@ -148,7 +150,7 @@
     quick = parser.parse_args().quick
     seconds, rate = (120, 300) if quick else (300, 600)
     room = 12_000_000
-    rows: Dict[str, Any] = {}
+    rows: dict[str, Any] = {}
     for name, tier in (
         ("table", Ranked(room, 0.0)),
         ("table, 1 MB/s written", Ranked(room, 1e6)),
--- a/benchmarks/disk_crash.py
+++ b/benchmarks/disk_crash.py
@@ -16,7 +16,7 @@
 import time
 from pathlib import Path
 from random import Random
-from typing import Any, Dict, List
+from typing import Any
 
 from ironhinge.disk.files import Files
 from ironhinge.disk.store import Limits, Store
@@ -37,11 +37,12 @@
 
 def work(folder: str, seed: int) -> None:
     """Puts without end; says on standard output what is durable, a line each time that a sync has
-    returned."""
+    returned.
+    """
     chance = Random(seed)
     store = Store(Files(Path(folder)), b"bench", LIMITS, now_ms)
     version = max([int(copy.tag) for obj in range(KEYS) if (copy := store.get(obj, 0))], default=0)
-    said: Dict[int, int] = {}
+    said: dict[int, int] = {}
     print("ready", flush=True)
     while True:
         for _ in range(chance.randrange(1, 12)):
@@ -64,11 +65,11 @@
                 pass
 
 
-def killed(points: int) -> Dict[str, Any]:
+def killed(points: int) -> dict[str, Any]:
     """A life for each point; what was said to be durable in any life must be there, or something newer."""
     chance, torn, lost, recoveries = Random(1), 0, 0, []
     with tempfile.TemporaryDirectory() as folder:
-        durable: Dict[int, int] = {}
+        durable: dict[int, int] = {}
         for point in range(points):
             process = subprocess.Popen(
                 [sys.executable, "-m", "benchmarks.disk_crash", "--work", folder, "--seed", str(point)],
@@ -104,14 +105,15 @@
     }
 
 
-def cut(seed: int, at: int, step_limit: int = 200) -> List[int]:
+def cut(seed: int, at: int, step_limit: int = 200) -> list[int]:
     """One run on a failing disk; torn and lost after the power went at that call, and whether it went at
-    all."""
+    all.
+    """
     chance, files = Random(seed), MemoryFiles(Faults(seed * 1009 + at))
     files.faults.cut_at = at or None
     limits = Limits(room=60_000, segment=9000, entries=200, settles=1 << 50)
-    durable: Dict[int, int] = {}
-    latest: Dict[int, int] = {}
+    durable: dict[int, int] = {}
+    latest: dict[int, int] = {}
     went = 0
     try:
         store = Store(files, b"bench", limits, now_ms)
@@ -144,7 +146,7 @@
     return [torn, lost, went]
 
 
-def powerless(seeds: int, stride: int) -> Dict[str, Any]:
+def powerless(seeds: int, stride: int) -> dict[str, Any]:
     points = torn = lost = 0
     for seed in range(seeds):
         at = 1
--- a/benchmarks/disk_speed.py
+++ b/benchmarks/disk_speed.py
@@ -15,7 +15,7 @@
 import threading
 import time
 from pathlib import Path
-from typing import Any, Dict, List
+from typing import Any
 
 from ironhinge.disk.files import Files
 from ironhinge.disk.format import name_of
@@ -38,10 +38,10 @@
     os.close(fd)
 
 
-def speed(folder: Path, parts: int) -> Dict[str, float]:
+def speed(folder: Path, parts: int) -> dict[str, float]:
     """Seconds for the same bytes: plain and store, written (synced at the end) and read, cold and warm."""
     bodies = [os.urandom(PART) for _ in range(16)]
-    out: Dict[str, float] = {}
+    out: dict[str, float] = {}
     plain = folder / "plain"
     began = time.perf_counter()
     with open(plain, "wb", buffering=0) as file:
@@ -78,7 +78,7 @@
     return out
 
 
-def recovery(folder: Path, entries: int) -> Dict[str, float]:
+def recovery(folder: Path, entries: int) -> dict[str, float]:
     """A start from a checkpoint of that many entries, and how long lookups wait while one is taken."""
     sys.setswitchinterval(SWITCH)  # as the tier does
     limits = Limits(1 << 40, 1 << 24, entries, 1 << 50)
@@ -87,7 +87,7 @@
     store.flush()
     for obj in range(1, entries):
         store.index.put(Entry(obj, 0, 1, 64, 1, 1, 1, 0, 1))
-    holds: List[float] = []
+    holds: list[float] = []
     stop = threading.Event()
 
     def look() -> None:
@@ -126,14 +126,14 @@
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--folder", help="On the disk that is to be measured.")
     told = parser.parse_args()
-    ratios: Dict[str, List[float]] = {"put": [], "get_cold": [], "get_warm": []}
+    ratios: dict[str, list[float]] = {"put": [], "get_cold": [], "get_warm": []}
     for _ in range(3 if told.quick else 7):
         with tempfile.TemporaryDirectory(dir=told.folder) as folder:
             found = speed(Path(folder), 400 if told.quick else 2000)
         for name in ratios:
             ratios[name].append(found[f"plain_{name}"] / found[name])
         print({name: round(value, 4) for name, value in found.items()}, file=sys.stderr)
-    out: Dict[str, Any] = {
+    out: dict[str, Any] = {
         f"{name}_ratio": round(statistics.median(each), 3) for name, each in ratios.items()
     }
     with tempfile.TemporaryDirectory(dir=told.folder) as folder:
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -6,7 +6,8 @@
 discovery tells a change of one node ten times a second. Each node is a listener of its own in one process of
 stand-ins. The first fleet named is the usual one. The last line with --json is one JSON object: for each
 other fleet and limit `measured`, `allowed` and `held`; `all_held` over all. Code 1 where a limit does not
-hold."""
+hold.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +21,7 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 from random import Random
-from typing import Any, Dict, List, Tuple
+from typing import Any
 
 import click
 
@@ -56,7 +57,7 @@
         return self.served / max(1, self.requests)
 
 
-def allowed(usual: Need, nodes: int) -> Dict[str, float]:
+def allowed(usual: Need, nodes: int) -> dict[str, float]:
     """The operators' limits for a fleet of that size."""
     thousands = nodes / 1000
     return {
@@ -74,11 +75,11 @@
 
     def __init__(self, need: Need):
         self.need = need
-        self.ports: List[int] = []
-        self.servers: List[asyncio.Server] = []
-        self.tasks: List[asyncio.Task] = []
-        self.events: List[bytes] = []
-        self.writers: Dict[asyncio.StreamWriter, int] = {}
+        self.ports: list[int] = []
+        self.servers: list[asyncio.Server] = []
+        self.tasks: list[asyncio.Task] = []
+        self.events: list[bytes] = []
+        self.writers: dict[asyncio.StreamWriter, int] = {}
         self.discovery_port = 0
 
     async def start(self) -> None:
@@ -117,7 +118,7 @@
         text = b"res=h,digest=4b,dated=%d,gauges=busy:0.2;rif:1" % int(time.time() * 1000)
         writer.write(wire.resp(name, b"ACK", text, b"x" * 500))
 
-    def row(self, place: int, state: int) -> Tuple[str, int, int, int, int, int, int]:
+    def row(self, place: int, state: int) -> tuple[str, int, int, int, int, int, int]:
         """A node's record."""
         return f"s-{place + 1:08x}", self.ports[place], state, 0, 0, 0, 0
 
@@ -157,7 +158,7 @@
             await asyncio.sleep(1 / CHANGES)
 
 
-def configuration(fleet: Fleet, port: int) -> Dict[str, Any]:
+def configuration(fleet: Fleet, port: int) -> dict[str, Any]:
     """All that the director is told."""
     nodes = fleet.need.nodes
     rows = [
@@ -225,7 +226,7 @@
         fields |= {"patience": str(int(PATIENCE * 1000)), "entity": f"{obj:016x}"}
         writer.write(wire.request(stream, fields))
         need.requests += 1
-        answers: List[Tuple[int, int, bytes]] = []
+        answers: list[tuple[int, int, bytes]] = []
         while not answers:
             answers = [each for each in frames.feed(await reader.read(65536)) if each[0] == wire.ANSWER]
         need.served += wire.read_answer(answers[0][2])[0] == 1
@@ -292,7 +293,7 @@
     raise RuntimeError("the director does not come up")
 
 
-def judge(needs: List[Need]) -> Dict[str, Any]:
+def judge(needs: list[Need]) -> dict[str, Any]:
     """Each other fleet beside the limits that the first one sets."""
     usual, all_held, fleets = needs[0], True, []
     for need in needs[1:]:
@@ -314,7 +315,7 @@
 @click.option("--even", is_flag=True, help="All objects are asked for alike.")
 @click.option("--quick", is_flag=True, help="Five seconds of each fleet.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
-def main(nodes: Tuple[int, ...], seconds: float, even: bool, quick: bool, as_json: bool) -> None:
+def main(nodes: tuple[int, ...], seconds: float, even: bool, quick: bool, as_json: bool) -> None:
     """Measure a director before fleets of NODES nodes."""
     needs = []
     for count in nodes:
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -13,7 +13,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
-from typing import Any, Dict, Optional
+from typing import Any
 
 import click
 
@@ -21,14 +21,14 @@
 MUST_BE_NONE = ("lost", "duplicates", "late", "after_client_left", "broken_rules", "crashes")
 
 
-def _one(seed: int, seconds: float, logs: Optional[str]) -> Dict[str, Any]:
+def _one(seed: int, seconds: float, logs: str | None) -> dict[str, Any]:
     from ironhinge.lab.soak.plan import plan
     from ironhinge.lab.soak.run import play
 
     return play(plan(seed, seconds), Path(logs) if logs else None)
 
 
-def _tell(figures: Dict[str, Any]) -> None:
+def _tell(figures: dict[str, Any]) -> None:
     counts = ", ".join(f"{name} {figures[name]}" for name in ("requests", "served", *MUST_BE_NONE, "crossed"))
     click.echo(f"seed {figures['seed']}: {counts}, lag {figures['lag_ms']} ms", err=True)
     for finding in figures["findings"]:
@@ -44,10 +44,10 @@
 @click.option("--jobs", type=click.IntRange(1), default=3, show_default=True, help="Seeds played at a time.")
 @click.option("--logs", type=click.Path(file_okay=False), help="Keeps the directors' logs of failed seeds.")
 @click.option("--json", "as_json", is_flag=True, help="The sums as one JSON object on the last line.")
-def main(seeds: int, first: int, seconds: float, jobs: int, logs: Optional[str], as_json: bool) -> None:
+def main(seeds: int, first: int, seconds: float, jobs: int, logs: str | None, as_json: bool) -> None:
     """Play SEEDS seeds and judge them."""
     began = time.monotonic()
-    total: Dict[str, Any] = {name: 0 for name in (*SUMS, *MUST_BE_NONE)}
+    total: dict[str, Any] = dict.fromkeys((*SUMS, *MUST_BE_NONE), 0)
     failed = []
     with ProcessPoolExecutor(jobs) as pool:
         numbers = range(first, first + seeds)
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -13,7 +13,7 @@
 import sys
 import time
 import tracemalloc
-from typing import Any, Dict, List
+from typing import Any
 
 from ironhinge import interface
 from ironhinge.lab.run import play
@@ -49,7 +49,7 @@
         1.0,
         False,
     )
-    told: Dict[str, Any] = {field: 0 for field in interface.Deployment.__dataclass_fields__}
+    told: dict[str, Any] = dict.fromkeys(interface.Deployment.__dataclass_fields__, 0)
     told.update(
         request_classes=(vhost, vhost._replace(is_segmented=True)),
         router_count=1,
@@ -64,7 +64,7 @@
     return interface.Deployment(**told)
 
 
-def ledger_cost(fills: int) -> Dict[str, float]:
+def ledger_cost(fills: int) -> dict[str, float]:
     """Microseconds a fill in the ledger alone, and what 60,000 new names in a minute leave behind."""
     operations = load_texts([("bench", BUDGETS)]).operations
     assert operations.traffic is not None
@@ -99,11 +99,11 @@
         one.step(now, Tick(1_764_576_000_000 + now // 10))
 
 
-def paired(pairs: int, seconds: float, scale: float) -> Dict[str, Any]:
+def paired(pairs: int, seconds: float, scale: float) -> dict[str, Any]:
     """CPU and memory of whole directors, account and budgets on against off, in turn."""
-    ratios: List[float] = []
-    memory: List[int] = []
-    cpu: Dict[bool, List[float]] = {False: [], True: []}
+    ratios: list[float] = []
+    memory: list[int] = []
+    cpu: dict[bool, list[float]] = {False: [], True: []}
     for at in range(pairs):
         figures = {}
         for on in (False, True) if at % 2 else (True, False):
@@ -121,9 +121,9 @@
     }
 
 
-def off(seeds: int, seconds: float) -> Dict[str, Any]:
+def off(seeds: int, seconds: float) -> dict[str, Any]:
     """How far the report is from what hubs carried, and whether budgets held."""
-    out: Dict[str, Any] = {}
+    out: dict[str, Any] = {}
     for name in ("calm", "hub-loss", "stream-budget"):
         rows = [play(SCENES[name], seed, seconds, 2) for seed in range(1, seeds + 1)]
         out[name] = {
@@ -138,7 +138,7 @@
     return out
 
 
-def streams(seeds: int, seconds: float) -> Dict[str, Any]:
+def streams(seeds: int, seconds: float) -> dict[str, Any]:
     """Streams begun that got all their parts, with places held against without, at half of the demand."""
     rows = {
         name: [play(SCENES[name], seed, seconds, 2) for seed in range(1, seeds + 1)]
@@ -160,7 +160,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     quick = parser.parse_args().quick
-    out: Dict[str, Any] = ledger_cost(20_000 if quick else 100_000)
+    out: dict[str, Any] = ledger_cost(20_000 if quick else 100_000)
     say(str(out))
     out.update(paired(3 if quick else 8, 8.0 if quick else 15.0, 6.0))
     out["reports"] = off(1 if quick else 5, 10.0 if quick else 20.0)
--- a/ironhinge/brain.py
+++ b/ironhinge/brain.py
@@ -23,11 +23,11 @@
 from __future__ import annotations
 
 from bisect import bisect_left, bisect_right, insort
+from collections.abc import Iterator
 from hashlib import blake2b
 from heapq import nlargest
 from math import log2
 from struct import unpack
-from typing import Dict, Iterator, List, Optional, Tuple
 
 from . import interface
 from .interface import DedupScope, EndpointState, Idempotency
@@ -78,19 +78,20 @@
 
 class Mixer:
     """`mix` of one number with each of many at once: they lie side by side in one long integer, each in a
-    lane of twice its width, so that no product runs into the next lane."""
+    lane of twice its width, so that no product runs into the next lane.
+    """
 
-    def __init__(self, many: List[int]):
+    def __init__(self, many: list[int]):
         self.count = len(many)
         self.numbers = self._lanes(many)
         self.ones = self._lanes([1] * self.count)
         self.low = self.ones * MASK  # the lower half of each lane
 
     @staticmethod
-    def _lanes(many: List[int]) -> int:
+    def _lanes(many: list[int]) -> int:
         return int.from_bytes(b"".join(number.to_bytes(LANE, "little") for number in many), "little")
 
-    def mix(self, a: int) -> List[int]:
+    def mix(self, a: int) -> list[int]:
         """The hashes, in the order of the numbers."""
         x = (self.numbers + self.ones * (a * 0x9E3779B97F4A7C15 & MASK)) & self.low
         x = ((x ^ (x >> 30 & self.low)) * 0xBF58476D1CE4E5B9) & self.low
@@ -134,13 +135,14 @@
 class Table:
     """One cache's req rates over size, decaying; `order` keeps them sorted so that a rank is one search. A
     score is the log2 of rate over size on a scale that grows with time, so entries need no touch to
-    decay."""
+    decay.
+    """
 
     def __init__(self):
-        self.scores: Dict[Tuple[int, int], float] = {}  # by object and part; the longest uncounted first
-        self.order: List[float] = []
+        self.scores: dict[tuple[int, int], float] = {}  # by object and part; the longest uncounted first
+        self.order: list[float] = []
 
-    def count(self, key: Tuple[int, int], size: float, now: int) -> int:
+    def count(self, key: tuple[int, int], size: float, now: int) -> int:
         """Counts a req; returns how many entries rank above its."""
         new = now / HALF_LIFE - log2(size or 1.0)
         old = self.scores.pop(key, None)
@@ -160,7 +162,7 @@
     is_cache_here = False  # a ready cache of this router's location: on the walk of each req
 
     def __init__(self):
-        self.out: Dict[str, Req] = {}  # reqs with a dispatch out that takes this way
+        self.out: dict[str, Req] = {}  # reqs with a dispatch out that takes this way
         self.took, self.work, self.pace_at = 0.0, 0.0, 0  # time that sending took lately, and full-pace time
         self.crowd = 0.0  # dispatches that were out then, weighted by work
         self.ease = 0.0  # the most that were out while one was not crowded, fading as fast
@@ -175,7 +177,8 @@
     def pace(self, now: int, memory: float, prior: float) -> float:
         """How many times its sending time a req would take now: what was seen, scaled by the dispatches out
         now against then, since what was seen is as old as the transfers that showed it. Guards against
-        swinging. As many as went at ease lately count as then: where nothing is full, more take no longer."""
+        swinging. As many as went at ease lately count as then: where nothing is full, more take no longer.
+        """
         fade = 2 ** ((self.pace_at - now) / memory)
         seen = (self.took * fade + prior) / (self.work * fade + prior)
         if not self.crowd:
@@ -204,7 +207,7 @@
         self.busy = 1.0  # share of what it can do that it says is in use, averaged
         self.carry, self.carry_at = 0.0, 0  # work done for us in each unit of time, averaged
         self.lost_at = 0  # when it last took no connection or was found silent
-        self.room: Optional[float] = None  # while cold: work that it may be sent, below 0 when overdrawn
+        self.room: float | None = None  # while cold: work that it may be sent, below 0 when overdrawn
         self.room_at = 0
 
     def carried(self, work: float, now: int) -> None:
@@ -217,14 +220,15 @@
 
 class Order:
     """The caches of an object's hash order whose hashes are not under a floor, in that order; some may have
-    left since."""
+    left since.
+    """
 
     __slots__ = ("first", "floor", "seen")
 
-    def __init__(self, first: List[Node], floor: int, seen: int):
+    def __init__(self, first: list[Node], floor: int, seen: int):
         self.first, self.floor, self.seen = first, floor, seen  # `seen` of those added are in it
 
-    def merge(self, salt: int, added: List[Node]) -> None:
+    def merge(self, salt: int, added: list[Node]) -> None:
         """Takes in those that were added since."""
         new = [node for node in added[self.seen :] if node not in self.first]
         new = [node for node in new if mix(salt, node.salt) >= self.floor]
@@ -249,58 +253,56 @@
         self.salt = mix(came.object_id, came.part + 1)
         self.home = mix(came.object_id, 0)
         self.cacheable = vhost.cacheable and not came.is_write
-        self.asked: List[Node] = []  # caches walked that had no copy
-        self.ranks: Dict[Node, int] = {}  # what the tables of the caches walked said
-        self.failed: List[Node] = []  # nodes and sources that failed it
+        self.asked: list[Node] = []  # caches walked that had no copy
+        self.ranks: dict[Node, int] = {}  # what the tables of the caches walked said
+        self.failed: list[Node] = []  # nodes and sources that failed it
         self.dispatches = 0
-        self.node: Optional[Node] = None  # of the dispatch that is out
-        self.source: Optional[Node] = None
+        self.node: Node | None = None  # of the dispatch that is out
+        self.source: Node | None = None
         self.sent_at = 0
         facts = vhost.facts
         self.target_at = min(self.left_at, now + facts.target + int(facts.target_stretch * work))
-        self.may_have_run: Optional[Tuple[Node, int]] = None  # where first, and when it was sent
+        self.may_have_run: tuple[Node, int] | None = None  # where first, and when it was sent
         self.streaming = False
         self.lately = False  # its object was asked for not long ago
-        self.crowd: Dict[Flow, int] = {}  # dispatches out on its ways, at its own dispatch
+        self.crowd: dict[Flow, int] = {}  # dispatches out on its ways, at its own dispatch
         self.over = False  # its client has left
 
 
 class Router:
-    purse: Optional[interface.FillBudget] = (
-        None  # operators' budgets, and copies of our own: most have neither
-    )
-    shelf: Optional[interface.LocalStore] = None
+    purse: interface.FillBudget | None = None  # operators' budgets, and copies of our own: most have neither
+    shelf: interface.LocalStore | None = None
 
     def __init__(self, facts: interface.Deployment, seed: int):
         self.facts, self.chance = facts, Chance(seed)
         self.vhosts = [VhostRow(vhost) for vhost in facts.request_classes]
         self.longest = max([vhost.client_timeout for vhost in facts.request_classes], default=10_000)
-        self.nodes: Dict[str, Node] = {}
-        self.caches: List[Node] = []
-        self.cache_salts: List[int] = []  # of the same, in the same order
-        self.mixer: Optional[Mixer] = None  # of these salts, once it is needed
-        self.added: List[
+        self.nodes: dict[str, Node] = {}
+        self.caches: list[Node] = []
+        self.cache_salts: list[int] = []  # of the same, in the same order
+        self.mixer: Mixer | None = None  # of these salts, once it is needed
+        self.added: list[
             Node
         ] = []  # caches in the order in which they came, for what is remembered of orders
-        self.orders: Dict[int, Order] = {}  # by an object's salt; that used longest ago first
-        self.may_be_cold: Dict[Node, None] = {}  # caches that started or were lost not long ago
-        self.parents: List[Node] = []
-        self.origin: Optional[Node] = None
+        self.orders: dict[int, Order] = {}  # by an object's salt; that used longest ago first
+        self.may_be_cold: dict[Node, None] = {}  # caches that started or were lost not long ago
+        self.parents: list[Node] = []
+        self.origin: Node | None = None
         self.inlet = Flow()  # the location's link in, which all fills share
         self.memory = (
             PACE_MEMORY * self.longest * facts.local_router_count**0.5
         )  # the more, the less each sees
         self.prior = PACE_PRIOR * self.longest
         self.listed = False
-        self.reqs: Dict[str, Req] = {}
-        self.seen: Dict[Tuple[int, int], int] = {}  # when a part was last asked for; oldest first
-        self.usual: Dict[int, float] = {}  # by kind: what a warm node carries for us, in work a unit of time
-        self.purged_objects: Dict[int, int] = {}  # the newest purge known
-        self.purged_groups: Dict[int, int] = {}
-        self.acts: List[interface.Command] = []
+        self.reqs: dict[str, Req] = {}
+        self.seen: dict[tuple[int, int], int] = {}  # when a part was last asked for; oldest first
+        self.usual: dict[int, float] = {}  # by kind: what a warm node carries for us, in work a unit of time
+        self.purged_objects: dict[int, int] = {}  # the newest purge known
+        self.purged_groups: dict[int, int] = {}
+        self.acts: list[interface.Command] = []
         self.now = 0
 
-    def step(self, now: int, what: interface.Event) -> List[interface.Command]:
+    def step(self, now: int, what: interface.Event) -> list[interface.Command]:
         """The entry point."""
         self.now, self.acts = now, []
         try:
@@ -338,10 +340,8 @@
                 req.left_at = min(req.left_at, self.now + what.time_remaining)
         elif isinstance(what, interface.DiscoveryFailed):
             self.acts.append(interface.SetTimer(max(1, self.facts.discovery_poll_interval // 10), "watch"))
-        elif (
-            isinstance(what, interface.TimerFired)
-            or isinstance(what, interface.InstanceStarted)
-            and self.facts.watch_required
+        elif isinstance(what, interface.TimerFired) or (
+            isinstance(what, interface.InstanceStarted) and self.facts.watch_required
         ):
             self.acts.append(interface.SetWatch(True))  # the only timer is the one to watch again
 
@@ -371,7 +371,8 @@
 
     def place(self, node: Node) -> None:
         """Sorts a node that has changed in or out; a change of one costs that one, however many there are.
-        One that is gone is forgotten: an id told again starts from nothing."""
+        One that is gone is forgotten: an id told again starts from nothing.
+        """
         facts, ready = self.facts, node.row.state == EndpointState.READY
         kind, behind = node.row.kind, (facts.parent_kind, facts.origin_kind)
         if node.row.state == EndpointState.REMOVED:
@@ -401,7 +402,7 @@
         elif not is_here:
             self.may_be_cold.pop(node, None)
 
-    def first_origin(self) -> Optional[Node]:
+    def first_origin(self) -> Node | None:
         """The origin that was listed first, of those that are ready."""
         for node in self.nodes.values():
             if node.row.state == EndpointState.READY and node.row.kind == self.facts.origin_kind:
@@ -412,7 +413,8 @@
 
     def purge(self, what: interface.PurgeNotified) -> None:
         """Guards 'purges kept'. A late notice of an older purge must not loosen a newer one: hence the
-        max. Harms only by fills: good copies older than the limit are fetched anew."""
+        max. Harms only by fills: good copies older than the limit are fetched anew.
+        """
         book = self.purged_groups if what.object_id is None else self.purged_objects
         name = what.group if what.object_id is None else what.object_id
         at = self.now - what.age + 1
@@ -471,7 +473,8 @@
 
     def client_left(self, name: str) -> None:
         """Nothing more is owed, but the dispatch that is out weighs on its nodes until its outcome
-        comes."""
+        comes.
+        """
         req = self.reqs.get(name)
         if req is None or req.over:
             return
@@ -481,7 +484,8 @@
 
     def go_on(self, req: Req) -> None:
         """The walk: the next cache of the order, else the first one as a pass-through, else past the
-        caches."""
+        caches.
+        """
         facts = self.facts
         if (
             req.dispatches >= facts.max_attempts
@@ -517,7 +521,8 @@
 
     def hash_order(self, req: Req) -> Iterator[Node]:
         """All caches in the object's hash order. The first of it are remembered: the order of thousands costs
-        milliseconds."""
+        milliseconds.
+        """
         order = self.remembered(req.salt)
         yield from [node for node in order.first if node.is_cache_here]
         hashes = self.hashes(req.salt) if len(order.first) < len(self.caches) else []
@@ -537,7 +542,7 @@
         self.orders[salt] = order
         return order
 
-    def hashes(self, salt: int) -> List[int]:
+    def hashes(self, salt: int) -> list[int]:
         """An object's hash at each cache."""
         if self.mixer is None:
             self.mixer = Mixer(self.cache_salts)
@@ -554,9 +559,10 @@
         floor = hashes[places[-1]] if len(places) == ORDER_KEPT else 0
         return Order([self.caches[place] for place in places], floor, len(self.added))
 
-    def look_at_those_that_change(self, req: Req) -> Dict[Node, bool]:
+    def look_at_those_that_change(self, req: Req) -> dict[Node, bool]:
         """Whether each cache fits of which asking that changes what is known: those that owe an answer, and
-        those that may be cold. All others can be asked one by one until one fits."""
+        those that may be cold. All others can be asked one by one until one fits.
+        """
         busy = [each.node for each in self.reqs.values() if each.node is not None]
         some = dict.fromkeys([*busy, *self.may_be_cold])
         here = [node for node in some if node.is_cache_here and self.allowed(req, node)]
@@ -570,7 +576,7 @@
                     del self.may_be_cold[node]
         return known
 
-    def first_fit(self, req: Req, known: Dict[Node, bool]) -> Tuple[Optional[Node], Optional[Node]]:
+    def first_fit(self, req: Req, known: dict[Node, bool]) -> tuple[Node | None, Node | None]:
         """The first cache in the hash order that fits, and the first of those that the req has not asked."""
         first = None
         for node in self.hash_order(req):
@@ -583,9 +589,10 @@
                 return first, node
         return first, None
 
-    def fill_source(self, req: Req) -> Optional[Node]:
+    def fill_source(self, req: Req) -> Node | None:
         """A hash order of the object over all listed parents, the origin when none of them will do; none
-        when the link in that all fills share is crowded, since moving on would not help."""
+        when the link in that all fills share is crowded, since moving on would not help.
+        """
         req.unpaid = 0
         if not self.in_time(req, self.inlet):
             return None
@@ -599,7 +606,8 @@
 
     def paid(self, req: Req, node: Node) -> bool:
         """Guards operators' budgets: a source whose budget is spent is passed over like a crowded one. The
-        soonest that one has room again is what its client is told. Harms hits at caches not at all."""
+        soonest that one has room again is what its client is told. Harms hits at caches not at all.
+        """
         wait = self.purse.wait_time(self.now, req.came, node.id) if self.purse is not None else 0
         req.unpaid = min(req.unpaid or wait, wait) if wait else req.unpaid
         return not wait
@@ -615,7 +623,7 @@
         begin = ran[1] + req.vhost.facts.dedup_window if ran else 0  # later it would run again
         limit = self.age_limit(req)
         behind = node.row.kind in (facts.parent_kind, facts.origin_kind)
-        if source is node and (node is self.origin or not behind and not limit):
+        if source is node and (node is self.origin or (not behind and not limit)):
             act: interface.Command = interface.SendAttempt(req.id, node.id, until, begin)
         else:
             if source is node and node in self.parents and self.origin is not None:
@@ -700,8 +708,7 @@
         harmless = (
             vhost.idempotency == Idempotency.IDEMPOTENT
             or not ran
-            or dropped
-            and self.now < ran[1] + vhost.dedup_window
+            or (dropped and self.now < ran[1] + vhost.dedup_window)
         )
         slack = max(0, req.target_at - self.now - req.work)
         # back while the target can still be met, or when a budget that had no room should have it
@@ -723,21 +730,20 @@
             if node.bad < WELL:
                 node.bench = 0.0
 
-    def blame(self, req: Req, node: Node, source: Optional[Node], what: interface.AttemptFinished) -> Node:
+    def blame(self, req: Req, node: Node, source: Node | None, what: interface.AttemptFinished) -> Node:
         """Finds who failed a dispatch, the cache or its source: by the note if it tells, else whoever fails
         more. Guards against nodes that are dead, silent or failing, without a bad parent condemning good
         caches. What fails everywhere benches nobody; that may harm where most nodes of a location die at
-        once."""
+        once.
+        """
         result, culprit = what.result, node
         quick = what.duration <= 2 * self.facts.time_granularity  # too soon for word from any source
         if result == "full":  # turned away at the door of one or the other: alive, but crowded
             culprit = node if quick or source is None or what.fill_note == 9 else source
             culprit.full_until = self.now + int(FULL * req.vhost.mean_work() * self.facts.local_router_count)
             node.answered_at = self.now
-            behind = (
-                what.fill_note == 10
-                or not what.fill_note
-                and any(each in self.parents for each in req.failed)
+            behind = what.fill_note == 10 or (
+                not what.fill_note and any(each in self.parents for each in req.failed)
             )
             if (
                 culprit is source
@@ -784,7 +790,8 @@
         """True when a dispatch is overdue and the node has shown no life since. Guards against nodes that
         take reqs and never answer, before the time-outs tell; may harm where a node's only req is merely
         slow. A source is only suspected where the cache that asked it lives. A node found silent counts as
-        just started: it may come back cold before the list says so."""
+        just started: it may come back cold before the list says so.
+        """
         for req in reversed(node.out.values()):  # the latest first
             if req.sent_at < node.answered_at:
                 break
@@ -802,7 +809,7 @@
             self.may_be_cold[node] = None
 
     def fit(self, req: Req, node: Node) -> bool:
-        if self.now < max(node.benched_until, node.full_until) or node.bench and node.out:
+        if self.now < max(node.benched_until, node.full_until) or (node.bench and node.out):
             return False
         return not self.silent(node) and self.has_room(req, node)
 
@@ -812,7 +819,8 @@
     def in_time(self, req: Req, way: Flow) -> bool:
         """Whether the present pace would get the req done within its target; one that is late already only
         goes where there is room. Guards against crowding of any cause: overload, a slow node, a full link
-        or origin. May harm where a node's pace was bad by chance: it is forgotten within PACE_MEMORY."""
+        or origin. May harm where a node's pace was bad by chance: it is forgotten within PACE_MEMORY.
+        """
         pace = way.pace(self.now, self.memory, self.prior)
         if self.now + req.work > req.target_at:
             return pace < CROWDED
@@ -828,7 +836,7 @@
             else self.facts.slow_start_duration
         )
         lost = node.lost_at and self.now < node.lost_at + LOST * length
-        return bool(lost or node.row.started_at and self.now < node.row.started_at + length)
+        return bool(lost or (node.row.started_at and self.now < node.row.started_at + length))
 
     def weight(self, req: Req, node: Node) -> float:
         """In a budget: at a cache its vhost's mean sending time, at a parent its own if that is longer."""
@@ -842,7 +850,8 @@
         routers with a req each fall apart in time. Room that nobody used lapses past `keep`, and the
         turn begins anew: also when all routers have a req at once, their rooms together come to half of what
         the rule leaves besides; the other half is chance. Harms where many routers see few reqs each,
-        as most room lapses."""
+        as most room lapses.
+        """
         if node is self.origin or not self.is_cold(node):
             node.room = None
             return True
--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -4,8 +4,9 @@
 
 import json
 import sys
+from collections.abc import Callable
 from importlib import import_module
-from typing import Any, Callable, List, Optional, Tuple
+from typing import Any
 
 import click
 from loguru import logger
@@ -42,7 +43,7 @@
     return config_option(name_option(listen_option(command)))
 
 
-def read(config: str, name: Optional[str], listen: Optional[str]) -> Assignment:
+def read(config: str, name: str | None, listen: str | None) -> Assignment:
     with open(config, encoding="utf-8") as file:
         told = assignment(json.load(file))
     if listen:
@@ -50,7 +51,7 @@
     return told._replace(name=name or told.name)
 
 
-def read_or_end(config: str, name: Optional[str], listen: Optional[str]) -> Assignment:
+def read_or_end(config: str, name: str | None, listen: str | None) -> Assignment:
     """The configuration; what is wrong with it ends the program with one line and exit code 2."""
     try:
         return read(config, name, listen)
@@ -62,10 +63,10 @@
 class Commands(click.Group):
     """Imports a package's commands when they are called: `serve` starts with nothing that is not on."""
 
-    def list_commands(self, ctx: click.Context) -> List[str]:
+    def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted([*super().list_commands(ctx), *GROUPS])
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> Optional[click.Command]:
+    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         if cmd_name in GROUPS:
             return getattr(import_module(f".{cmd_name}.cli", __package__), cmd_name)
         return super().get_command(ctx, cmd_name)
@@ -76,7 +77,7 @@
     """A router before tiers of caches with one origin behind them."""
 
 
-def read_operations(config: str, operations: Tuple[str, ...]) -> Any:
+def read_operations(config: str, operations: tuple[str, ...]) -> Any:
     """The operators' records, or none without files; ValueError says what is wrong with them."""
     if not operations:
         return None
@@ -88,7 +89,7 @@
         raise ValueError(str(fault)) from None
 
 
-def operations_or_end(config: str, operations: Tuple[str, ...]) -> Any:
+def operations_or_end(config: str, operations: tuple[str, ...]) -> Any:
     """The same; what is wrong ends the program with code 2."""
     try:
         return read_operations(config, operations)
@@ -99,7 +100,7 @@
 
 def open_runner(operations: Any, clock: Any) -> Any:
     """What runs background work, where the operations bring any."""
-    if operations is None or operations.traffic is None and operations.disk is None:
+    if operations is None or (operations.traffic is None and operations.disk is None):
         return None
     from .jobs.plan import Budgets
     from .jobs.runner import Runner
@@ -121,7 +122,8 @@
 
 def open_shelf(told: Assignment, operations: Any, runner: Any, clock: Any) -> Any:
     """The tier of copies on disk, where the operations turn it on; a folder that can't be had ends the
-    program."""
+    program.
+    """
     if operations is None or operations.disk is None:
         return None
     from .disk.files import Locked
@@ -140,11 +142,12 @@
 @operations_option
 @click.option("--log-level", type=click.Choice(LEVELS), default="info", show_default=True)
 def serve(
-    config: str, name: Optional[str], listen: Optional[str], operations: Tuple[str, ...], log_level: str
+    config: str, name: str | None, listen: str | None, operations: tuple[str, ...], log_level: str
 ) -> None:
     """Serve clients until SIGTERM, then answer what was taken and end with code 0. At SIGHUP the
     configuration and the operations files are read again: the coordinator is followed to its new address, and
-    new settings take effect whole, or not at all where something is wrong with them."""
+    new settings take effect whole, or not at all where something is wrong with them.
+    """
     from .net.clock import Clock
     from .net.service import hold_signals, run
 
@@ -169,7 +172,7 @@
 @main.command()
 @what_is_told
 @operations_option
-def check(config: str, name: Optional[str], listen: Optional[str], operations: Tuple[str, ...]) -> None:
+def check(config: str, name: str | None, listen: str | None, operations: tuple[str, ...]) -> None:
     """Say what is wrong with a configuration and its operations files, or what they would start."""
     told = read_or_end(config, name, listen)
     operations_or_end(config, operations)
--- a/ironhinge/disk/admission.py
+++ b/ironhinge/disk/admission.py
@@ -10,7 +10,7 @@
 
 from collections import OrderedDict
 from math import floor, log2
-from typing import Dict, NamedTuple, Tuple
+from typing import NamedTuple
 
 HALF_LIFE = 600_000  # tenths of a millisecond: a minute; a disk holds far more than a cache's memory
 STEP = 0.5  # width of a bucket of scores
@@ -20,7 +20,7 @@
 SECOND = 10_000
 MASK = (1 << 64) - 1
 
-Key = Tuple[int, int]
+Key = tuple[int, int]
 
 
 class Rules(NamedTuple):
@@ -64,16 +64,14 @@
     def __init__(self, rules: Rules):
         self.rules = rules
         self.sketch = Sketch()
-        self.scores: "OrderedDict[Key, Tuple[float, int]]" = (
-            OrderedDict()
-        )  # and size; longest uncounted first
-        self.buckets: Dict[int, int] = {}  # bytes by bucket of scores
+        self.scores: OrderedDict[Key, tuple[float, int]] = OrderedDict()  # and size; longest uncounted first
+        self.buckets: dict[int, int] = {}  # bytes by bucket of scores
         self.cut = -(1 << 30)  # the bucket in which the room ends
         self.looks = 0
-        self.objects: Dict[int, int] = {}  # bytes held, by object
-        self.classes: Dict[int, int] = {}  # and by size class
+        self.objects: dict[int, int] = {}  # bytes held, by object
+        self.classes: dict[int, int] = {}  # and by size class
         self.tokens, self.at = float(rules.write_burst), 0
-        self.refused: Dict[str, int] = {"rare": 0, "rank": 0, "object": 0, "class": 0, "writes": 0}
+        self.refused: dict[str, int] = {"rare": 0, "rank": 0, "object": 0, "class": 0, "writes": 0}
 
     def asked(self, now: int, key: Key, size: int) -> None:
         """A req for a part of that many bytes (the best guess; 0: not known)."""
@@ -95,7 +93,7 @@
         if self.looks >= LOOKS:
             self._find_cut()
 
-    def _shift(self, entry: Tuple[float, int], sign: int) -> None:
+    def _shift(self, entry: tuple[float, int], sign: int) -> None:
         bucket = floor(entry[0] / STEP)
         left = self.buckets.get(bucket, 0) + sign * entry[1]
         if left > 0:
--- a/ironhinge/disk/cli.py
+++ b/ironhinge/disk/cli.py
@@ -1,5 +1,6 @@
 """Owns the commands on a tier's folder. Those that change it take its lock, so they need its director
-down."""
+down.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +8,9 @@
 import os
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Callable, Dict, List
+from typing import Any
 
 import click
 
@@ -91,7 +93,7 @@
 def ls(folder: Path, name: str, most: int, as_json: bool) -> None:
     """List copies: object, part, bytes, date, segment."""
     store = opened(folder, name, False)
-    rows: List[Dict[str, Any]] = []
+    rows: list[dict[str, Any]] = []
     for entry in store.index.entries():
         if len(rows) >= most:
             break
--- a/ironhinge/disk/files.py
+++ b/ironhinge/disk/files.py
@@ -7,9 +7,9 @@
 
 import fcntl
 import os
+from collections.abc import Iterable, Sequence
 from itertools import islice
 from pathlib import Path
-from typing import Dict, Iterable, List, Sequence
 
 RETIRED = 4
 MOST_TOGETHER = 16  # pieces of a whole file in one call
@@ -26,8 +26,8 @@
     def __init__(self, folder: Path, read_only: bool = False):
         self.folder, self.read_only = folder, read_only
         self.lock_fd = -1
-        self.reading: Dict[str, int] = {}
-        self.retired: List[int] = []  # of files that are gone; a read may still be under way on the last ones
+        self.reading: dict[str, int] = {}
+        self.retired: list[int] = []  # of files that are gone; a read may still be under way on the last ones
         if not read_only:
             folder.mkdir(parents=True, exist_ok=True)
 
@@ -41,7 +41,7 @@
             raise Locked(f"{self.folder} is in use by another process") from None
         self.lock_fd = fd
 
-    def names(self) -> List[str]:
+    def names(self) -> list[str]:
         return sorted(os.listdir(self.folder))
 
     def open_append(self, name: str) -> int:
@@ -115,7 +115,7 @@
         with open(self.folder / name, "rb") as file:
             return file.read()
 
-    def read_at(self, name: str, offset: int, *sizes: int) -> List[bytes]:
+    def read_at(self, name: str, offset: int, *sizes: int) -> list[bytes]:
         """Pieces of these sizes, one behind the other; shorter where the file ends."""
         fd = self.reading.get(name, -1)
         if fd < 0:
--- a/ironhinge/disk/format.py
+++ b/ironhinge/disk/format.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 import struct
-from typing import Dict, Iterable, Iterator, List, NamedTuple, Optional, Tuple, Union
+from collections.abc import Iterable, Iterator
+from typing import NamedTuple, Union
 
 import xxhash
 
@@ -59,7 +60,7 @@
     generation: int,
     tag: bytes = b"",
     body: bytes = b"",
-) -> Tuple[bytes, ...]:
+) -> tuple[bytes, ...]:
     """A record in pieces, so that a long body is not copied."""
     both = xxhash.xxh3_64(tag)
     both.update(body)
@@ -116,7 +117,8 @@
 
 def walk(data: memoryview, offset: int, whole: bool) -> Iterator[Found]:
     """The records of a segment's bytes from an offset on, up to the first that is not sound. `whole`: bodies
-    are verified too."""
+    are verified too.
+    """
     while offset + HEAD <= len(data):
         try:
             head = unpack_head(data[offset : offset + HEAD])
@@ -141,9 +143,9 @@
     floor: int  # copies dated up to here are gone
     floor_generation: int  # those of records up to this one
     entries: int
-    segments: Dict[int, Tuple[int, int]]  # bytes in all, and of them live
-    objects: Dict[int, int]  # purges
-    groups: Dict[int, int]
+    segments: dict[int, tuple[int, int]]  # bytes in all, and of them live
+    objects: dict[int, int]  # purges
+    groups: dict[int, int]
     slots: bytes = b""
 
 
@@ -188,11 +190,11 @@
         raise Unsound("no checkpoint of this version, or not all of it")
     if xxhash.xxh3_64_digest(data[:end]) != bytes(data[end:]):
         raise Unsound("a checkpoint that does not fit its checksum")
-    segments: Dict[int, Tuple[int, int]] = {}
+    segments: dict[int, tuple[int, int]] = {}
     for _ in range(segments_n):
         number, total, live = struct.unpack_from("<QQQ", data, at)
         segments[number], at = (total, live), at + 24
-    books: List[Dict[int, int]] = [{}, {}]
+    books: list[dict[int, int]] = [{}, {}]
     for book, rows in zip(books, (objects_n, groups_n), strict=True):
         for _ in range(rows):
             name, when = struct.unpack_from("<QQ", data, at)
@@ -204,7 +206,7 @@
     return f"{segment:012x}.seg"
 
 
-def number_of(name: str) -> Optional[int]:
+def number_of(name: str) -> int | None:
     stem, _, ending = name.partition(".")
     try:
         return int(stem, 16) if ending == "seg" and len(stem) == 12 else None
--- a/ironhinge/disk/index.py
+++ b/ironhinge/disk/index.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 import struct
-from typing import Iterator, List, NamedTuple, Optional, Tuple
+from collections.abc import Iterator
+from typing import NamedTuple
 
 _SLOT = struct.Struct(
     "<QIIIIQQHBB"
@@ -32,7 +33,7 @@
 
 
 class Index:
-    def __init__(self, most: int, slots: Optional[bytes] = None):
+    def __init__(self, most: int, slots: bytes | None = None):
         size = 16
         while size * FULL < most:
             size *= 2
@@ -41,7 +42,7 @@
         if len(self.block) != size * SLOT:
             raise ValueError("a block of another size")
         self.count = 0
-        self.picture: Optional[List[Optional[bytes]]] = None  # chunks copied so far, while one is taken
+        self.picture: list[bytes | None] | None = None  # chunks copied so far, while one is taken
 
     def begin_picture(self) -> None:
         """From here on what changes is copied first, so that `chunk` gives the block as it is now."""
@@ -78,7 +79,7 @@
         x = (x * 0x94D049BB133111EB) & MASK
         return (x ^ (x >> 32)) & self.mask
 
-    def _find(self, obj: int, part: int) -> Tuple[int, bool]:
+    def _find(self, obj: int, part: int) -> tuple[int, bool]:
         """The slot that holds a key, or the free one where it would go."""
         at, block = self._place(obj, part), self.block
         while block[at * SLOT + SLOT - 1]:
@@ -87,7 +88,7 @@
             at = (at + 1) & self.mask
         return at, False
 
-    def get(self, obj: int, part: int) -> Optional[Entry]:
+    def get(self, obj: int, part: int) -> Entry | None:
         at, found = self._find(obj, part)
         return Entry(*_SLOT.unpack_from(self.block, at * SLOT)[:-1]) if found else None
 
--- a/ironhinge/disk/store.py
+++ b/ironhinge/disk/store.py
@@ -13,7 +13,8 @@
 import errno
 import threading
 from collections import OrderedDict
-from typing import Callable, Dict, Iterator, List, NamedTuple, Optional, Tuple
+from collections.abc import Callable, Iterator
+from typing import NamedTuple
 
 from .files import Files
 from .format import (
@@ -83,14 +84,14 @@
         )
         self.lock = threading.RLock()  # of what is known; never held while the disk works
         self.write_lock = threading.RLock()  # of the log: whoever writes, compacts or checkpoints
-        self.counts: Dict[str, int] = {}
+        self.counts: dict[str, int] = {}
         self.index = Index(limits.entries)
-        self.segments: Dict[int, List[int]] = {}  # by number, the oldest first: bytes in all, and live
-        self.objects: "OrderedDict[int, int]" = OrderedDict()  # purges: Unix millisecond by name
-        self.groups: Dict[int, int] = {}
+        self.segments: dict[int, list[int]] = {}  # by number, the oldest first: bytes in all, and live
+        self.objects: OrderedDict[int, int] = OrderedDict()  # purges: Unix millisecond by name
+        self.groups: dict[int, int] = {}
         self.heard = self.floor = self.floor_generation = 0
         self.generation = 0
-        self.queue: List[Tuple[Tuple[bytes, ...], Optional[Entry]]] = []
+        self.queue: list[tuple[tuple[bytes, ...], Entry | None]] = []
         self.queued = 0
         self.fd, self.number, self.offset = -1, 0, 0
         self.unsynced = False
@@ -134,12 +135,13 @@
 
     def _raise_floor(self, at: int) -> None:
         """No copy of before that is served any more; one that comes later was checked by whoever brings
-        it."""
+        it.
+        """
         if self.generation:
             self.floor, self.floor_generation = max(self.floor, at), self.generation
             self.count("floor_raised")
 
-    def _checkpoint(self, names: List[str]) -> Optional[Tuple[int, int]]:
+    def _checkpoint(self, names: list[str]) -> tuple[int, int] | None:
         """Takes up the newest whole checkpoint; where the log goes on after it."""
         for name in (CHECKPOINT, OLDER):
             if name not in names:
@@ -231,7 +233,7 @@
 
     # The index
 
-    def _place(self, entry: Entry, old: Optional[Entry]) -> bool:
+    def _place(self, entry: Entry, old: Entry | None) -> bool:
         if not self.index.put(entry):
             self.count("index_full")
             return False
@@ -251,7 +253,7 @@
 
     # Purges
 
-    def _note_purge(self, obj: Optional[int], group: Optional[int], at: int) -> None:
+    def _note_purge(self, obj: int | None, group: int | None, at: int) -> None:
         if obj is not None:
             self.objects[obj] = max(self.objects.pop(obj, 0), at)
             while len(self.objects) > MOST_PURGES:
@@ -261,9 +263,10 @@
             self.groups[group] = max(self.groups.get(group, 0), at)
         self.heard = max(self.heard, at)
 
-    def purge(self, obj: Optional[int], group: int, at: int) -> None:
+    def purge(self, obj: int | None, group: int, at: int) -> None:
         """A copy given out up to then is never served any more; holds at once, and on disk with the next
-        sync."""
+        sync.
+        """
         with self.lock:
             self._note_purge(obj, group if obj is None else None, at)
             self._say_purge(PURGE_GROUP if obj is None else PURGE_OBJECT, obj or 0, group, at)
@@ -286,7 +289,7 @@
 
     # Reading
 
-    def find(self, obj: int, part: int) -> Optional[Entry]:
+    def find(self, obj: int, part: int) -> Entry | None:
         """What the index has that may still be served."""
         with self.lock:
             entry = self.index.get(obj, part)
@@ -297,7 +300,7 @@
                 return None
             return entry
 
-    def read(self, entry: Entry) -> Optional[Copy]:
+    def read(self, entry: Entry) -> Copy | None:
         """The bytes, verified; None where they are not what was put, which is counted and dropped."""
         try:
             begin, body = self.files.read_at(
@@ -330,7 +333,7 @@
             if now is not None and now.generation == entry.generation:
                 self._forget(now)
 
-    def get(self, obj: int, part: int) -> Optional[Copy]:
+    def get(self, obj: int, part: int) -> Copy | None:
         entry = self.find(obj, part)
         if entry is None:
             return None
@@ -371,7 +374,7 @@
             self._enqueue(pack_record(DROP, obj, part, 0, 0, self.generation), None)
             return True
 
-    def _enqueue(self, pieces: Tuple[bytes, ...], entry: Optional[Entry]) -> None:
+    def _enqueue(self, pieces: tuple[bytes, ...], entry: Entry | None) -> None:
         if self.read_only:
             return
         self.queue.append((pieces, entry))
@@ -379,7 +382,8 @@
 
     def flush(self) -> int:
         """Writes what is queued; how many bytes. Where the disk takes no more, what could not be written is
-        let go of and admission stops until there is room; what was written before goes on being served."""
+        let go of and admission stops until there is room; what was written before goes on being served.
+        """
         with self.write_lock:
             return self._flush()
 
@@ -402,16 +406,17 @@
                 self._owe_words(batch)
                 return done
 
-    def _owe_words(self, batch: List[Tuple[Tuple[bytes, ...], Optional[Entry]]]) -> None:
+    def _owe_words(self, batch: list[tuple[tuple[bytes, ...], Entry | None]]) -> None:
         """Guards 'purges kept' where a write fails: copies are let go of, but what says that older copies are
         void is written again before anything that comes later; else a later word that all purges up to then
-        are known would be on disk without them, and a restart would serve them."""
+        are known would be on disk without them, and a restart would serve them.
+        """
         words = [(record, None) for record, entry in batch if entry is None]
         with self.lock:
             self.queue[:0] = words
             self.queued += sum(sum(map(len, record)) for record, _ in words)
 
-    def _batches(self, batch: List[Tuple[Tuple[bytes, ...], Optional[Entry]]]) -> Iterator[Tuple[int, int]]:
+    def _batches(self, batch: list[tuple[tuple[bytes, ...], Entry | None]]) -> Iterator[tuple[int, int]]:
         """Runs that go into one segment; begins a new one where the next record does not fit."""
         start = 0
         while start < len(batch):
@@ -449,7 +454,7 @@
             self.segments[number] = [SEGMENT, 0]
         self.fd, self.offset = fd, SEGMENT
 
-    def _write(self, batch: List[Tuple[Tuple[bytes, ...], Optional[Entry]]]) -> int:
+    def _write(self, batch: list[tuple[tuple[bytes, ...], Entry | None]]) -> int:
         pieces = [piece for record, _ in batch for piece in record if piece]
         offset = self.offset
         self.files.write(self.fd, pieces, offset)
@@ -476,7 +481,8 @@
 
     def _abandon(self) -> None:
         """After a failed write: what it left behind the last whole record is cut off, or the segment is left
-        as it is and a new one begun; its tail is told apart at the next start."""
+        as it is and a new one begun; its tail is told apart at the next start.
+        """
         if self.fd >= 0:
             try:
                 self.files.truncate(name_of(self.number), self.offset)
@@ -499,7 +505,8 @@
     def _distrust_segment(self) -> None:
         """After a failed sync nobody knows what of the segment is durable, and a later sync that goes well
         says nothing of it (fsync(2)): it takes nothing more, and every purge that is known is said again in
-        the next one."""
+        the next one.
+        """
         self.count("syncs_failed")
         self.files.close(self.fd)
         self.fd, self.unsynced = -1, False
@@ -526,7 +533,7 @@
     def needs_room(self) -> bool:
         return self.full or self.used() + self.queued > self.limits.room
 
-    def victim(self) -> Optional[int]:
+    def victim(self) -> int | None:
         """The segment in which most is dead; of those alike, the oldest."""
         with self.lock:
             closed = [number for number in self.segments if number != self.number or self.fd < 0]
@@ -538,9 +545,10 @@
 
     def compact(self, number: int, keep: Callable[[Entry], bool]) -> Iterator[int]:
         """Writes anew what of a segment is live and wanted, then removes it; yields the bytes of each step.
-        A crash within leaves the old one, or both: the newer generation counts."""
+        A crash within leaves the old one, or both: the newer generation counts.
+        """
         with self.lock:
-            if number not in self.segments or self.fd >= 0 and number == self.number:
+            if number not in self.segments or (self.fd >= 0 and number == self.number):
                 return
         try:
             data = memoryview(self.files.read(name_of(number)))
@@ -683,7 +691,7 @@
                 self.fd = -1
         self.files.end()
 
-    def status(self) -> Dict[str, int]:
+    def status(self) -> dict[str, int]:
         with self.lock:
             return {
                 "entries": len(self.index),
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -10,8 +10,9 @@
 import json
 import os
 import sys
+from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Any, Callable, Dict, Iterator, List, Optional, Tuple
+from typing import Any
 
 import anyio
 from loguru import logger
@@ -75,12 +76,12 @@
         self.writer = anyio.CapacityLimiter(1)
         self.reads = 0
         self.per_kb, self.kb = 1000.0, 0.0
-        self.counts: Dict[str, int] = {"hits": 0, "misses": 0, "slow": 0, "kept": 0, "refused": 0}
-        self.by_kind: Dict[Tuple[int, int], List[int]] = {}  # hits and reqs by vhost and size class
+        self.counts: dict[str, int] = {"hits": 0, "misses": 0, "slow": 0, "kept": 0, "refused": 0}
+        self.by_kind: dict[tuple[int, int], list[int]] = {}  # hits and reqs by vhost and size class
         self.kept_bytes = 0
         self.recovery_ms = (now() - began) / 10
         self.news = anyio.Event()
-        self.pending: Dict[Tuple[int, int], int] = {}  # dates of copies that wait to be written
+        self.pending: dict[tuple[int, int], int] = {}  # dates of copies that wait to be written
         self.heard_at = 0
         logger.info("disk: {}", self.store.status())
 
@@ -99,7 +100,7 @@
             return -1
         return max(0, (self.unix_ms() - entry.dated) * 10)
 
-    def _kind(self, came: interface.RequestReceived, size: int) -> List[int]:
+    def _kind(self, came: interface.RequestReceived, size: int) -> list[int]:
         return self.by_kind.setdefault((came.class_index, size.bit_length()), [0, 0])
 
     def should_store(self, now: int, came: interface.RequestReceived) -> bool:
@@ -112,10 +113,10 @@
 
     # What the director does
 
-    async def read(self, came: interface.RequestReceived) -> Optional[Copy]:
+    async def read(self, came: interface.RequestReceived) -> Copy | None:
         """The copy, verified, within the patience; None is a miss."""
         self.reads += 1
-        copy: Optional[Copy] = None
+        copy: Copy | None = None
         try:
             with anyio.move_on_after(self.told.patience / TICKS) as scope:
                 copy = await anyio.to_thread.run_sync(
@@ -149,7 +150,7 @@
             self.kept_bytes += len(body)
             self.news.set()
 
-    def purge(self, obj: Optional[int], group: int, unix_ms: int) -> None:
+    def purge(self, obj: int | None, group: int, unix_ms: int) -> None:
         self.store.purge(obj, group, unix_ms)
         self.news.set()
 
@@ -242,7 +243,7 @@
         self.store.close()
         self._tell()
 
-    def status(self) -> Dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         written = self.store.counts.get("bytes_written", 0)
         return {
             **self.store.status(),
--- a/ironhinge/facts.py
+++ b/ironhinge/facts.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import Any, Dict, List, NamedTuple, Optional, Tuple
+from typing import Any, NamedTuple
 
 from . import interface
 from .interface import DedupScope, EndpointState, FillNoteLevel, Idempotency, SiblingFill, WeightKind
@@ -59,10 +59,10 @@
     def mark(self, name: str) -> bool:
         return self._get(name, (bool,), "true or false", False)
 
-    def rows(self, name: str, absent: Any = ()) -> List[Any]:
+    def rows(self, name: str, absent: Any = ()) -> list[Any]:
         return self._get(name, (list,), "an array", absent)
 
-    def several(self, name: str, shape: type, expected: str) -> Tuple[Any, ...]:
+    def several(self, name: str, shape: type, expected: str) -> tuple[Any, ...]:
         """A list of which each value has the same shape."""
         shapes = (int, float) if shape is float else (shape,)
         found = self.rows(name)
@@ -72,22 +72,22 @@
             raise Malformed(f"{self.message}: field '{name}' is not an array of {expected}")
         return tuple(found)
 
-    def texts(self, name: str) -> Tuple[str, ...]:
+    def texts(self, name: str) -> tuple[str, ...]:
         return self.several(name, str, "texts")
 
-    def numbers(self, name: str) -> Tuple[float, ...]:
+    def numbers(self, name: str) -> tuple[float, ...]:
         return self.several(name, float, "numbers")
 
-    def wholes(self, name: str) -> Tuple[int, ...]:
+    def wholes(self, name: str) -> tuple[int, ...]:
         return self.several(name, int, "whole numbers")
 
-    def marks(self, name: str) -> Tuple[bool, ...]:
+    def marks(self, name: str) -> tuple[bool, ...]:
         return self.several(name, bool, "true and false")
 
-    def inner(self, name: str, absent: Any = REQUIRED) -> "Fields":
+    def inner(self, name: str, absent: Any = REQUIRED) -> Fields:
         return Fields(f"{self.message} {name}", self._get(name, (dict,), "an object", absent))
 
-    def word(self, name: str, words: Dict[str, Any], absent: Any = REQUIRED) -> Any:
+    def word(self, name: str, words: dict[str, Any], absent: Any = REQUIRED) -> Any:
         value = self.text(name, absent)
         if value not in words:
             raise Malformed(f"{self.message}: field '{name}' has the unknown word '{value}'")
@@ -99,7 +99,7 @@
     def up(self, name: str, absent: Any = 0) -> int:
         return -(-self.whole(name, absent) // UNIT)
 
-    def load(self) -> Optional[Tuple[float, ...]]:
+    def load(self) -> tuple[float, ...] | None:
         return self.numbers("stats") if self.has("stats") else None
 
 
@@ -146,7 +146,7 @@
 }
 
 
-def _at(rows: Tuple[Any, ...], place: int, absent: Any) -> Any:
+def _at(rows: tuple[Any, ...], place: int, absent: Any) -> Any:
     return rows[place] if place < len(rows) else absent
 
 
@@ -219,7 +219,7 @@
     )
 
 
-def node_rows(event: Fields) -> Tuple[interface.Endpoint, ...]:
+def node_rows(event: Fields) -> tuple[interface.Endpoint, ...]:
     rows = []
     for place, values in enumerate(event.rows("rows")):
         row = Fields(f"{event.message} rows[{place}]", values)
@@ -255,9 +255,9 @@
 class Names(NamedTuple):
     """What the protocol names by text or place, in the order of the settings."""
 
-    vhosts: Tuple[str, ...]
-    zones: Tuple[str, ...]
-    kinds: Tuple[str, ...]
+    vhosts: tuple[str, ...]
+    zones: tuple[str, ...]
+    kinds: tuple[str, ...]
 
 
 class Transport(NamedTuple):
@@ -279,12 +279,12 @@
 class ListNews(NamedTuple):
     number: int
     whole: bool
-    listings: Tuple[Listing, ...]
+    listings: tuple[Listing, ...]
 
 
 class PurgeNews(NamedTuple):
     number: int
-    obj: Optional[int]  # None: the whole group
+    obj: int | None  # None: the whole group
     group: int
     unix_ms: int
 
@@ -296,15 +296,15 @@
     listen: Address
     seed: int
     limits: Limits
-    peer_listen: Optional[Address]
-    peers: Tuple[Address, ...]
-    peers_all: Optional[Address]
-    coordinator: Optional[Address]
+    peer_listen: Address | None
+    peers: tuple[Address, ...]
+    peers_all: Address | None
+    coordinator: Address | None
     names: Names
     transport: Transport
     deployment: interface.Deployment
     known_number: int
-    known: Tuple[Any, ...]  # ListNews and PurgeNews
+    known: tuple[Any, ...]  # ListNews and PurgeNews
 
 
 def address(text: str, where: str) -> Address:
@@ -321,7 +321,7 @@
         raise Malformed(f"{where}: '{text}' is not hex digits") from None
 
 
-def _place(names: Tuple[str, ...], name: str, where: str) -> int:
+def _place(names: tuple[str, ...], name: str, where: str) -> int:
     if name not in names:
         raise Malformed(f"{where}: the settings lack '{name}'")
     return names.index(name)
@@ -344,8 +344,8 @@
     )
 
 
-def _known(known: Fields, names: Names) -> List[Any]:
-    news: List[Any] = []
+def _known(known: Fields, names: Names) -> list[Any]:
+    news: list[Any] = []
     for place, values in enumerate(known.rows("updates")):
         where = f"{known.message} updates[{place}]"
         update = Fields(where, values)
@@ -382,7 +382,7 @@
     policy = settings.inner("policy-limits", {})
     known = whole.inner("known", {})
 
-    def optional(name: str) -> Optional[Address]:
+    def optional(name: str) -> Address | None:
         return address(whole.text(name), f"field '{name}'") if whole.has(name) else None
 
     return Assignment(
@@ -406,7 +406,7 @@
     )
 
 
-def load_report(found: Dict[str, float], facts: interface.Deployment) -> Optional[Tuple[float, ...]]:
+def load_report(found: dict[str, float], facts: interface.Deployment) -> tuple[float, ...] | None:
     """A load report told by name, in the order of the deployment; None where a value is missing."""
     named = {LOADS.get(name, name): value for name, value in found.items()}
     if any(name not in named for name in facts.load_report_fields):
--- a/ironhinge/fleet/children.py
+++ b/ironhinge/fleet/children.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from typing import Dict, List, NamedTuple, Optional, Union
+from typing import NamedTuple, Union
 
 from .desired import Entry, specs
 
@@ -63,21 +63,21 @@
 
 class Child:
     def __init__(self, config: str):
-        self.config: Optional[str] = config  # wanted; None: to be down
-        self.runs: Optional[str] = None  # what the process was started with
+        self.config: str | None = config  # wanted; None: to be down
+        self.runs: str | None = None  # what the process was started with
         self.state = "down"  # 'starting', 'up', 'draining', 'waits', 'broken'
         self.since = 0
         self.until = 0
-        self.ends: List[int] = []
+        self.ends: list[int] = []
         self.back_off = BACK_OFF
 
 
 class Children:
     def __init__(self) -> None:
-        self.children: Dict[str, Child] = {}
+        self.children: dict[str, Child] = {}
         self.generation = 0
 
-    def step(self, now: int, what: Event) -> List[Doing]:
+    def step(self, now: int, what: Event) -> list[Doing]:
         if isinstance(what, Told):
             self._told(what.entry)
         elif isinstance(what, Up):
@@ -86,7 +86,7 @@
                 child.state, child.since = "up", now
         elif isinstance(what, Ended):
             self._ended(now, what)
-        acts: List[Doing] = []
+        acts: list[Doing] = []
         for name, child in list(self.children.items()):
             acts += self._look(now, name, child)
             if child.config is None and child.state in ("down", "waits", "broken"):
@@ -123,7 +123,7 @@
         child.state, child.until = "waits", now + child.back_off
         child.back_off = min(LONGEST, 2 * child.back_off)
 
-    def _look(self, now: int, name: str, child: Child) -> List[Doing]:
+    def _look(self, now: int, name: str, child: Child) -> list[Doing]:
         if child.state == "waits" and now >= child.until:
             child.state = "down"
         if child.state == "down" and child.config is not None:
@@ -142,5 +142,5 @@
             child.back_off = BACK_OFF
         return []
 
-    def plain(self) -> Dict[str, str]:
+    def plain(self) -> dict[str, str]:
         return {name: child.state for name, child in sorted(self.children.items())}
--- a/ironhinge/fleet/desired.py
+++ b/ironhinge/fleet/desired.py
@@ -11,12 +11,12 @@
 from __future__ import annotations
 
 from collections import OrderedDict, deque
-from typing import Deque, Dict, List, NamedTuple, Optional, Tuple, Union
+from typing import NamedTuple, Union
 
 ANSWERS = 1024  # commands whose answers are remembered; older ones fail by their generation
 HISTORY = 64  # entries that can be gone back to
 
-Spec = Tuple[Tuple[str, str], ...]  # directors and the digests of their configurations, by name
+Spec = tuple[tuple[str, str], ...]  # directors and the digests of their configurations, by name
 
 
 class Command(NamedTuple):
@@ -81,12 +81,12 @@
 
 
 class Desired:
-    def __init__(self, entries: Tuple[Entry, ...] = ()):
+    def __init__(self, entries: tuple[Entry, ...] = ()):
         """From a journal's entries, oldest first; one out of order is a journal of something else."""
-        self.history: Deque[Entry] = deque([NOTHING], HISTORY)
-        self.answers: "OrderedDict[str, Answer]" = OrderedDict()
-        self.pending: Optional[Entry] = None
-        self.queue: Deque[Asked] = deque()
+        self.history: deque[Entry] = deque([NOTHING], HISTORY)
+        self.answers: OrderedDict[str, Answer] = OrderedDict()
+        self.pending: Entry | None = None
+        self.queue: deque[Asked] = deque()
         for entry in entries:
             if entry.generation != self.stands.generation + 1:
                 raise ValueError(f"generation {entry.generation} after {self.stands.generation}")
@@ -96,8 +96,8 @@
     def stands(self) -> Entry:
         return self.history[-1]
 
-    def step(self, what: Event) -> List[Doing]:
-        acts: List[Doing] = []
+    def step(self, what: Event) -> list[Doing]:
+        acts: list[Doing] = []
         if isinstance(what, Asked):
             self.queue.append(what)
         elif self.pending is None or what.generation != self.pending.generation:
@@ -113,7 +113,7 @@
             acts += self._take(self.queue.popleft())
         return acts
 
-    def _take(self, asked: Asked) -> List[Doing]:
+    def _take(self, asked: Asked) -> list[Doing]:
         command = asked.command
         known = self.answers.get(command.id)
         if known is not None:
@@ -139,7 +139,7 @@
             self.answers.popitem(last=False)
         return answer
 
-    def before(self, generation: int) -> Optional[Entry]:
+    def before(self, generation: int) -> Entry | None:
         """What stood before a generation, to go back to; None where that is forgotten."""
         for older, newer in zip(list(self.history), list(self.history)[1:], strict=False):
             if newer.generation == generation:
@@ -147,5 +147,5 @@
         return None
 
 
-def specs(entry: Entry) -> Dict[str, str]:
+def specs(entry: Entry) -> dict[str, str]:
     return dict(entry.spec)
--- a/ironhinge/fleet/journal.py
+++ b/ironhinge/fleet/journal.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from typing import List, Tuple
-
 import msgspec
 import xxhash
 
@@ -23,9 +21,9 @@
     return xxhash.xxh64_hexdigest(body).encode() + b" " + body + b"\n"
 
 
-def read(data: bytes) -> Tuple[List[Entry], int]:
+def read(data: bytes) -> tuple[list[Entry], int]:
     """The entries, and how many bytes of the data hold them: what follows is to be cut off."""
-    out: List[Entry] = []
+    out: list[Entry] = []
     at = 0
     while at < len(data):
         end = data.find(b"\n", at)
--- a/ironhinge/fleet/rollout.py
+++ b/ironhinge/fleet/rollout.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from typing import Dict, List, NamedTuple, Tuple, Union
+from typing import NamedTuple, Union
 
 from .desired import Answer, Command, Spec
 
@@ -27,18 +27,19 @@
     new: Spec
 
 
-def plan(members: Tuple[Member, ...], away: Dict[str, int]) -> List[List[str]]:
+def plan(members: tuple[Member, ...], away: dict[str, int]) -> list[list[str]]:
     """Waves of members' names: one, then growing; of a branch never more at once than may be `away` (1 where
-    it is not told). Branches take turns, so that no wave is of one branch where it can be helped."""
-    left: Dict[str, List[str]] = {}
+    it is not told). Branches take turns, so that no wave is of one branch where it can be helped.
+    """
+    left: dict[str, list[str]] = {}
     for member in sorted(members):
         left.setdefault(member.branch, []).append(member.name)
-    waves: List[List[str]] = []
+    waves: list[list[str]] = []
     done = 0
     while any(left.values()):
         most = CANARY if not waves else GROWS * done
-        wave: List[str] = []
-        taken = {branch: 0 for branch in left}
+        wave: list[str] = []
+        taken = dict.fromkeys(left, 0)
         going = True
         while going and len(wave) < most:
             going = False
@@ -97,25 +98,25 @@
     """States: 'rolling', 'holding' (paused, or a member is cut off), 'undoing', 'over'."""
 
     def __init__(
-        self, name: str, who: str, why: str, members: Tuple[Member, ...], away: Dict[str, int], now: int
+        self, name: str, who: str, why: str, members: tuple[Member, ...], away: dict[str, int], now: int
     ):
         self.name, self.who, self.why = name, who, why
         self.members = {member.name: member for member in members}
         self.waves = plan(members, away)
         self.wave = -1
         self.since = now
-        self.sent: Dict[str, int] = {}  # when a command was last sent; sent again until it is answered
-        self.health: Dict[str, Health] = {}
-        self.heard = {name: now for name in self.members}
-        self.crashes: Dict[str, int] = {}
-        self.undo: List[str] = []
+        self.sent: dict[str, int] = {}  # when a command was last sent; sent again until it is answered
+        self.health: dict[str, Health] = {}
+        self.heard = dict.fromkeys(self.members, now)
+        self.crashes: dict[str, int] = {}
+        self.undo: list[str] = []
         self.state, self.verdict = "rolling", ""
         self.paused = False
 
-    def step(self, now: int, what: Event) -> List[Doing]:
+    def step(self, now: int, what: Event) -> list[Doing]:
         if self.state == "over":
             return []
-        acts: List[Doing] = []
+        acts: list[Doing] = []
         if isinstance(what, Pause):
             self.paused = what.on
         elif isinstance(what, Health) and what.name in self.members:
@@ -128,7 +129,7 @@
             acts += self._answered(now, what)
         return acts + self._go_on(now)
 
-    def _answered(self, now: int, what: Answered) -> List[Doing]:
+    def _answered(self, now: int, what: Answered) -> list[Doing]:
         self.heard[what.name] = now
         if what.answer.won:
             return []
@@ -142,7 +143,7 @@
             f"{what.name} stands at generation {stands.generation} of {stands.who}: {stands.why}"
         )
 
-    def _conflict(self, why: str) -> List[Doing]:
+    def _conflict(self, why: str) -> list[Doing]:
         """Another operator's change stands there: nothing of it is touched, and nothing more is sent."""
         self.state = "over"
         return [Over("conflict", why)]
@@ -158,13 +159,13 @@
         health = self.health.get(name)
         return health is not None and health.id.startswith(self._id(name, to))
 
-    def _go_on(self, now: int) -> List[Doing]:
+    def _go_on(self, now: int) -> list[Doing]:
         if self.state == "undoing":
             return self._undo(now)
         silent = [name for name in self._begun() if now > self.heard[name] + LOST_FOR]
         self.state = "holding" if self.paused or silent else "rolling"
         self.verdict = f"no word from {silent[0]}" if silent else "paused" if self.paused else ""
-        acts: List[Doing] = []
+        acts: list[Doing] = []
         fault = self._gate()
         if fault:
             self._go_back(now, fault)
@@ -186,10 +187,10 @@
                 acts += self._send(now, name, "new")
         return acts
 
-    def _begun(self) -> List[str]:
+    def _begun(self) -> list[str]:
         return [name for wave in self.waves[: self.wave + 1] for name in wave]
 
-    def _send(self, now: int, name: str, to: str) -> List[Doing]:
+    def _send(self, now: int, name: str, to: str) -> list[Doing]:
         if now < self.sent.get(self._id(name, to), -SOAK) + SOAK // 10:
             return []
         self.sent[self._id(name, to)] = now
@@ -224,7 +225,7 @@
             name for name in self._begun() if self._id(name, "new") in self.sent or self._at(name, "new")
         ]
 
-    def _undo(self, now: int) -> List[Doing]:
+    def _undo(self, now: int) -> list[Doing]:
         """Members that took the change go back, all together: the old one is known to do well."""
         self.undo = [name for name in self.undo if not self._at(name, "old")]
         if not self.undo or all(now > self.heard[name] + LOST_FOR for name in self.undo):
--- a/ironhinge/jobs/plan.py
+++ b/ironhinge/jobs/plan.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from typing import Dict, List, NamedTuple, Optional, Union
+from typing import NamedTuple, Union
 
 SECOND = 10_000
 LEAST = 1 / 16  # of its budgets that background work always has
@@ -96,13 +96,13 @@
         self.budgets, self.at = budgets, now
         self.disk, self.cpu = budgets.disk, budgets.cpu * SECOND  # a second's worth to begin with
         self.share = 1.0  # of its budgets that it has now
-        self.jobs: Dict[str, Entry] = {}
-        self.ended: Dict[str, str] = {}  # how the latest ones ended, by name
-        self.scale: Dict[int, float] = {}  # the least that any running job of a class had
+        self.jobs: dict[str, Entry] = {}
+        self.ended: dict[str, str] = {}  # how the latest ones ended, by name
+        self.scale: dict[int, float] = {}  # the least that any running job of a class had
 
-    def step(self, now: int, what: Event) -> List[Doing]:
+    def step(self, now: int, what: Event) -> list[Doing]:
         self._refill(now)
-        acts: List[Doing] = []
+        acts: list[Doing] = []
         if isinstance(what, Submitted):
             if what.job.name not in self.jobs:  # one of a name at a time: it is the same work
                 had = self.scale.get(what.job.priority, 0.0)
@@ -126,7 +126,7 @@
         self.disk = min(self.budgets.disk, self.disk + disk * span / SECOND)
         self.cpu = min(self.budgets.cpu * SECOND, self.cpu + cpu * span)
 
-    def _sliced(self, now: int, what: Sliced, acts: List[Doing]) -> None:
+    def _sliced(self, now: int, what: Sliced, acts: list[Doing]) -> None:
         self.disk -= what.disk
         self.cpu -= what.cpu
         entry = self.jobs.get(what.name)
@@ -156,9 +156,9 @@
         while len(self.ended) > 64:
             del self.ended[next(iter(self.ended))]
 
-    def _next(self, now: int) -> List[Doing]:
+    def _next(self, now: int) -> list[Doing]:
         running = sum(entry.running for entry in self.jobs.values())
-        acts: List[Doing] = []
+        acts: list[Doing] = []
         waiting = [entry for entry in self.jobs.values() if not entry.running and not entry.cancelled]
         while waiting and running < self.budgets.together:
             if self.disk <= 0 or self.cpu <= 0:
@@ -181,7 +181,7 @@
         rises = (now - entry.waits_since) // AGING
         return (not late, -(entry.job.priority + rises), entry.had, entry.job.name)
 
-    def why(self, now: int, name: str) -> Optional[str]:
+    def why(self, now: int, name: str) -> str | None:
         """What a job waits for, in words."""
         entry = self.jobs.get(name)
         if entry is None:
@@ -194,7 +194,7 @@
             return "waits for the CPU budget"
         return "waits for its turn"
 
-    def plain(self, now: int) -> Dict[str, object]:
+    def plain(self, now: int) -> dict[str, object]:
         return {
             "share": round(self.share, 3),
             "disk": int(self.disk),
--- a/ironhinge/jobs/runner.py
+++ b/ironhinge/jobs/runner.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import time
-from typing import Callable, Dict, Iterator, List
+from collections.abc import Callable, Iterator
 
 import anyio
 from anyio.abc import TaskGroup
@@ -25,10 +25,10 @@
 
     def __init__(self, budgets: Budgets, now: Callable[[], int]):
         self.now, self.plan = now, Plan(budgets, now())
-        self.work: Dict[str, Iterator[int]] = {}
+        self.work: dict[str, Iterator[int]] = {}
         self.wake_at = 0
         self.threads = anyio.CapacityLimiter(max(1, budgets.together))
-        self.todo: List[Run] = []
+        self.todo: list[Run] = []
         self.news = anyio.Event()
 
     def submit(self, job: Job, work: Work) -> None:
@@ -45,7 +45,7 @@
     def _tell(self, what: Event) -> None:
         self._do(self.plan.step(self.now(), what))
 
-    def _do(self, acts: List[Doing]) -> None:
+    def _do(self, acts: list[Doing]) -> None:
         for act in acts:
             if isinstance(act, Run):
                 self.todo.append(act)
--- a/ironhinge/lab/cli.py
+++ b/ironhinge/lab/cli.py
@@ -4,7 +4,7 @@
 
 import json
 import sys
-from typing import Any, Dict
+from typing import Any
 
 import click
 
@@ -37,7 +37,8 @@
     scenario: str, seed: int, seconds: float, directors: int, scale: float, share: bool, as_json: bool
 ) -> None:
     """Play a scene: caches, hubs, an origin, a coordinator, clients and DIRECTORS real directors; then say
-    what crossed and what clients were answered. Code 1 where a rule of the lab does not hold."""
+    what crossed and what clients were answered. Code 1 where a rule of the lab does not hold.
+    """
     from .run import play
     from .scenes import SCENES, scene
 
@@ -62,7 +63,7 @@
     sys.exit(0 if holds(figures) else 1)
 
 
-def holds(figures: Dict[str, Any]) -> bool:
+def holds(figures: dict[str, Any]) -> bool:
     """What a run has to show, whatever its scene."""
     whole = figures["requests"] == figures["final_answers"] and not figures["doubled_answers"]
     return (
@@ -74,5 +75,5 @@
     )
 
 
-def table(figures: Dict[str, Any]) -> str:
+def table(figures: dict[str, Any]) -> str:
     return "\n".join(f"{name:22} {value}" for name, value in figures.items())
--- a/ironhinge/lab/disks.py
+++ b/ironhinge/lab/disks.py
@@ -5,9 +5,9 @@
 from __future__ import annotations
 
 import errno
+from collections.abc import Iterable, Sequence
 from pathlib import Path
 from random import Random
-from typing import Dict, Iterable, List, Optional, Sequence
 
 from ..disk.files import Files
 
@@ -20,10 +20,10 @@
     def __init__(self, seed: int = 0):
         self.chance = Random(seed)
         self.calls = 0
-        self.cut_at: Optional[int] = None  # the power goes at that call
-        self.room: Optional[int] = None  # bytes that the disk takes
-        self.error: Optional[int] = None  # every write fails with it
-        self.sync_error: Optional[int] = None  # every sync fails with it
+        self.cut_at: int | None = None  # the power goes at that call
+        self.room: int | None = None  # bytes that the disk takes
+        self.error: int | None = None  # every write fails with it
+        self.sync_error: int | None = None  # every sync fails with it
 
 
 class File:
@@ -39,9 +39,9 @@
 class MemoryFiles(Files):
     def __init__(self, faults: Faults):
         self.faults, self.folder, self.read_only = faults, Path("/memory"), False
-        self.files: Dict[str, File] = {}
-        self.safe_names: Dict[str, File] = {}
-        self.fds: Dict[int, File] = {}
+        self.files: dict[str, File] = {}
+        self.safe_names: dict[str, File] = {}
+        self.fds: dict[int, File] = {}
         self.next_fd = 3
 
     def _call(self) -> None:
@@ -49,7 +49,7 @@
         if self.faults.cut_at is not None and self.faults.calls >= self.faults.cut_at:
             raise PowerCut
 
-    def after_power_cut(self) -> "MemoryFiles":
+    def after_power_cut(self) -> MemoryFiles:
         """What the next start finds: synced bytes, and any part of the others, in sectors, in no order."""
         chance, found = self.faults.chance, MemoryFiles(Faults(self.faults.chance.getrandbits(30)))
         names = dict(self.safe_names)
@@ -76,7 +76,7 @@
     def lock(self) -> None:
         return None
 
-    def names(self) -> List[str]:
+    def names(self) -> list[str]:
         return sorted(self.files)
 
     def open_append(self, name: str) -> int:
@@ -111,7 +111,8 @@
 
     def sync(self, fd: int) -> None:
         """A failed one forgets what it could not write, as Linux does: a later one that goes well brings only
-        what was written after it."""
+        what was written after it.
+        """
         self._call()
         file = self.fds[fd]
         if self.faults.sync_error is not None:
@@ -120,7 +121,7 @@
         lost = bytes(max(0, file.forgotten - len(file.safe)))
         file.safe = file.safe + lost + bytes(file.data[len(file.safe) + len(lost) :])
 
-    def what_is_durable(self) -> "MemoryFiles":
+    def what_is_durable(self) -> MemoryFiles:
         """What the next start finds when nothing else survives."""
         found = MemoryFiles(Faults())
         for name, file in self.safe_names.items():
@@ -177,7 +178,7 @@
     def read(self, name: str) -> bytes:
         return bytes(self._file(name).data)
 
-    def read_at(self, name: str, offset: int, *sizes: int) -> List[bytes]:
+    def read_at(self, name: str, offset: int, *sizes: int) -> list[bytes]:
         out, data = [], self._file(name).data
         for size in sizes:
             out.append(bytes(data[offset : offset + size]))
--- a/ironhinge/lab/nodes.py
+++ b/ironhinge/lab/nodes.py
@@ -13,10 +13,9 @@
 import time
 from collections import OrderedDict
 from functools import partial
-from typing import Dict, List, Optional, Set, Tuple
 
 PIECE = 500  # bytes written at a time: what a fill that is cut off had on its way is told to that
-Key = Tuple[str, str]
+Key = tuple[str, str]
 
 
 def body_of(obj: str, part: str, size: int) -> bytes:
@@ -28,7 +27,7 @@
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
-async def read_resp(reader: asyncio.StreamReader) -> List[bytes]:
+async def read_resp(reader: asyncio.StreamReader) -> list[bytes]:
     items = []
     for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
         size = int((await reader.readuntil(b"\r\n"))[1:])
@@ -36,7 +35,7 @@
     return items
 
 
-def forget(open_: Dict[bytes, "asyncio.Task[None]"], name: bytes, task: "asyncio.Task[None]") -> None:
+def forget(open_: dict[bytes, asyncio.Task[None]], name: bytes, task: asyncio.Task[None]) -> None:
     if open_.get(name) is task:
         del open_[name]
 
@@ -59,9 +58,9 @@
 
     def __init__(self, room: int):
         self.room, self.held = room, 0
-        self.ranks: List["OrderedDict[Key, Tuple[bytes, int]]"] = [OrderedDict() for _ in range(4)]
+        self.ranks: list[OrderedDict[Key, tuple[bytes, int]]] = [OrderedDict() for _ in range(4)]
 
-    def find(self, key: Key) -> Optional[Tuple[bytes, int]]:
+    def find(self, key: Key) -> tuple[bytes, int] | None:
         for copies in self.ranks:
             if key in copies:
                 copies.move_to_end(key)
@@ -82,7 +81,7 @@
 
 
 class LabNode:
-    def __init__(self, lab: "World", name: str, kind: str, zone: str, room: int, pace: float):
+    def __init__(self, lab: World, name: str, kind: str, zone: str, room: int, pace: float):
         self.lab, self.name, self.kind, self.zone = lab, name, kind, zone
         self.store, self.pace = Store(room), pace
         self.port = 0
@@ -92,15 +91,15 @@
         self.dispatches = self.fills_cut = 0
         self.silent = False
         self.since_ms = 0
-        self.server: Optional[asyncio.Server] = None
-        self.held: Optional[socket.socket] = None
-        self.tasks: Set["asyncio.Task[None]"] = set()
-        self.writers: Set[asyncio.StreamWriter] = set()
-        self.idle: Dict[int, List[Tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}  # by port
-        self.fills: Dict[Key, "asyncio.Task[Tuple[bytes, int, str]]"] = {}
-        self.waiters: Dict[Key, int] = {}
-
-    def spawn(self, work) -> "asyncio.Task[None]":
+        self.server: asyncio.Server | None = None
+        self.held: socket.socket | None = None
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.writers: set[asyncio.StreamWriter] = set()
+        self.idle: dict[int, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}  # by port
+        self.fills: dict[Key, asyncio.Task[tuple[bytes, int, str]]] = {}
+        self.waiters: dict[Key, int] = {}
+
+    def spawn(self, work) -> asyncio.Task[None]:
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -143,7 +142,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
-        open_: Dict[bytes, "asyncio.Task[None]"] = {}
+        open_: dict[bytes, asyncio.Task[None]] = {}
         lock = asyncio.Lock()
         try:
             while True:
@@ -165,7 +164,7 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def _want(self, items: List[bytes], writer: asyncio.StreamWriter, lock: asyncio.Lock) -> None:
+    async def _want(self, items: list[bytes], writer: asyncio.StreamWriter, lock: asyncio.Lock) -> None:
         self.dispatches += 1
         fields = dict(part.split("=", 1) for part in items[2].decode().split(","))
         key = fields["obj"], fields.get("seg", "0")
@@ -206,7 +205,7 @@
                 self.carried += len(piece)
         writer.write(b"\r\n")
 
-    async def _find(self, key: Key, fields: Dict[str, str], hints: List[str]) -> Tuple[bytes, int, str]:
+    async def _find(self, key: Key, fields: dict[str, str], hints: list[str]) -> tuple[bytes, int, str]:
         if self.kind == "origin":
             await asyncio.sleep(0.01)
             size = self.lab.sizes.get(key[0], 1000)
@@ -215,7 +214,7 @@
         oldest = time.time() * 1000 - float(fields["accept"]) if fields.get("accept") else 0.0
         if found is not None and found[1] >= oldest:
             return found[0], found[1], "h"
-        if "held" in hints and self.kind != "std" or "parent" not in fields:
+        if ("held" in hints and self.kind != "std") or "parent" not in fields:
             raise LookupError("l")
         joined = key in self.fills
         if not joined:
@@ -235,7 +234,7 @@
                     del self.fills[key]
         return body, dated, "j" if joined else note
 
-    async def _fetch(self, port: int, fields: str) -> List[bytes]:
+    async def _fetch(self, port: int, fields: str) -> list[bytes]:
         """One fill on a connection of its own; calling it off ends that, and with it what is on the way."""
         idle = self.idle.setdefault(port, [])
         while idle and idle[-1][1].is_closing():
@@ -253,7 +252,7 @@
         idle.append((reader, writer))
         return items
 
-    async def _fill(self, key: Key, fields: Dict[str, str]) -> Tuple[bytes, int, str]:
+    async def _fill(self, key: Key, fields: dict[str, str]) -> tuple[bytes, int, str]:
         source = self.lab.nodes.get(fields["parent"])
         if source is None:
             raise LookupError("r")
@@ -277,11 +276,11 @@
     """All stand-ins of one run, and what they share."""
 
     def __init__(self, link: float):
-        self.nodes: Dict[str, LabNode] = {}
-        self.sizes: Dict[str, int] = {}
+        self.nodes: dict[str, LabNode] = {}
+        self.sizes: dict[str, int] = {}
         self.link = Shaper(link)
         self.origin: LabNode
-        self.hub_ends: Set[Tuple[str, int]] = (
+        self.hub_ends: set[tuple[str, int]] = (
             set()
         )  # hubs' ends of their own connections: not into the branch
 
--- a/ironhinge/lab/people.py
+++ b/ironhinge/lab/people.py
@@ -10,7 +10,6 @@
 import struct
 from collections import Counter
 from random import Random
-from typing import Dict, List, Optional, Tuple
 
 from ..net.clientwire import read_fields, write_fields
 from .nodes import LabNode, body_of
@@ -29,19 +28,19 @@
 
     RECORD = struct.Struct(">I4sHBBBHIQ")
 
-    def __init__(self, zones: List[str], kinds: List[str]):
+    def __init__(self, zones: list[str], kinds: list[str]):
         self.zones, self.kinds = zones, kinds
-        self.events: List[bytes] = []
+        self.events: list[bytes] = []
         self.told = asyncio.Event()
         self.port = 0
-        self.server: Optional[asyncio.Server] = None
+        self.server: asyncio.Server | None = None
         self.first = 1
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def tell(self, nodes: List[LabNode], state: int = 0) -> None:
+    def tell(self, nodes: list[LabNode], state: int = 0) -> None:
         """A change of these nodes: 0 ready, 1 draining, 2 gone."""
         number = len(self.events) + 2  # the configuration holds the first
         rows = b"".join(
@@ -72,7 +71,7 @@
                 self.told.clear()
                 try:
                     await asyncio.wait_for(self.told.wait(), 0.5)
-                except asyncio.TimeoutError:
+                except TimeoutError:
                     writer.write((9).to_bytes(4, "big") + known.to_bytes(8, "big") + b"\0")
         except (OSError, EOFError, asyncio.CancelledError):
             pass
@@ -83,13 +82,13 @@
 class Front:
     """A client's connection to a director; answers come by stream."""
 
-    def __init__(self, tally: "Tally"):
+    def __init__(self, tally: Tally):
         self.tally, self.stream = tally, 0
-        self.waiting: Dict[int, "asyncio.Future[Tuple[str, Dict[str, str], bytes]]"] = {}
+        self.waiting: dict[int, asyncio.Future[tuple[str, dict[str, str], bytes]]] = {}
         self.left: set = set()
         self.over = False  # takes no new req: the director said so, or the connection has ended
         self.writer: asyncio.StreamWriter
-        self.reading: "asyncio.Task[None]"
+        self.reading: asyncio.Task[None]
 
     async def open(self, port: int) -> None:
         reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
@@ -127,7 +126,7 @@
 
     async def ask(
         self, route: str, obj: int, part: int, body: int, redo: bool, trace: str, leaves: float
-    ) -> Tuple[str, Dict[str, str]]:
+    ) -> tuple[str, dict[str, str]]:
         """One req; how it ended, and the fields of the answer."""
         self.stream += 1
         stream, tally = self.stream, self.tally
@@ -150,7 +149,7 @@
             if leaves:
                 await asyncio.wait_for(asyncio.shield(future), leaves)
             word, told, data = await asyncio.wait_for(future, PATIENCE + 1.0)
-        except asyncio.TimeoutError:
+        except TimeoutError:
             self.waiting.pop(stream, None)
             self.left.add(stream)
             if leaves:
@@ -184,16 +183,16 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.times: List[float] = []
+        self.times: list[float] = []
 
 
 class People:
     """All clients of a run."""
 
-    def __init__(self, ports: List[int], seed: int):
+    def __init__(self, ports: list[int], seed: int):
         self.ports, self.tally = ports, Tally()
         self.chance = Random(seed ^ 0x5EED)
-        self.shared: Dict[int, List[Tuple[float, Front]]] = {}  # idle ones, and since when
+        self.shared: dict[int, list[tuple[float, Front]]] = {}  # idle ones, and since when
 
     def trace(self) -> str:
         return f"{self.chance.getrandbits(64):016x}"
--- a/ironhinge/lab/run.py
+++ b/ironhinge/lab/run.py
@@ -14,8 +14,9 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Callable, Dict, List, Optional
+from typing import Any
 
 from .nodes import LabNode, World
 from .people import Coordinator, People
@@ -28,7 +29,7 @@
 Progress = Callable[[str], None]
 
 
-def settings(scene: Scene, directors: int, peers: bool = False) -> Dict[str, Any]:
+def settings(scene: Scene, directors: int, peers: bool = False) -> dict[str, Any]:
     """The platform's settings, as a director is told them."""
     vhosts = [
         {"name": CARD, "aim": 400_000, "deadline": 3_000_000, "semantics": "repeatable"},
@@ -82,9 +83,9 @@
 class DirectorProcess:
     """A director as a program of its own."""
 
-    def __init__(self, folder: Path, name: str, told: Dict[str, Any], operations: Optional[Path]):
+    def __init__(self, folder: Path, name: str, told: dict[str, Any], operations: Path | None):
         self.folder, self.name, self.told, self.operations = folder, name, told, operations
-        self.process: Optional[asyncio.subprocess.Process] = None
+        self.process: asyncio.subprocess.Process | None = None
         self.port = 0
         self.lives = 0
         self.cpu = 0.0
@@ -145,7 +146,7 @@
         process.send_signal(by)
         try:
             return await asyncio.wait_for(process.wait(), 12.0)
-        except asyncio.TimeoutError:
+        except TimeoutError:
             process.kill()
             await process.wait()
             return -1
@@ -166,16 +167,16 @@
         self.scene, self.seed, self.seconds, self.count = scene, seed, seconds, directors
         self.progress, self.account, self.share = progress, account and scene.name != "off", share
         self.wipe = wipe  # whether a restart begins with an empty disk
-        self.marks: Dict[str, int] = {}  # figures at the first restart
+        self.marks: dict[str, int] = {}  # figures at the first restart
         self.folder = Path(tempfile.mkdtemp(prefix="ironhinge-lab-"))
         self.kept = self.folder / "kept"
         self.world = World(scene.link)
         self.coordinator = Coordinator(ZONES, KINDS)
-        self.directors: List[DirectorProcess] = []
-        self.tasks: List["asyncio.Task[Any]"] = []
+        self.directors: list[DirectorProcess] = []
+        self.tasks: list[asyncio.Task[Any]] = []
         self.people: People
 
-    async def __call__(self) -> Dict[str, Any]:
+    async def __call__(self) -> dict[str, Any]:
         try:
             await self._up()
             return await self._play()
@@ -197,7 +198,7 @@
         await self.coordinator.start()
         peers = [free_port() for _ in range(self.count)] if self.share else []
         for place in range(self.count):
-            told: Dict[str, Any] = {
+            told: dict[str, Any] = {
                 "name": f"n{place}",
                 "seed": f"{self.seed * 1000 + place + 1:016x}",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -213,7 +214,7 @@
         self.progress(f"{len(world.nodes)} stand-ins up, starting {self.count} directors")
         await asyncio.gather(*(director.start() for director in self.directors))
 
-    def _operations(self, name: str) -> Optional[Path]:
+    def _operations(self, name: str) -> Path | None:
         if not self.account:
             return None
         path = self.folder / f"{name}.cue"
@@ -230,7 +231,7 @@
         folder = self.folder / "tier" / name
         return f'disk: {{folder: "{folder}", room: "{self.scene.disk}", segment: "512KiB"}}\n'
 
-    def _given(self) -> Dict[str, int]:
+    def _given(self) -> dict[str, int]:
         nodes = self.world.nodes.values()
         return {
             "origin": self.world.origin.given,
@@ -249,7 +250,7 @@
             self.marks = self._given()
         await director.start()
 
-    def _listing(self) -> Dict[str, Any]:
+    def _listing(self) -> dict[str, Any]:
         return {
             "index": 1,
             "snapshot": True,
@@ -280,7 +281,7 @@
 
     # Load and faults
 
-    async def _play(self) -> Dict[str, Any]:
+    async def _play(self) -> dict[str, Any]:
         scene, began = self.scene, time.monotonic()
         people = self.people = People([each.port for each in self.directors], self.seed)
         wanted = asks(scene, self.seed, self.seconds)
@@ -291,7 +292,7 @@
         for director in self.directors:
             director.measure()
         begun = [each.cpu for each in self.directors]
-        playing: List["asyncio.Task[None]"] = []
+        playing: list[asyncio.Task[None]] = []
         for ask in wanted:
             wait = began + ask.at - time.monotonic()
             if wait > 0:
@@ -341,7 +342,7 @@
 
     # Figures
 
-    def _figures(self, lasted: float, cpu: float, codes: List[int]) -> Dict[str, Any]:
+    def _figures(self, lasted: float, cpu: float, codes: list[int]) -> dict[str, Any]:
         scene, counts, times = self.scene, self.people.tally.counts, sorted(self.people.tally.times)
         carried = {node.name: node.carried for node in self.world.nodes.values() if node.kind != "std"}
         by_way = {
@@ -350,7 +351,7 @@
             "origin": carried["s-000000c1"],
         }
         owed = counts["sent"] - counts["left"]
-        out: Dict[str, Any] = {
+        out: dict[str, Any] = {
             "scenario": scene.name,
             "seed": self.seed,
             "directors": self.count,
@@ -409,7 +410,7 @@
     account: bool = True,
     share: bool = False,
     wipe: bool = False,
-) -> Dict[str, Any]:
+) -> dict[str, Any]:
     """One run from nothing to nothing; Ctrl-C ends it as cleanly."""
     run = Run(scene, seed, seconds, directors, progress, account, share, wipe)
     return asyncio.run(run())
--- a/ironhinge/lab/scenes.py
+++ b/ironhinge/lab/scenes.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, replace
 from random import Random
-from typing import Dict, List, NamedTuple, Tuple
+from typing import NamedTuple
 
 BYTES = 100  # on the socket, for each KB told
 CARD, FILM = "card", "film"
@@ -53,8 +53,8 @@
     budget: str = ""  # of the operations file: what stands in 'budgets'
     rate: float = 0.0  # bytes a second that the budget under test allows in all, with its allowance
     burst: float = 0.0
-    ways: Tuple[str, ...] = ()  # that it is of
-    faults: Tuple[Fault, ...] = ()
+    ways: tuple[str, ...] = ()  # that it is of
+    faults: tuple[Fault, ...] = ()
     disk: str = ""  # room of each director's tier
 
 
@@ -76,7 +76,7 @@
 CUT = """
         streams: {part: 0.9, interval: "500ms"}"""
 
-SCENES: Dict[str, Scene] = {
+SCENES: dict[str, Scene] = {
     one.name: one
     for one in (
         Scene(
@@ -141,7 +141,7 @@
     return replace(found, cards=found.cards * scale, streams=found.streams * scale)
 
 
-def asks(played: Scene, seed: int, seconds: float) -> List[Ask]:
+def asks(played: Scene, seed: int, seconds: float) -> list[Ask]:
     """All reqs of a scene, the same for the same seed. Streams begin early enough to end with the scene."""
     chance, out, viewer = Random(seed), [], 0
     sizes = [chance.randrange(played.card // 2, played.card) for _ in range(played.names)]
--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -9,7 +9,6 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 from math import sqrt
-from typing import Dict, List, Optional
 
 from .plan import COLD, COLD_FROM, DRAIN_GRACE, FALL, FALL_MULTIPLE, PACE, PURGE_GRACE, WEIGHT, Plan
 from .records import REFUSED, SERVED, Connection, DirectorLife, Records, Try
@@ -38,7 +37,7 @@
 class Verdict:
     """What an audit found."""
 
-    findings: List[Finding] = field(default_factory=list)
+    findings: list[Finding] = field(default_factory=list)
     requests: int = 0
     answered: int = 0
     served: int = 0
@@ -127,7 +126,8 @@
 
     def _excused_by_kill(self, one: Try, life: DirectorLife) -> bool:
         """Killed outright, or killed after SIGTERM before the request's time was up. What came up to 0.7 s
-        after SIGTERM has to be answered by the kill, if its own time was up by then; later ones too."""
+        after SIGTERM has to be answered by the kill, if its own time was up by then; later ones too.
+        """
         assert one.written_at is not None
         if life.killed_at is None:
             return False
@@ -173,7 +173,7 @@
         return max((lag for when, lag in self.records.lags if abs(when - at) < 0.3), default=0.0)
 
     def _effects(self) -> None:
-        runs: Dict[str, int] = defaultdict(int)
+        runs: dict[str, int] = defaultdict(int)
         for run in self.records.runs:
             runs[run.operation] += 1
         for operation, count in runs.items():
@@ -190,8 +190,8 @@
     # Drains, purges, slow start
 
     def _drains(self) -> None:
-        told: Dict[tuple, float] = {}
-        back: Dict[tuple, List[float]] = defaultdict(list)
+        told: dict[tuple, float] = {}
+        back: dict[tuple, list[float]] = defaultdict(list)
         for event in self.records.told:
             key = event.director, event.life, event.whom
             if event.what in ("draining", "gone"):
@@ -214,7 +214,7 @@
 
     def _copies(self) -> None:
         """No answer from a copy that was purged, nor from one past its fresh time when asked for."""
-        first: Dict[str, float] = {}
+        first: dict[str, float] = {}
         for arrival in self.records.arrivals:
             first[arrival.trace] = max(arrival.at, first.get(arrival.trace, 0.0))
         for one in self.records.tries:
@@ -279,9 +279,9 @@
                 self._find("descriptors", f"{name} held {life.most_descriptors} of {self.plan.sockets}")
 
 
-def timeline(trace: str, records: Records) -> List[str]:
+def timeline(trace: str, records: Records) -> list[str]:
     """What happened to a request and around its connection, a line each, in order."""
-    one: Optional[Try] = next((each for each in records.tries if each.trace == trace), None)
+    one: Try | None = next((each for each in records.tries if each.trace == trace), None)
     if one is None:
         return []
     zero, lines = one.begun_at, []
--- a/ironhinge/lab/soak/clients.py
+++ b/ironhinge/lab/soak/clients.py
@@ -1,13 +1,14 @@
 """Clients of many kinds: steady ones that use a connection until its end, resting, pipelined and slow ones,
-and such that leave. Each writes down what it sent and what it got."""
+and such that leave. Each writes down what it sent and what it got.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import struct
 import time
+from collections.abc import Callable
 from random import Random
-from typing import Callable, Dict, List, Optional
 
 from . import wire
 from .plan import Path, Plan, RequestClass
@@ -18,7 +19,7 @@
 CROSSED = 0.05  # seconds within which a request that crossed an end is sent again, once
 STREAMS = 32
 
-Where = Callable[[], Optional[int]]  # the port at which a director can be reached now
+Where = Callable[[], int | None]  # the port at which a director can be reached now
 
 
 class Front:
@@ -27,8 +28,8 @@
     def __init__(self, connection: Connection, records: Records):
         self.connection, self.records = connection, records
         self.stream = 0
-        self.open: Dict[int, Try] = {}
-        self.seen: Dict[int, Try] = {}
+        self.open: dict[int, Try] = {}
+        self.seen: dict[int, Try] = {}
         self.answered = asyncio.Event()
         self.over = asyncio.Event()
         self.announced = asyncio.Event()
@@ -72,7 +73,7 @@
             self.open.pop(stream, None)
             self.answered.set()
 
-    def begin(self, one: Try, fields: Dict[str, str]) -> bytes:
+    def begin(self, one: Try, fields: dict[str, str]) -> bytes:
         """The bytes of a request on a new stream; the caller writes them and says when."""
         self.stream += 1
         self.open[self.stream] = self.seen[self.stream] = one
@@ -86,7 +87,7 @@
             self.answered.clear()
             try:
                 await asyncio.wait_for(self.answered.wait(), max(0.001, until - time.monotonic()))
-            except asyncio.TimeoutError:
+            except TimeoutError:
                 pass
         return bool(one.answers)
 
@@ -122,7 +123,7 @@
         self.draw = Random(plan.seed * 1000 + number)
         self.kind = KINDS[self.draw.randrange(len(KINDS))]
         self.path: Path = plan.client_paths[self.draw.randrange(len(plan.client_paths))]
-        self.front: Optional[Front] = None
+        self.front: Front | None = None
         self.until = 0.0
 
     async def run(self, until: float) -> None:
@@ -140,7 +141,7 @@
                 await self.front.wait(one, one.begun_at + one.patience + 1.0)
             self.front.close()
 
-    async def _front(self) -> Optional[Front]:
+    async def _front(self) -> Front | None:
         """The open connection, or a new one."""
         front = self.front
         obeys = self.kind != "steady"  # a steady one goes on using it until it ends
@@ -254,7 +255,7 @@
             return min(cls.deadline, self.draw.uniform(0.06, 0.4))
         return cls.deadline
 
-    def _begin(self, front: Front, cls: RequestClass, before: Optional[Try] = None) -> tuple[Try, bytes]:
+    def _begin(self, front: Front, cls: RequestClass, before: Try | None = None) -> tuple[Try, bytes]:
         """A try of a new operation, or of the one of an earlier try."""
         trace = f"{self.draw.getrandbits(64):016x}"
         popular = int(self.draw.paretovariate(0.8)) % 40
@@ -280,7 +281,8 @@
 
 async def crowd(count: int, where: Where, until: float, draw: Random) -> None:
     """Idle connections that come back whenever they are closed, some after they have asked whether the
-    director is ready."""
+    director is ready.
+    """
 
     async def one() -> None:
         while time.monotonic() < until:
@@ -297,13 +299,13 @@
                 if draw.random() < 0.5:
                     writer.write(wire.frame(wire.ASK_READY, 0, b"\0"))
                 await asyncio.wait_for(reader.read(), max(0.01, until - time.monotonic()))
-            except (OSError, asyncio.TimeoutError):
+            except (TimeoutError, OSError):
                 pass
             finally:
                 writer.close()
             await asyncio.sleep(draw.uniform(0.0, 0.3))
 
-    tasks: List[asyncio.Task] = []
+    tasks: list[asyncio.Task] = []
     for _ in range(count):
         tasks.append(asyncio.ensure_future(one()))
         await asyncio.sleep(0.004)
@@ -314,7 +316,7 @@
     """Whether a director says that it is ready, on a new connection."""
     try:
         reader, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", port), patience)
-    except (OSError, asyncio.TimeoutError):
+    except (TimeoutError, OSError):
         return False
     try:
         writer.write(wire.frame(wire.ASK_READY, 0, b"\0"))
@@ -322,7 +324,7 @@
         (length,) = struct.unpack(">I", head[:4])
         rest = await asyncio.wait_for(reader.readexactly(length - 5), patience)
         return head[4] == wire.TELL_READY and rest[0] == 1
-    except (OSError, EOFError, asyncio.TimeoutError):
+    except (TimeoutError, OSError, EOFError):
         return False
     finally:
         writer.close()
--- a/ironhinge/lab/soak/directors.py
+++ b/ironhinge/lab/soak/directors.py
@@ -9,7 +9,7 @@
 import sys
 import time
 from pathlib import Path as FilePath
-from typing import TYPE_CHECKING, Dict, Optional
+from typing import TYPE_CHECKING
 
 from .clients import is_ready
 from .records import DirectorLife
@@ -25,7 +25,8 @@
 
 def die_with_parent() -> None:
     """Runs in a new process: it is killed when the one that started it ends, however that comes about. A
-    director that outlived its run would call at ports that are another's by then."""
+    director that outlived its run would call at ports that are another's by then.
+    """
     import ctypes
 
     ctypes.CDLL(None).prctl(SET_PARENT_DEATH_SIGNAL, signal.SIGKILL)
@@ -34,16 +35,16 @@
 class Director:
     """A director's processes, one after another at the same address."""
 
-    def __init__(self, run: "Run", number: int):
+    def __init__(self, run: Run, number: int):
         self.run, self.number = run, number
         self.port = run.fleet.ports.next()
-        self.reached_at: Dict[int, int] = {}  # by place of the client's path
+        self.reached_at: dict[int, int] = {}  # by place of the client's path
         self.life = 0
-        self.process: Optional[asyncio.subprocess.Process] = None
-        self.record: Optional[DirectorLife] = None
+        self.process: asyncio.subprocess.Process | None = None
+        self.record: DirectorLife | None = None
         self.accepting = False
         self.told_port = 0  # where discovery was when its configuration was written
-        self.watch: Optional[asyncio.Task] = None
+        self.watch: asyncio.Task | None = None
 
     @property
     def config(self) -> FilePath:
@@ -106,7 +107,8 @@
 
     async def restart(self) -> None:
         """SIGTERM, SIGKILL as soon as the platform may, and the next process. New connections go on coming
-        for 0.4 s."""
+        for 0.4 s.
+        """
         assert self.record is not None and self.watch is not None
         record = self.record
         record.terminated_at = time.monotonic()
--- a/ironhinge/lab/soak/plan.py
+++ b/ironhinge/lab/soak/plan.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any, Dict, List, Tuple
+from typing import Any
 
 ZONES = ["edge", "hub"]
 KINDS = ["std", "parent", "origin"]
@@ -40,7 +40,8 @@
 @dataclass(frozen=True)
 class Path:
     """What a proxy does to a connection: `delay` seconds each way, `piece` bytes at a time (0: as they come),
-    and how long the end of a side is held back."""
+    and how long the end of a side is held back.
+    """
 
     delay: float = 0.0
     piece: int = 0
@@ -58,19 +59,19 @@
     seconds: float
     directors: int
     caches: int
-    classes: Tuple[RequestClass, ...]
+    classes: tuple[RequestClass, ...]
     clients: int  # for each director
     crowd: int  # idle connections for each director
     sockets: int
-    scripts: Tuple[Dict[str, Any], ...]  # of the fault injection, by director
-    client_paths: Tuple[Path, ...]  # one is drawn for each client
+    scripts: tuple[dict[str, Any], ...]  # of the fault injection, by director
+    client_paths: tuple[Path, ...]  # one is drawn for each client
     node_path: Path
     resets: float  # share of commands under which a node resets the connection
     errors: float
     hangs: float  # share of commands that a node never answers
-    happenings: Tuple[Happening, ...] = field(default=())
+    happenings: tuple[Happening, ...] = field(default=())
 
-    def settings(self) -> Dict[str, Any]:
+    def settings(self) -> dict[str, Any]:
         """The platform's settings, as a director is told them."""
         return {
             "classes": [
@@ -128,9 +129,9 @@
         }
 
 
-def _script(draw: Random) -> Dict[str, Any]:
+def _script(draw: Random) -> dict[str, Any]:
     """Faults of one director's system calls and wall clock."""
-    calls: List[Dict[str, Any]] = []
+    calls: list[dict[str, Any]] = []
     for call in draw.sample(["send", "recv_into", "setsockopt", "accept", "connect", "socket"], 3):
         names = {
             "accept": ("ECONNABORTED", "ENFILE", "ENOBUFS", "EINTR", "EPROTO"),
@@ -152,7 +153,7 @@
     return {"seed": draw.randrange(2**31), "calls": calls, "short": short, "steps": steps}
 
 
-def _classes(draw: Random) -> Tuple[RequestClass, ...]:
+def _classes(draw: Random) -> tuple[RequestClass, ...]:
     read = RequestClass("read", "repeatable", "", draw.choice([0.6, 1.5, 3.0]), 0.0, draw.choice([0.0, 2.0]))
     other = RequestClass("part", "repeatable", "", draw.choice([1.0, 2.5]), 0.0, 0.0)
     scope = draw.choice(["all", "zone", "cell"])
@@ -161,7 +162,7 @@
     return read, other, keyed, once
 
 
-def _signals(draw: Random, seconds: float, directors: int) -> List[Happening]:
+def _signals(draw: Random, seconds: float, directors: int) -> list[Happening]:
     happenings = []
     for whom in range(directors):
         kind = draw.choice(["term", "term", "kill", "none", "hup", "stop"])
@@ -180,7 +181,7 @@
     return happenings
 
 
-def _troubles(draw: Random, seconds: float, caches: int) -> List[Happening]:
+def _troubles(draw: Random, seconds: float, caches: int) -> list[Happening]:
     """What happens to cache nodes and to discovery."""
     happenings = []
     for _ in range(draw.randrange(1, 4)):
--- a/ironhinge/lab/soak/ports.py
+++ b/ironhinge/lab/soak/ports.py
@@ -1,5 +1,6 @@
 """Ports of one run, out of the range from which the system gives out ports by itself: a port on which nobody
-listens for a while must not become another connection's or another run's."""
+listens for a while must not become another connection's or another run's.
+"""
 
 from __future__ import annotations
 
--- a/ironhinge/lab/soak/proxy.py
+++ b/ironhinge/lab/soak/proxy.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Optional, Set
 
 from .plan import Path
 
@@ -15,8 +14,8 @@
 
     def __init__(self, listen: int, port: int, path: Path):
         self.listen, self.port, self.path = listen, port, path
-        self.server: Optional[asyncio.Server] = None
-        self.tasks: Set[asyncio.Task] = set()
+        self.server: asyncio.Server | None = None
+        self.tasks: set[asyncio.Task] = set()
 
     async def start(self) -> int:
         """Listens; the port."""
--- a/ironhinge/lab/soak/records.py
+++ b/ironhinge/lab/soak/records.py
@@ -1,10 +1,10 @@
 """What clients and servers write down during a run; the audit knows nothing else. Times are seconds of the
-monotonic clock of the process that plays all of them."""
+monotonic clock of the process that plays all of them.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Dict, List, Optional, Tuple
 
 SERVED, REFUSED, FAILED = 1, 2, 3
 
@@ -19,9 +19,9 @@
     path_delay: float  # seconds that a proxy holds what goes either way
     end_delay: float  # and how much longer it holds the end of a side
     opened_at: float
-    error_at: Optional[float] = None  # the director said that the client broke the protocol
-    announced_at: Optional[float] = None  # the director said that it takes no new request
-    ended_at: Optional[float] = None
+    error_at: float | None = None  # the director said that the client broke the protocol
+    announced_at: float | None = None  # the director said that it takes no new request
+    ended_at: float | None = None
     ending: str = ""  # 'end', 'reset' or 'ours'
 
 
@@ -35,9 +35,9 @@
     connection: Connection
     patience: float  # seconds
     begun_at: float = 0.0
-    written_at: Optional[float] = None  # its last byte was given to the system
-    left_at: Optional[float] = None  # the client cancelled it or closed
-    answers: List[Tuple[float, int, str]] = field(default_factory=list)  # time, code, body
+    written_at: float | None = None  # its last byte was given to the system
+    left_at: float | None = None  # the client cancelled it or closed
+    answers: list[tuple[float, int, str]] = field(default_factory=list)  # time, code, body
 
 
 @dataclass
@@ -48,7 +48,7 @@
     trace: str
     at: float  # of its first byte
     whole_at: float
-    fields: Dict[str, str]
+    fields: dict[str, str]
 
 
 @dataclass
@@ -67,7 +67,7 @@
 
     node: str
     started_at: float
-    cold_told_at: Optional[float] = None
+    cold_told_at: float | None = None
 
 
 @dataclass
@@ -89,12 +89,12 @@
     director: int
     life: int
     started_at: float
-    ready_at: Optional[float] = None
-    terminated_at: Optional[float] = None  # SIGTERM
-    killed_at: Optional[float] = None  # SIGKILL
-    exited_at: Optional[float] = None
-    exit_code: Optional[int] = None
-    stops: List[Tuple[float, float]] = field(default_factory=list)
+    ready_at: float | None = None
+    terminated_at: float | None = None  # SIGTERM
+    killed_at: float | None = None  # SIGKILL
+    exited_at: float | None = None
+    exit_code: int | None = None
+    stops: list[tuple[float, float]] = field(default_factory=list)
     most_descriptors: int = 0
     most_memory_mb: float = 0.0
     log: str = ""
@@ -104,13 +104,13 @@
 class Records:
     """All of a run."""
 
-    connections: List[Connection] = field(default_factory=list)
-    tries: List[Try] = field(default_factory=list)
-    arrivals: List[Arrival] = field(default_factory=list)
-    runs: List[Run] = field(default_factory=list)
-    nodes: List[NodeLife] = field(default_factory=list)
-    told: List[Told] = field(default_factory=list)
-    lives: List[DirectorLife] = field(default_factory=list)
-    copies: Dict[str, float] = field(default_factory=dict)  # by answer's body: when the origin gave it out
+    connections: list[Connection] = field(default_factory=list)
+    tries: list[Try] = field(default_factory=list)
+    arrivals: list[Arrival] = field(default_factory=list)
+    runs: list[Run] = field(default_factory=list)
+    nodes: list[NodeLife] = field(default_factory=list)
+    told: list[Told] = field(default_factory=list)
+    lives: list[DirectorLife] = field(default_factory=list)
+    copies: dict[str, float] = field(default_factory=dict)  # by answer's body: when the origin gave it out
     lag: float = 0.0  # seconds that the recording process itself was late, at most
-    lags: List[Tuple[float, float]] = field(default_factory=list)  # when, and by how much, over 20 ms
+    lags: list[tuple[float, float]] = field(default_factory=list)  # when, and by how much, over 20 ms
--- a/ironhinge/lab/soak/run.py
+++ b/ironhinge/lab/soak/run.py
@@ -9,7 +9,6 @@
 import time
 from pathlib import Path as FilePath
 from random import Random
-from typing import Dict, List, Optional
 
 from .audit import Audit, Finding, Verdict, timeline
 from .clients import Client, crowd
@@ -31,10 +30,10 @@
         self.folder = FilePath(tempfile.mkdtemp(prefix="ironhinge-soak-"))
         self.fleet = Fleet(plan, self.records)
         # each director has an address of discovery of its own, so that what it was told is known
-        self.discoveries: List[Discovery] = []
+        self.discoveries: list[Discovery] = []
         self.directors = [Director(self, number) for number in range(plan.directors)]
-        self.caches: List[Node] = []
-        self.tasks: List[asyncio.Task] = []
+        self.caches: list[Node] = []
+        self.tasks: list[asyncio.Task] = []
         self.draw = Random(plan.seed + 7)
 
     async def __call__(self) -> Verdict:
@@ -67,7 +66,7 @@
             logs = "".join(FilePath(life.log).read_text()[-500:] for life in self.records.lives)
             raise RuntimeError(f"a director did not come up: {logs}")
 
-    def configuration(self, director: Director) -> Dict:
+    def configuration(self, director: Director) -> dict:
         """All that a director is told, as of now."""
         rows = [
             {
@@ -102,11 +101,11 @@
             "settings": self.plan.settings(),
         }
 
-    def _recent_purges(self) -> List[Dict]:
+    def _recent_purges(self) -> list[dict]:
         """Those that copies may not have heeded by themselves yet."""
         since = time.time() - PURGE_SETTLES
         objects, groups = self.fleet.purged_objects, self.fleet.purged_groups
-        purges: List[Dict] = [
+        purges: list[dict] = [
             {"ref": obj, "unix_ms": int(at * 1000)} for obj, at in objects.items() if at > since
         ]
         purges += [{"shard": one, "unix_ms": int(at * 1000)} for one, at in groups.items() if at > since]
@@ -124,7 +123,7 @@
         self.tasks.append(asyncio.ensure_future(self._watch_processes()))
         self.tasks.append(asyncio.ensure_future(self._watch_lag()))
         happenings = [asyncio.ensure_future(self._happen(one, began)) for one in self.plan.happenings]
-        clients: List[asyncio.Future] = []
+        clients: list[asyncio.Future] = []
         for director in self.directors:
             for _ in range(self.plan.clients):
                 clients.append(asyncio.ensure_future(self._client(director, len(clients)).run(until)))
@@ -148,7 +147,7 @@
         director.send(signal.SIGTERM)
         try:
             await asyncio.wait_for(asyncio.shield(director.watch), 6.0)
-        except asyncio.TimeoutError:
+        except TimeoutError:
             director.record.exit_code = -1
             director.send(signal.SIGKILL)
 
@@ -203,7 +202,7 @@
             director.write_config()
             director.send(signal.SIGHUP)
 
-    def _tell(self, what: str, nodes: List[Node]) -> None:
+    def _tell(self, what: str, nodes: list[Node]) -> None:
         for discovery in self.discoveries:
             discovery.tell(what, nodes[0].name, nodes)
 
@@ -310,7 +309,7 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
 
-def report(plan: Plan, records: Records, verdict: Verdict) -> Dict:
+def report(plan: Plan, records: Records, verdict: Verdict) -> dict:
     """The figures of one seed, for a line of JSON."""
     told = []
     for finding in verdict.findings[:10]:
@@ -344,7 +343,7 @@
     }
 
 
-def play(plan: Plan, keep: Optional[FilePath] = None) -> Dict:
+def play(plan: Plan, keep: FilePath | None = None) -> dict:
     """Plays a seed and judges it; with `keep` the directors' logs go there when something was found."""
     run = Run(plan)
     try:
--- a/ironhinge/lab/soak/servers.py
+++ b/ironhinge/lab/soak/servers.py
@@ -1,5 +1,6 @@
 """Stand-ins for cache nodes, the origin and discovery: they answer as the protocol page says, fail as the
-plan says, and write down what came."""
+plan says, and write down what came.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +8,8 @@
 import socket
 import struct
 import time
+from collections.abc import Callable
 from random import Random
-from typing import Callable, Dict, List, Optional, Set, Tuple
 
 from . import wire
 from .plan import KINDS, PURGE_SETTLES, STRAIGHT, Path, Plan
@@ -38,13 +39,13 @@
 class Node:
     """A cache node or the origin."""
 
-    def __init__(self, fleet: "Fleet", name: str, kind: int, zone: int, cell: int):
+    def __init__(self, fleet: Fleet, name: str, kind: int, zone: int, cell: int):
         self.fleet, self.name, self.kind, self.zone, self.cell = fleet, name, kind, zone, cell
         self.port = 0
-        self.server: Optional[asyncio.Server] = None
-        self.copies: Dict[Tuple[str, str], float] = {}  # when the origin gave a copy out, in Unix seconds
-        self.writers: Set[asyncio.StreamWriter] = set()
-        self.tasks: Set[asyncio.Task] = set()
+        self.server: asyncio.Server | None = None
+        self.copies: dict[tuple[str, str], float] = {}  # when the origin gave a copy out, in Unix seconds
+        self.writers: set[asyncio.StreamWriter] = set()
+        self.tasks: set[asyncio.Task] = set()
         self.hanging = False
         self.state, self.since_ms = READY, 0
 
@@ -77,7 +78,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         commands = wire.Commands()
-        open_: Dict[bytes, asyncio.Task] = {}
+        open_: dict[bytes, asyncio.Task] = {}
         try:
             while data := await reader.read(65536):
                 for command in commands.feed(data, time.monotonic()):
@@ -93,7 +94,7 @@
             writer.close()
 
     def _take(
-        self, command: wire.Command, writer: asyncio.StreamWriter, open_: Dict[bytes, asyncio.Task]
+        self, command: wire.Command, writer: asyncio.StreamWriter, open_: dict[bytes, asyncio.Task]
     ) -> None:
         word, name = command.items[0], command.items[1]
         if word == b"never_mind":
@@ -115,24 +116,24 @@
         """One command: it may be turned away, run, and be answered or not."""
         draw, plan, name = self.fleet.draw, self.fleet.plan, arrival.trace.encode()
         if float(arrival.fields.get("ms", "0")) / 1000 < SOON and draw.random() < 0.5:
-            return
+            return None
         if draw.random() < plan.resets / 2:
             return reset(writer)  # before it ran
         if draw.random() < plan.errors:
             writer.write(wire.resp(name, b"AGAIN", b"-"))
-            return
+            return None
         await asyncio.sleep(draw.expovariate(1 / SERVING))
         write = arrival.fields["kind"] in self.fleet.writes
         word, text, body = self._run_write(arrival) if write else self._read(arrival)
         if draw.random() < plan.hangs:
-            return  # it has run, and nobody hears of it
+            return None  # it has run, and nobody hears of it
         if draw.random() < plan.resets:
             return reset(writer)
         if draw.random() < plan.errors / 2:
             word, text, body = b"EIO", b"-", b""
         writer.write(wire.resp(name, word, text, body))
 
-    def _run_write(self, arrival: Arrival) -> Tuple[bytes, bytes, bytes]:
+    def _run_write(self, arrival: Arrival) -> tuple[bytes, bytes, bytes]:
         """Runs what must not run twice; repeats of a keyed one are dropped within its group and window."""
         source = self.fleet.nodes.get(arrival.fields.get("parent", ""))
         if KINDS[self.kind] == "std" and source is None:
@@ -142,7 +143,7 @@
             self.fleet.records.runs.append(Run(self.name, operation, self.cell, time.monotonic()))
         return b"ACK", b"res=f", self.fleet.body(operation, 0.0)
 
-    def _read(self, arrival: Arrival) -> Tuple[bytes, bytes, bytes]:
+    def _read(self, arrival: Arrival) -> tuple[bytes, bytes, bytes]:
         fields, now = arrival.fields, time.time()
         key = fields["obj"], fields.get("seg", "0")
         fresh = self.fleet.fresh[fields["kind"]]
@@ -170,15 +171,15 @@
     def __init__(self, plan: Plan, records: Records):
         self.plan, self.records, self.draw = plan, records, Random(plan.seed + 1)
         self.ports = Ports(plan.seed)
-        self.nodes: Dict[str, Node] = {}
+        self.nodes: dict[str, Node] = {}
         self.writes = {one.name for one in plan.classes if one.effect != "repeatable"}
         self.fresh = {one.name: one.fresh for one in plan.classes}
         self.classes = {one.name: one for one in plan.classes}
-        self.purged_objects: Dict[str, float] = {}
-        self.purged_groups: Dict[int, float] = {}
-        self.first_runs: Dict[Tuple[str, str], float] = {}
-        self.unreadable: List[str] = []
-        self.proxies: List[Proxy] = []
+        self.purged_objects: dict[str, float] = {}
+        self.purged_groups: dict[int, float] = {}
+        self.first_runs: dict[tuple[str, str], float] = {}
+        self.unreadable: list[str] = []
+        self.proxies: list[Proxy] = []
         self.numbers = 0
 
     def add(self, kind: str, zone: int) -> Node:
@@ -200,7 +201,7 @@
         text = f"{obj}@{int(dated * 1000)};".encode()
         return text + b"." * BODY
 
-    def dropped_before(self, key: Tuple[str, str]) -> float:
+    def dropped_before(self, key: tuple[str, str]) -> float:
         """Copies from before this have been dropped by themselves: purges that have settled."""
         now, group = time.time(), int(key[0], 16) % 8
         purges = (self.purged_objects.get(key[0], 0.0), self.purged_groups.get(group, 0.0))
@@ -225,10 +226,10 @@
 
     def __init__(self, records: Records, ports: Ports, director: int, life: Callable[[], int]):
         self.records, self.ports, self.director, self.life = records, ports, director, life
-        self.events: List[Tuple[bytes, str, str, float]] = []  # frame, what, whom, when it happened
-        self.server: Optional[asyncio.Server] = None
+        self.events: list[tuple[bytes, str, str, float]] = []  # frame, what, whom, when it happened
+        self.server: asyncio.Server | None = None
         self.port = 0
-        self.writers: Dict[asyncio.StreamWriter, int] = {}  # with the number of the last event written
+        self.writers: dict[asyncio.StreamWriter, int] = {}  # with the number of the last event written
         self.first = 1
 
     async def start(self, port: int = 0) -> None:
@@ -264,7 +265,7 @@
 
         asyncio.get_running_loop().call_later(MOVED_FOR, end)
 
-    def tell(self, what: str, whom: str, rows: Optional[List[Node]] = None, purge: bytes = b"") -> None:
+    def tell(self, what: str, whom: str, rows: list[Node] | None = None, purge: bytes = b"") -> None:
         """A new event, written to all that listen."""
         number = self.first + len(self.events) + 1
         if rows is not None:
--- a/ironhinge/lab/soak/wire.py
+++ b/ironhinge/lab/soak/wire.py
@@ -1,10 +1,11 @@
 """The platform's frames and commands, written a second time for the stand-ins: an error of the director's own
-code must not cancel out here. Follows the operators' protocol page."""
+code must not cancel out here. Follows the operators' protocol page.
+"""
 
 from __future__ import annotations
 
 import struct
-from typing import Dict, List, NamedTuple, Tuple
+from typing import NamedTuple
 
 REQUEST, ANSWER, CANCEL, ASK_READY, TELL_READY, NO_MORE = 7, 8, 9, 1, 2, 3
 
@@ -14,7 +15,7 @@
     return struct.pack(">IBI", 5 + len(payload), kind, stream) + payload
 
 
-def request(stream: int, fields: Dict[str, str]) -> bytes:
+def request(stream: int, fields: dict[str, str]) -> bytes:
     """A client's request without a body."""
     parts = [bytes([len(fields)])]
     for name, value in fields.items():
@@ -28,7 +29,7 @@
     def __init__(self) -> None:
         self._held = b""
 
-    def feed(self, data: bytes) -> List[Tuple[int, int, bytes]]:
+    def feed(self, data: bytes) -> list[tuple[int, int, bytes]]:
         """Whole frames: type, stream, payload."""
         self._held += data
         frames = []
@@ -42,7 +43,7 @@
         return frames
 
 
-def read_answer(payload: bytes) -> Tuple[int, Dict[str, str], bytes]:
+def read_answer(payload: bytes) -> tuple[int, dict[str, str], bytes]:
     """Code, fields and body of an answer."""
     code, count, at = payload[0], payload[1], 2
     fields = {}
@@ -63,7 +64,7 @@
 class Command(NamedTuple):
     """A command of a director, with the time of its first byte."""
 
-    items: List[bytes]
+    items: list[bytes]
     begun_at: float
 
 
@@ -74,12 +75,12 @@
         self._held = b""
         self._begun_at = 0.0
 
-    def feed(self, data: bytes, now: float) -> List[Command]:
+    def feed(self, data: bytes, now: float) -> list[Command]:
         """Whole commands; ValueError where the bytes are none."""
         if not self._held:
             self._begun_at = now
         self._held += data
-        commands: List[Command] = []
+        commands: list[Command] = []
         while True:
             items, size = self._one()
             if not size:
@@ -88,7 +89,7 @@
             self._held = self._held[size:]
             self._begun_at = now
 
-    def _line(self, at: int, mark: bytes) -> Tuple[int, int]:
+    def _line(self, at: int, mark: bytes) -> tuple[int, int]:
         end = self._held.find(b"\r\n", at)
         if end < 0:
             return 0, 0
@@ -96,11 +97,11 @@
             raise ValueError(f"not a command: {self._held[at : at + 20]!r}")
         return int(self._held[at + 1 : end]), end + 2
 
-    def _one(self) -> Tuple[List[bytes], int]:
+    def _one(self) -> tuple[list[bytes], int]:
         if not self._held:
             return [], 0
         count, at = self._line(0, b"*")
-        items: List[bytes] = []
+        items: list[bytes] = []
         while at and len(items) < count:
             size, at = self._line(at, b"$")
             if not at or len(self._held) < at + size + 2:
@@ -113,7 +114,7 @@
 RECORD = struct.Struct(">I4sHBBBHIQ")
 
 
-def listing(number: int, rows: List[Tuple[str, int, int, int, int, int, int]]) -> bytes:
+def listing(number: int, rows: list[tuple[str, int, int, int, int, int, int]]) -> bytes:
     """A change of the list: rows of name, port, state, zone, kind, cell and start in Unix milliseconds."""
     data = b"".join(
         RECORD.pack(int(name[2:], 16), bytes([127, 0, 0, 1]), port, state, zone, kind, cell, 4000, since)
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from enum import Enum
-from typing import TYPE_CHECKING, Dict, Optional
+from typing import TYPE_CHECKING
 
 from . import clientwire
 from .clock import MILLISECOND
@@ -73,13 +73,11 @@
         director.clients_seen += 1
         self.number = director.clients_seen
         self.wire = clientwire.ClientWire()
-        self.open: Dict[int, OpenRequest] = {}  # by stream
+        self.open: dict[int, OpenRequest] = {}  # by stream
         self.link: Link
         self.phase = Phase.OPEN
-        self.cause: Optional[CloseCause] = None
-        self.ends_at: Optional[int] = (
-            None  # from when on an announced connection may end; None: not yet known
-        )
+        self.cause: CloseCause | None = None
+        self.ends_at: int | None = None  # from when on an announced connection may end; None: not yet known
         self.notice = 0  # how long it has to have been quiet by then
         self.use = Use.NONE
         now = director.clock.now()
@@ -133,7 +131,7 @@
         for frame in [each for each in self.link.pending if each.mark == stream]:
             self.link.drop(frame)  # an answer that waits to be written
 
-    def answer(self, req: OpenRequest, code: int, fields: Dict[str, str], body: bytes) -> None:
+    def answer(self, req: OpenRequest, code: int, fields: dict[str, str], body: bytes) -> None:
         """The final answer of a request."""
         self.open.pop(req.stream, None)
         self._waits()
@@ -141,9 +139,10 @@
 
     # The end
 
-    def announce(self, cause: CloseCause, notice: Optional[int]) -> None:
+    def announce(self, cause: CloseCause, notice: int | None) -> None:
         """Tells the client to bring no new request. Once it has been quiet for `notice` our side ends; None:
-        not before it is told another time."""
+        not before it is told another time.
+        """
         if self.phase is Phase.HALF_CLOSED:
             return
         if self.phase is Phase.OPEN:
@@ -158,7 +157,8 @@
 
     def half_close(self) -> None:
         """Ends our side, after all that is queued. Guards a request that comes in that moment: its client
-        sees an orderly end, not a reset that takes the last answers along."""
+        sees an orderly end, not a reset that takes the last answers along.
+        """
         if self.phase is Phase.HALF_CLOSED:
             return
         linger = HURRIED_LINGER if self.director.driver.is_crowded() else LINGER
@@ -169,7 +169,8 @@
     def _refuse(self, text: str) -> None:
         """Tells the client what is wrong, and ends the connection: what is open on it is aborted, since
         whoever breaks the protocol on a connection can't be trusted with the rest of it. Guards the nodes
-        against crowds of requests: what came with the breach has not been written to them yet."""
+        against crowds of requests: what came with the breach has not been written to them yet.
+        """
         self.director.complain("breaches", f"a client's connection is ended: {text}")
         self.cause = CloseCause.BREACH
         self.half_close()  # first: nothing that its requests cause is to come before this
@@ -224,7 +225,8 @@
 
     def end_stalled(self, now: int, limit: int) -> bool:
         """Refuses a frame that was begun and of which nothing more has come for so long; False if there is
-        none, or if it is we who are late."""
+        none, or if it is we who are late.
+        """
         stalled = self.phase is not Phase.HALF_CLOSED and self.wire.held and now > self.heard_at + limit
         if not stalled or self.link.has_unread():
             return False
@@ -234,7 +236,8 @@
     def make_room(self, pressing: bool) -> None:
         """Ends it as soon as may be, for others. One that never asked ends without notice, and is closed
         whole where no descriptor is left: crowds of them come faster than anything else lets them go. One
-        that has brought requests may bring more, and has its full notice."""
+        that has brought requests may bring more, and has its full notice.
+        """
         if pressing and self.use is Use.NONE:
             self.cause = CloseCause.ROOM
             return self.link.end(Ending.CLOSED)
--- a/ironhinge/net/clientwire.py
+++ b/ironhinge/net/clientwire.py
@@ -8,7 +8,7 @@
 
 import re
 import struct
-from typing import Dict, List, NamedTuple, Optional, Tuple, Union
+from typing import NamedTuple, Union
 
 REQ, ANSWER, LEAVE, ASK_READY, TELL_READY, NO_MORE = 7, 8, 9, 1, 2, 3
 DONE, DENIED, ABORTED = 1, 2, 3
@@ -24,7 +24,7 @@
 
 class Came(NamedTuple):
     stream: int
-    fields: Dict[str, str]
+    fields: dict[str, str]
     body: bytes
 
 
@@ -60,11 +60,11 @@
 Message = Union[Came, Unreadable, Gone, ReadyAsked, Unknown, Lost]
 
 
-def read_fields(data: bytes) -> Tuple[Dict[str, str], int]:
+def read_fields(data: bytes) -> tuple[dict[str, str], int]:
     """The fields at the start of `data`, and where they end; ValueError says what is wrong with them."""
     if not data:
         raise ValueError("the count of fields is missing")
-    fields: Dict[str, str] = {}
+    fields: dict[str, str] = {}
     at = 1
     for _ in range(data[0]):
         try:
@@ -84,7 +84,7 @@
     return fields, at
 
 
-def write_fields(fields: Dict[str, str]) -> bytes:
+def write_fields(fields: dict[str, str]) -> bytes:
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         key, text = name.encode(), value.encode()
@@ -92,40 +92,40 @@
     return b"".join(parts)
 
 
-def frame(kind: int, stream: int, *payload: bytes) -> Tuple[bytes, ...]:
+def frame(kind: int, stream: int, *payload: bytes) -> tuple[bytes, ...]:
     """A frame in pieces, so that a long body is not copied."""
     return (HEAD.pack(5 + sum(map(len, payload)), kind, stream), *payload)
 
 
-def answer(stream: int, code: int, fields: Dict[str, str], body: bytes = b"") -> Tuple[bytes, ...]:
+def answer(stream: int, code: int, fields: dict[str, str], body: bytes = b"") -> tuple[bytes, ...]:
     return frame(ANSWER, stream, bytes((code,)) + write_fields(fields), body)
 
 
-def error(text: str) -> Tuple[bytes, ...]:
+def error(text: str) -> tuple[bytes, ...]:
     """An error that belongs to no req."""
     return answer(0, ABORTED, {}, text.encode())
 
 
-def ready(stream: int, yes: bool) -> Tuple[bytes, ...]:
+def ready(stream: int, yes: bool) -> tuple[bytes, ...]:
     return frame(TELL_READY, stream, bytes((READY if yes else NOT_READY,)) + write_fields({}))
 
 
-def no_more() -> Tuple[bytes, ...]:
+def no_more() -> tuple[bytes, ...]:
     return frame(NO_MORE, 0)
 
 
 class ClientWire:
     """Fed the bytes of one connection in any pieces."""
 
-    __slots__ = ("held", "need", "lost")
+    __slots__ = ("held", "lost", "need")
 
     def __init__(self) -> None:
         self.held = bytearray()
         self.need = 4  # bytes to hold before the next step
         self.lost = False
 
-    def feed(self, data: memoryview) -> List[Message]:
-        out: List[Message] = []
+    def feed(self, data: memoryview) -> list[Message]:
+        out: list[Message] = []
         if self.lost:
             return out
         self.held += data
@@ -164,28 +164,28 @@
         return Unknown(f"type {kind} is not one that clients send")
 
 
-def text_of(fields: Dict[str, str], name: str) -> str:
+def text_of(fields: dict[str, str], name: str) -> str:
     """A field's text; ValueError names the field that is missing."""
     if name not in fields:
         raise ValueError(f"field '{name}' is missing")
     return fields[name]
 
 
-def _form(fields: Dict[str, str], name: str, form: "re.Pattern[str]", what: str) -> str:
+def _form(fields: dict[str, str], name: str, form: re.Pattern[str], what: str) -> str:
     text = text_of(fields, name)
     if not form.fullmatch(text):
         raise ValueError(f"field '{name}' is not {what}")
     return text
 
 
-def number_of(fields: Dict[str, str], name: str, absent: Optional[float] = None) -> float:
+def number_of(fields: dict[str, str], name: str, absent: float | None = None) -> float:
     """A field as a plain number of 0 or more; ValueError names the field at fault."""
     if name not in fields and absent is not None:
         return absent
     return float(_form(fields, name, NUMBER, "a number"))
 
 
-def count_of(fields: Dict[str, str], name: str, most: int = 10**9) -> int:
+def count_of(fields: dict[str, str], name: str, most: int = 10**9) -> int:
     """A field as a whole number, 0 where it is absent; ValueError names the field at fault."""
     value = int(_form(fields, name, WHOLE, "a whole number")) if name in fields else 0
     if value > most:
@@ -193,11 +193,11 @@
     return value
 
 
-def digits_of(fields: Dict[str, str], name: str) -> str:
+def digits_of(fields: dict[str, str], name: str) -> str:
     """A field of 16 hex digits; ValueError names the field at fault."""
     return _form(fields, name, HEX, "16 hex digits")
 
 
-def tag_of(fields: Dict[str, str], name: str) -> str:
+def tag_of(fields: dict[str, str], name: str) -> str:
     """A field that holds a copy's tag, empty where it is absent; ValueError names the field at fault."""
     return _form(fields, name, TAG, "a tag") if name in fields else ""
--- a/ironhinge/net/clock.py
+++ b/ironhinge/net/clock.py
@@ -12,7 +12,7 @@
 from __future__ import annotations
 
 import time
-from typing import Callable
+from collections.abc import Callable
 
 from loguru import logger
 
@@ -82,7 +82,8 @@
     def age_of_event(self, unix_ms: int, caught_up_at: int) -> int:
         """How long ago something happened that was just told, when all that had happened before
         `caught_up_at` was told already. A stamp in the future, or one so old that it must have been told
-        before, shows that Unix time is off here; it is corrected."""
+        before, shows that Unix time is off here; it is corrected.
+        """
         age, since = self._age_not_ahead(unix_ms), max(0, self.now() - caught_up_at)
         if age > since + PLAUSIBLE_DELAY:
             logger.warning("a new event is stamped {} s behind our time, which is set to it", age / SECOND)
@@ -92,7 +93,8 @@
 
     def start_of(self, unix_ms: int, caught_up_at: int) -> int:
         """The monotonic instant at which a process started that was just told to have started at a Unix
-        millisecond: no earlier than it can have been told. Rounded up."""
+        millisecond: no earlier than it can have been told. Rounded up.
+        """
         age, since = self._age_not_ahead(unix_ms), max(0, self.now() - caught_up_at)
         return self.now() - (since if age > since + PLAUSIBLE_DELAY else age) + 1
 
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -9,8 +9,9 @@
 
 import resource
 from collections import Counter, deque
+from collections.abc import Callable
 from heapq import heappop, heappush
-from typing import Any, Callable, Deque, Dict, List, Optional, Set, Tuple, Union
+from typing import Any
 
 import anyio
 from anyio import lowlevel
@@ -55,9 +56,9 @@
         self,
         told: Assignment,
         driver: Driver,
-        books: Optional[TrafficAccount] = None,
-        shelf: Optional[CopyStore] = None,
-        clock: Optional[Clock] = None,
+        books: TrafficAccount | None = None,
+        shelf: CopyStore | None = None,
+        clock: Clock | None = None,
     ):
         self.told, self.driver, self.clock = told, driver, clock or Clock()
         self.events = EventLog(self.clock.now)
@@ -67,28 +68,28 @@
         self.router = Router(told.deployment, told.seed)
         self.router.purse, self.router.shelf = books, shelf
         driver.give_way = self.give_way
-        self.at_hand: Dict[
-            str, Tuple[interface.RequestReceived, nodewire.Answer]
+        self.at_hand: dict[
+            str, tuple[interface.RequestReceived, nodewire.Answer]
         ] = {}  # what came just now, while it may be kept
-        self.reqs: Dict[str, OpenRequest] = {}
-        self.clients: Dict[Client, None] = {}  # the one that was heard of longest ago first
-        self.nodes: Dict[str, Node] = {}
-        self.queue: Deque[interface.Event] = deque()
+        self.reqs: dict[str, OpenRequest] = {}
+        self.clients: dict[Client, None] = {}  # the one that was heard of longest ago first
+        self.nodes: dict[str, Node] = {}
+        self.queue: deque[interface.Event] = deque()
         self.stepping = False
-        self.leave_at: Optional[int] = None  # by then all is answered
-        self.no_more_at: Optional[int] = None  # reqs read after that are not taken
+        self.leave_at: int | None = None  # by then all is answered
+        self.no_more_at: int | None = None  # reqs read after that are not taken
         self.discovery = Discovery(self)
         self.peers = Peers(self)
         self.lag = 0  # the most that it was late, fading
-        self.timers: List[Tuple[int, int, Union[str, Errand]]] = []
+        self.timers: list[tuple[int, int, str | Errand]] = []
         self.set_timers = 0
         self.earlier = anyio.Event()  # a timer is due earlier than all others
         self.probes = 0
         self.counts: Counter[str] = Counter()
-        self.complained: Set[str] = set()
+        self.complained: set[str] = set()
         self.links_each = 1  # connections that a node may have
         self.clients_seen = 0
-        self.carry_out: Dict[type, Callable[[Any], None]] = {
+        self.carry_out: dict[type, Callable[[Any], None]] = {
             interface.SendAttempt: self._ask,
             interface.SendAttemptWithFill: self._fetch,
             interface.ServeLocalCopy: self._serve,
@@ -113,7 +114,8 @@
 
     def happen(self, what: interface.Event) -> None:
         """Tells the module, in order, and carries out what it answers. A fault of the module costs the req at
-        hand, not the program."""
+        hand, not the program.
+        """
         self.queue.append(what)
         if self.stepping:
             return
@@ -135,7 +137,7 @@
 
     # Reqs
 
-    def take(self, client: Client, message: Union[clientwire.Came, clientwire.Unreadable]) -> None:
+    def take(self, client: Client, message: clientwire.Came | clientwire.Unreadable) -> None:
         now = self.clock.now()
         if self.no_more_at is not None and now > self.no_more_at:
             # guards reqs that come when hardly any time is left: they are answered at once, and sent nowhere
@@ -182,7 +184,7 @@
             self.left(req)
             req.client.answer(req, clientwire.ABORTED, {}, b"")
 
-    def _finish(self, name: str, code: int, fields: Dict[str, str], body: bytes = b"") -> None:
+    def _finish(self, name: str, code: int, fields: dict[str, str], body: bytes = b"") -> None:
         """The one final answer of a req that is still open."""
         req = self.reqs.get(name)
         if req is None or req.closed:
@@ -203,7 +205,8 @@
 
     def complain(self, kind: str, text: str) -> None:
         """Guards the log and the CPU against floods: of each kind of complaint one line a minute, and a count
-        with the counters."""
+        with the counters.
+        """
         self.counts[kind] += 1
         if kind not in self.complained:
             self.complained.add(kind)
@@ -220,16 +223,17 @@
 
     # Dispatches
 
-    def _send(self, errand: Errand, until: int, render: Callable[[], Tuple[bytes, ...]]) -> None:
+    def _send(self, errand: Errand, until: int, render: Callable[[], tuple[bytes, ...]]) -> None:
         errand.until = until
         errand.carrier = errand.node.link_for(errand.name, self)
         errand.carrier.open[errand.name] = errand
         errand.frame = errand.carrier.link.write((), render=render)
         self._at(until, errand)
 
-    def _command(self, out: Dispatch, fields: Dict[str, str]) -> Tuple[bytes, ...]:
+    def _command(self, out: Dispatch, fields: dict[str, str]) -> tuple[bytes, ...]:
         """An attempt's command, made when it begins to be written: it may have waited for its connection, and
-        its client may have left meanwhile, unread."""
+        its client may have left meanwhile, unread.
+        """
         now = self.clock.now()
         link = out.req.client.link
         if link.unread_since is not None or now > int(self.driver.poll.unread_since() * SECOND) + UNREAD:
@@ -241,10 +245,10 @@
         fields["ms"] = str(-(-(out.until - now) // MS))
         return (nodewire.want(out.name, fields, out.req.body),)
 
-    def end(self, errand: Errand, ending: Ending, answer: Optional[nodewire.Answer] = None) -> None:
+    def end(self, errand: Errand, ending: Ending, answer: nodewire.Answer | None = None) -> None:
         """The one end of a dispatch or a probe."""
         if errand.over:
-            return
+            return None
         errand.over = True
         if errand.frame is not None:
             errand.frame.render = None  # knows the errand: nothing here may wait for a collection
@@ -307,7 +311,8 @@
 
     def take_back(self, wrong: Callable[[Dispatch], bool]) -> None:
         """Guards drains and purges, which count a send from its first byte: dispatches that were waiting for
-        a connection when the news came are never sent."""
+        a connection when the news came are never sent.
+        """
         for req in list(self.reqs.values()):
             if req.out is not None and wrong(req.out) and req.out.taken_back():
                 self.end(req.out, Ending.UNWRITTEN)
@@ -318,7 +323,7 @@
         self._dispatch(act, None, {})
 
     def _fetch(self, act: interface.SendAttemptWithFill) -> None:
-        how: Dict[str, str] = {}
+        how: dict[str, str] = {}
         if act.source_id != act.endpoint_id:
             how["parent"] = act.source_id
         if act.admission_rank:
@@ -335,15 +340,15 @@
 
     def _dispatch(
         self,
-        act: Union[interface.SendAttempt, interface.SendAttemptWithFill],
-        source: Optional[Node],
-        how: Dict[str, str],
+        act: interface.SendAttempt | interface.SendAttemptWithFill,
+        source: Node | None,
+        how: dict[str, str],
         oldest: int = 0,
     ) -> None:
         name, to, until = act.request_id, act.endpoint_id, act.deadline
         req, now = self.reqs.get(name), self.clock.now()
         if req is None:
-            return
+            return None
         out = req.out = Dispatch(req, self.nodes[to], source, now)
         out.oldest = oldest
         req.dispatches += 1
@@ -421,7 +426,7 @@
 
     # Time
 
-    def _at(self, when: int, what: Union[str, Errand]) -> None:
+    def _at(self, when: int, what: str | Errand) -> None:
         self.set_timers += 1
         heappush(self.timers, (when, self.set_timers, what))
         if self.timers[0][2] is what:
@@ -482,7 +487,8 @@
     def margin(self, link: Link) -> int:
         """Guards against reqs lost while the program is short of CPU or descriptors: what a req that was just
         read may have waited, in the backlog too, and what its end may come late by, beyond what the protocol
-        leaves room for."""
+        leaves room for.
+        """
         since = self.driver.poll.unread_since()
         if link.unread_since is not None:
             since = min(since, link.unread_since)
@@ -507,7 +513,8 @@
         """Guards the descriptors against clients that hold connections and ask nothing: the one that has
         waited longest goes, and of those first that never brought a request. The protocol allows closing
         where no request is open; but whoever will ask again comes back at once, so that ending more than one
-        for each that comes makes a crowd of its own."""
+        for each that comes makes a crowd of its own.
+        """
         ending = sum(client.cause is CloseCause.ROOM for client in self.clients)
         if ending >= self.driver.ending_at_once():
             return False
@@ -528,7 +535,8 @@
 
     def give_way(self) -> None:
         """Guards the way to nodes where there are more of them than descriptors: the connection to a node
-        that has carried nothing for longest makes room for another."""
+        that has carried nothing for longest makes room for another.
+        """
         idle = [each for node in self.nodes.values() for each in node.links if each.is_idle()]
         if idle:
             min(idle, key=lambda each: each.idle_at).link.end(Ending.CLOSED)
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, Optional, Tuple
+from typing import TYPE_CHECKING, Any
 
 import anyio
 from loguru import logger
@@ -35,7 +35,7 @@
     def __init__(self, director: Director):
         self.director = director
         self.number = 0  # of the last event
-        self.feed: Optional[FeedLink] = None
+        self.feed: FeedLink | None = None
         self.caught_up_at = director.clock.now()  # all that there was to tell by then is known
 
     def learn(self, news: Any) -> None:
@@ -65,7 +65,7 @@
         else:
             director.take_back(lambda out: out.req.came.object_id == news.obj)
 
-    def _learn_nodes(self, news: ListNews) -> Tuple[interface.Endpoint, ...]:
+    def _learn_nodes(self, news: ListNews) -> tuple[interface.Endpoint, ...]:
         nodes = self.director.nodes
         rows = tuple(self._learn_node(listing) for listing in news.listings)
         here = {row.id for row in rows}
@@ -120,7 +120,8 @@
 
     def follow_anew(self, told: Assignment) -> None:
         """What a new configuration changes while all else lives on: where the coordinator is. It is asked for
-        what follows the last event that we have."""
+        what follows the last event that we have.
+        """
         director = self.director
         for name in Assignment._fields:
             if name not in FOLLOWED and getattr(told, name) != getattr(director.told, name):
--- a/ironhinge/net/driver.py
+++ b/ironhinge/net/driver.py
@@ -8,9 +8,10 @@
 
 import resource
 import socket
+from collections.abc import Callable
 from math import inf
 from time import monotonic
-from typing import Callable, Dict, Protocol
+from typing import Protocol
 
 import anyio
 from anyio import lowlevel
@@ -61,8 +62,8 @@
         self.open = 0  # sockets
         self.finishing = 0  # links that have said their last word and wait for the peer's
         self.queued = 0  # bytes of pending frames on all links
-        self.links: Dict[Link, None] = {}
-        self.dirty: Dict[Link, None] = {}  # those with something to write, in order
+        self.links: dict[Link, None] = {}
+        self.dirty: dict[Link, None] = {}  # those with something to write, in order
         self.short = False  # of descriptors, lately
         self.backlog_empty_at = monotonic()  # whoever waits to be accepted came later than this
         self.give_way: Callable[[], None] = lambda: None  # ends a connection that can be spared
@@ -116,7 +117,8 @@
 
     def dial(self, receiver: Receiver, address: Address, within: float, needed: bool = False) -> Link:
         """A link that comes up within so many seconds, or ends; one that is needed may use the spare
-        descriptors."""
+        descriptors.
+        """
         link = Link(self, receiver, LARGE, SMALL)
         self.links[link] = None
 
@@ -130,12 +132,13 @@
 
     async def _connect(self, link: Link, address: Address, within: float, needed: bool) -> None:
         """Guards nodes against blame for what this machine is short of: it tries again until the time is
-        up."""
+        up.
+        """
         until, backoff = monotonic() + within, Backoff()
         while not link.is_over:
             remedy = await self._try_to_connect(link, address, until, needed)
             if link.is_over:
-                return
+                return None
             if remedy is Remedy.DONE:
                 link.is_up = True
                 self.dirty[link] = None
@@ -186,7 +189,8 @@
         self, listener: socket.socket, receiver: Callable[[], Receiver], make_room: RoomMaker
     ) -> None:
         """Takes connections until the listener is closed; while descriptors are short they wait in the
-        backlog."""
+        backlog.
+        """
         backoff = Backoff()
         while listener.fileno() >= 0:
             if self.is_full():
@@ -254,7 +258,8 @@
     ) -> None:
         """Takes all that waits in the backlog, and closes the listener in the moment in which it is empty, or
         after so many seconds. Guards those whom the machine has accepted: a closed backlog resets them, a
-        later peer is refused and goes elsewhere."""
+        later peer is refused and goes elsewhere.
+        """
         until, backoff = monotonic() + within, Backoff()
         while monotonic() < until:
             if self.open >= self.most:
--- a/ironhinge/net/event_log.py
+++ b/ironhinge/net/event_log.py
@@ -7,8 +7,9 @@
 from __future__ import annotations
 
 from collections import Counter, deque
+from collections.abc import Callable
 from enum import Enum
-from typing import Callable, Deque, NamedTuple
+from typing import NamedTuple
 
 from loguru import logger
 
@@ -49,7 +50,7 @@
 
     def __init__(self, now: Callable[[], int]):
         self._now = now
-        self._events: Deque[Event] = deque(maxlen=KEPT)
+        self._events: deque[Event] = deque(maxlen=KEPT)
         self._dumps_left = MOST_DUMPS
         self.counts: Counter[str] = Counter()
 
--- a/ironhinge/net/extensions.py
+++ b/ironhinge/net/extensions.py
@@ -1,9 +1,10 @@
 """What operators may turn on beside the director, as the director sees it: an account of crossings between
-zones, and copies of its own on disk."""
+zones, and copies of its own on disk.
+"""
 
 from __future__ import annotations
 
-from typing import Any, Dict, Optional, Protocol
+from typing import Any, Protocol
 
 from .. import interface
 
@@ -14,7 +15,7 @@
     def listed(self, now: int, what: interface.EndpointsUpdated) -> None: ...
 
     def sent(
-        self, now: int, came: interface.RequestReceived, node: str, source: str, how: Dict[str, str]
+        self, now: int, came: interface.RequestReceived, node: str, source: str, how: dict[str, str]
     ) -> None: ...
 
     def ended(
@@ -23,7 +24,7 @@
         came: interface.RequestReceived,
         result: str,
         note: int,
-        body: Optional[int],
+        body: int | None,
         took: int,
         gone: bool,
     ) -> None: ...
@@ -38,6 +39,6 @@
 
     def keep(self, came: interface.RequestReceived, tag: str, dated: int, body: bytes) -> None: ...
 
-    def purge(self, obj: Optional[int], group: int, unix_ms: int) -> None: ...
+    def purge(self, obj: int | None, group: int, unix_ms: int) -> None: ...
 
     def hears(self, unix_ms: int) -> None: ...
--- a/ironhinge/net/feed.py
+++ b/ironhinge/net/feed.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import struct
-from typing import Any, List, NamedTuple, Optional, Tuple
+from typing import Any, NamedTuple
 
 from .. import interface
 from ..facts import Address, Listing, ListNews, PurgeNews
@@ -32,7 +32,7 @@
     return number.to_bytes(8, "big")
 
 
-def _listing(values: Tuple[Any, ...]) -> Listing:
+def _listing(values: tuple[Any, ...]) -> Listing:
     name, host, port, state, zone, kind, cell, weight, started = values
     if state >= len(STATES):
         raise Unparsable(f"a record with state {state}")
@@ -63,9 +63,9 @@
     def __init__(self) -> None:
         self.held = bytearray()
 
-    def feed(self, data: memoryview) -> Tuple[List[Any], Optional[Unparsable]]:
+    def feed(self, data: memoryview) -> tuple[list[Any], Unparsable | None]:
         """The news that are whole now, and what made the rest unreadable, if anything did."""
-        out: List[Any] = []
+        out: list[Any] = []
         self.held += data
         at, fault = 0, None
         try:
--- a/ironhinge/net/links.py
+++ b/ironhinge/net/links.py
@@ -8,8 +8,9 @@
 
 import socket
 from collections import deque
+from collections.abc import Awaitable, Callable, Sequence
 from time import monotonic
-from typing import TYPE_CHECKING, Awaitable, Callable, Deque, Optional, Protocol, Sequence
+from typing import TYPE_CHECKING, Protocol
 
 import anyio
 from anyio import lowlevel
@@ -32,19 +33,20 @@
 
 class Frame:
     """Something to be written, in pieces. One with `render` is made at the moment in which it begins to be
-    written, and may be taken back by that call."""
+    written, and may be taken back by that call.
+    """
 
-    __slots__ = ("whole", "pieces", "size", "start", "end", "mark", "until", "render")
+    __slots__ = ("end", "mark", "pieces", "render", "size", "start", "until", "whole")
 
     def __init__(
         self,
         pieces: Pieces,
         mark: int = 0,
-        until: Optional[float] = None,
-        render: Optional[Callable[[], Pieces]] = None,
+        until: float | None = None,
+        render: Callable[[], Pieces] | None = None,
     ):
-        self.start: Optional[int] = None  # where it begins in all that the link has put into its ring
-        self.end: Optional[int] = None  # where it ends there, once it is whole in it
+        self.start: int | None = None  # where it begins in all that the link has put into its ring
+        self.end: int | None = None  # where it ends there, once it is whole in it
         self.mark = mark  # what its writer knows it by
         self.until = until  # nobody wants it after that
         self.render = render
@@ -85,10 +87,10 @@
 
     def __init__(self, driver: Driver, receiver: Receiver, inward: int, outward: int):
         self.driver, self.receiver = driver, receiver
-        self.sock: Optional[socket.socket] = None
+        self.sock: socket.socket | None = None
         self.inward, self.outward = Ring(inward), Ring(outward)
-        self.pending: Deque[Frame] = deque()  # not whole in the ring
-        self.in_ring: Deque[Frame] = deque()  # begun in the ring, and not wholly sent
+        self.pending: deque[Frame] = deque()  # not whole in the ring
+        self.in_ring: deque[Frame] = deque()  # begun in the ring, and not wholly sent
         self.queued = 0  # bytes of pending frames
         self.put, self.sent = 0, 0  # bytes that went into the ring, and on to the system
         self.is_up = self.is_over = self.finishing = False
@@ -99,18 +101,18 @@
         self.heard_at = 0.0
         # what is read next may have come at any time since then (monotonic seconds): it waited in the
         # backlog, or could not be read; None: since the last look at the sockets
-        self.unread_since: Optional[float] = None
+        self.unread_since: float | None = None
         self.users = 0  # tasks that wait on the socket
         self.scope = anyio.CancelScope()
-        self.writing: Optional[anyio.CancelScope] = None  # while the system takes no more
-        self.backoff: Optional[Backoff] = None  # between calls that fail for want of a resource
+        self.writing: anyio.CancelScope | None = None  # while the system takes no more
+        self.backoff: Backoff | None = None  # between calls that fail for want of a resource
 
     def write(
         self,
         pieces: Pieces,
         mark: int = 0,
-        until: Optional[float] = None,
-        render: Optional[Callable[[], Pieces]] = None,
+        until: float | None = None,
+        render: Callable[[], Pieces] | None = None,
     ) -> Frame:
         """Queues a frame; it goes out with all others when the driver flushes."""
         frame = Frame(pieces, mark, until, render)
@@ -155,7 +157,7 @@
         if self.sock is None:
             return False
         found, remedy = self.driver.caller.peek(self.sock)
-        return remedy is Remedy.GONE or remedy is Remedy.DONE and not found
+        return remedy is Remedy.GONE or (remedy is Remedy.DONE and not found)
 
     def written(self, frame: Frame) -> bool:
         return frame.end is not None and self.sent >= frame.end
@@ -217,7 +219,8 @@
 
     def _rendered(self, frame: Frame) -> bool:
         """Makes a frame that is about to begin; False if it was taken back meanwhile, and the link with
-        it."""
+        it.
+        """
         assert frame.render is not None
         pieces = frame.render()
         if self.is_over or not self.pending or self.pending[0] is not frame:
@@ -229,7 +232,8 @@
 
     def _unfill(self) -> None:
         """Frames of which the system took nothing wait outside the ring again. Guards what may still be taken
-        back while a peer reads nothing: a drain, a purge or a client that left must find it unbegun."""
+        back while a peer reads nothing: a drain, a purge or a client that left must find it unbegun.
+        """
         while self.in_ring:
             frame = self.in_ring[-1]
             if frame.start is None or frame.start < self.sent:
@@ -265,7 +269,8 @@
     def finish(self) -> None:
         """Ends our side of the connection once all that was queued is written; what still comes is read and
         dropped until the peer ends its side. Guards what was just written: a close over unread bytes resets
-        the connection and takes it along."""
+        the connection and takes it along.
+        """
         if not self.finishing and not self.is_over:
             self.finishing = True
             self.driver.finishing += 1
--- a/ironhinge/net/nodewire.py
+++ b/ironhinge/net/nodewire.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Dict, List, NamedTuple, Optional, Tuple
+from typing import NamedTuple
 
 from ..interface import FillNote
 from .ending import Ending
@@ -43,7 +43,7 @@
     id: str
     ending: Ending
     note: FillNote
-    load: Dict[str, float]
+    load: dict[str, float]
     dated: int  # the Unix millisecond of the copy; 0: not told
     tagged: bool
     body: bytes
@@ -58,7 +58,7 @@
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
-def want(name: str, fields: Dict[str, str], body: bytes) -> bytes:
+def want(name: str, fields: dict[str, str], body: bytes) -> bytes:
     text = ",".join(f"{key}={value}" for key, value in fields.items()) or "-"
     return command(b"want", name.encode(), text.encode(), body)
 
@@ -71,7 +71,7 @@
     return command(b"busy", tag.encode())
 
 
-def _loads(text: str) -> Dict[str, float]:
+def _loads(text: str) -> dict[str, float]:
     found = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
@@ -84,12 +84,12 @@
     return found
 
 
-def _answer(items: List[bytes]) -> Answer:
+def _answer(items: list[bytes]) -> Answer:
     ending = ENDINGS.get(items[1]) if 2 <= len(items) <= 4 else None
-    if ending is None or ending is Ending.SERVED and len(items) < 4:
+    if ending is None or (ending is Ending.SERVED and len(items) < 4):
         raise Unparsable(f"an answer {[item[:20] for item in items[:2]]} of {len(items)} items")
     note, dated, digest = FillNote.NONE, 0, ""
-    load: Dict[str, float] = {}
+    load: dict[str, float] = {}
     try:
         name, text = items[0].decode(), items[2].decode() if len(items) > 2 else "-"
     except UnicodeDecodeError:
@@ -111,28 +111,28 @@
 class NodeWire:
     """Fed the bytes of one connection in any pieces."""
 
-    __slots__ = ("pieces", "length", "need", "left", "items", "size")
+    __slots__ = ("items", "left", "length", "need", "pieces", "size")
 
     def __init__(self) -> None:
-        self.pieces: List[bytes] = []  # what came since the last step
+        self.pieces: list[bytes] = []  # what came since the last step
         self.length = 0  # of all pieces
         self.need = 1  # bytes to hold before the next step
         self.left = 0  # items that the answer begun still lacks; 0: none is begun
-        self.items: List[bytes] = []
+        self.items: list[bytes] = []
         self.size = -1  # of the item begun; -1: its line is not whole
 
     def begun(self) -> bool:
         """True while an answer has begun and is not whole."""
         return bool(self.length or self.left)
 
-    def feed(self, data: memoryview) -> Tuple[List[Answer], Optional[Unparsable]]:
+    def feed(self, data: memoryview) -> tuple[list[Answer], Unparsable | None]:
         """The answers that are whole now, and what made the rest unreadable, if anything did."""
         self.pieces.append(bytes(data))
         self.length += len(data)
         if self.length < self.need:
             return [], None
         held = self.pieces[0] if len(self.pieces) == 1 else b"".join(self.pieces)
-        out: List[Answer] = []
+        out: list[Answer] = []
         at, fault = 0, None
         try:
             at = self._parse(held, out)
@@ -142,7 +142,7 @@
         self.pieces = [held[at:]] if self.length else []
         return out, fault
 
-    def _parse(self, held: bytes, out: List[Answer]) -> int:
+    def _parse(self, held: bytes, out: list[Answer]) -> int:
         """Takes all whole answers; returns where it stopped."""
         at = 0
         while True:
--- a/ironhinge/net/open_request.py
+++ b/ironhinge/net/open_request.py
@@ -1,9 +1,10 @@
 """A request from its last byte to its one final answer: how it is read, and the record of it while it is
-open."""
+open.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Dict, Optional
+from typing import TYPE_CHECKING
 
 from .. import interface
 from ..facts import Names
@@ -22,17 +23,17 @@
     """From its last byte to its one final answer, and on until its dispatch has ended."""
 
     __slots__ = (
+        "body",
         "came",
-        "id",
         "client",
-        "stream",
-        "fields",
-        "body",
-        "wanted_until",
         "closed",
-        "gone",
         "dispatches",
+        "fields",
+        "gone",
+        "id",
         "out",
+        "stream",
+        "wanted_until",
     )
 
     def __init__(self, came: interface.RequestReceived, client: Client, message: clientwire.Came, now: int):
@@ -44,14 +45,15 @@
         self.closed = False  # answered, or its client has left
         self.gone = False  # its client has left
         self.dispatches = 0
-        self.out: Optional[Dispatch] = None
+        self.out: Dispatch | None = None
 
 
 def read_request(
-    fields: Dict[str, str], names: Names, deployment: interface.Deployment, viewer: int, margin: int
+    fields: dict[str, str], names: Names, deployment: interface.Deployment, viewer: int, margin: int
 ) -> interface.RequestReceived:
     """A request's fields, checked; ValueError names the field at fault. `margin` is what comes off the
-    client's patience, in tenths of a millisecond."""
+    client's patience, in tenths of a millisecond.
+    """
     name = clientwire.digits_of(fields, "trace")
     route = clientwire.text_of(fields, "route")
     if route not in names.vhosts:
--- a/ironhinge/net/parties.py
+++ b/ironhinge/net/parties.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Dict, List, Optional
+from typing import TYPE_CHECKING
 
 import anyio
 from loguru import logger
@@ -27,13 +27,13 @@
 class Errand:
     """What is out at a node: a dispatch of a req, or a probe."""
 
-    __slots__ = ("name", "node", "sent_at", "until", "begin_by", "carrier", "frame", "over")
+    __slots__ = ("begin_by", "carrier", "frame", "name", "node", "over", "sent_at", "until")
 
     def __init__(self, name: str, node: Node, sent_at: int):
         self.name, self.node, self.sent_at = name, node, sent_at  # the name is its id on the wire
         self.until, self.begin_by = sent_at, 0
-        self.carrier: Optional[NodeLink] = None
-        self.frame: Optional[Frame] = None
+        self.carrier: NodeLink | None = None
+        self.frame: Frame | None = None
         self.over = False
 
     def taken_back(self) -> bool:
@@ -42,9 +42,9 @@
 
 
 class Dispatch(Errand):
-    __slots__ = ("req", "number", "source", "oldest")
+    __slots__ = ("number", "oldest", "req", "source")
 
-    def __init__(self, req: OpenRequest, node: Node, source: Optional[Node], sent_at: int):
+    def __init__(self, req: OpenRequest, node: Node, source: Node | None, sent_at: int):
         super().__init__(req.id, node, sent_at)
         self.req, self.number, self.source = req, req.dispatches, source
         self.oldest = 0  # the Unix millisecond of the oldest copy that will do
@@ -62,9 +62,9 @@
     def __init__(self, director: Director, node: Node):
         self.director, self.node = director, node
         self.wire = nodewire.NodeWire()
-        self.open: Dict[str, Errand] = {}
+        self.open: dict[str, Errand] = {}
         # ids given up here, and when no answer can come any more: a late one could pass for a later one's
-        self.spent: Dict[str, int] = {}
+        self.spent: dict[str, int] = {}
         self.stale = False  # takes nothing more
         self.idle_at = 0
         self.link: Link
@@ -94,14 +94,16 @@
 
     def settle(self) -> None:
         """Takes nothing more where something has begun to come that belongs to no dispatch. Guards the next
-        dispatch, whose answer would stand behind what may never end, or be read as a part of it."""
+        dispatch, whose answer would stand behind what may never end, or be read as a part of it.
+        """
         if not self.open and self.wire.begun():
             self.stale = True
 
     def give_up(self, errand: Dispatch) -> bool:
         """Tells the node that nobody waits for a dispatch that it may have; False if that is not on its way.
         Guards against two dispatches of a req out together: the next one may go out on another connection,
-        so this must be written before it and not just queued."""
+        so this must be written before it and not just queued.
+        """
         self.spent[errand.name] = errand.until + SECOND
         return self.link.write_now((nodewire.never_mind(errand.name),))
 
@@ -126,7 +128,8 @@
 
     def ended(self, link: Link, ending: Ending) -> None:
         """A connection that breaks is one failure, however many dispatches were out on it: the one that
-        waited longest stands for it. Guards the node's name, and the others' next try."""
+        waited longest stands for it. Guards the node's name, and the others' next try.
+        """
         self.node.links.remove(self)
         if ending in (Ending.REFUSED, Ending.NEVER_UP):
             logger.info("node {} at {}:{}: connection {}", self.node.id, *self.node.address, ending.name)
@@ -149,12 +152,13 @@
         self.id, self.address = name, address
         self.state = "ready"
         self.started_unix, self.started = 0, 0  # the Unix millisecond told, and the module's instant for it
-        self.links: List[NodeLink] = []
+        self.links: list[NodeLink] = []
 
     def link_for(self, name: str, director: Director) -> NodeLink:
         """A connection that carries nothing, the one used last; else a new one while the node's share of
         descriptors allows it; else the one that carries least. Guards what is out against answers that spoil
-        their connection: it takes down the fewer."""
+        their connection: it takes down the fewer.
+        """
         most = director.told.transport.streams
         free = [each for each in self.links if len(each.open) < most and not each.stale]
         free = [each for each in free if name not in each.spent]
--- a/ironhinge/net/peers.py
+++ b/ironhinge/net/peers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import socket
-from typing import TYPE_CHECKING, Optional
+from typing import TYPE_CHECKING
 
 import anyio
 
@@ -22,7 +22,7 @@
 
     def __init__(self, director: Director):
         self.director = director
-        self.sock: Optional[socket.socket] = None  # none where the configuration has no address for it
+        self.sock: socket.socket | None = None  # none where the configuration has no address for it
 
     def say(self, act: interface.SendGossip) -> None:
         """To one of them, or to all where the platform has an address for that."""
@@ -33,10 +33,11 @@
 
     def tell_all(self, data: bytes) -> None:
         """To all of the tier at once, or to each where there is no address for all; nothing where the
-        settings do not allow it."""
+        settings do not allow it.
+        """
         told = self.director.told
         if not told.deployment.gossip_allowed:
-            return
+            return None
         if told.peers_all is not None:
             return self.say(interface.SendGossip(None, data))
         for place, peer in enumerate(told.peers):
--- a/ironhinge/net/poll.py
+++ b/ironhinge/net/poll.py
@@ -4,7 +4,7 @@
 
 import selectors
 from time import monotonic
-from typing import Any, List, Optional
+from typing import Any
 
 STALL = 0.03  # seconds by which the loop is late when it was kept from running
 STALL_LASTS = 0.1  # seconds after a stall in which what came in it may still be unread
@@ -13,14 +13,15 @@
 class Poll(selectors.DefaultSelector):
     """What a task reads was found one look before the latest, since the loop wakes tasks a turn later, and
     was not there yet at the look before that; so it has waited since then at most, however long the program
-    was kept from running. Times are in seconds of the monotonic clock."""
+    was kept from running. Times are in seconds of the monotonic clock.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.since = self.found_at = self.looked_at = monotonic()
         self.stalled_from = self.stalled_until = 0.0  # when the program last was kept from running
 
-    def select(self, timeout: Optional[float] = None) -> List[Any]:
+    def select(self, timeout: float | None = None) -> list[Any]:
         began = monotonic()
         found = super().select(timeout)
         now = monotonic()
@@ -33,7 +34,8 @@
 
     def unread_since(self) -> float:
         """What is read now has come after this. Some tasks take a turn more to wake: shortly after a stall
-        all that is read may have come in it."""
+        all that is read may have come in it.
+        """
         if monotonic() < self.stalled_until + STALL_LASTS:
             return min(self.since, self.stalled_from)
         return self.since
--- a/ironhinge/net/ring.py
+++ b/ironhinge/net/ring.py
@@ -7,7 +7,7 @@
 
 
 class Ring:
-    __slots__ = ("view", "size", "start", "held")
+    __slots__ = ("held", "size", "start", "view")
 
     def __init__(self, size: int):
         self.view = memoryview(bytearray(size))
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -9,7 +9,8 @@
 import gc
 import signal
 import socket
-from typing import Any, AsyncIterator, Awaitable, Callable, Optional, Tuple
+from collections.abc import AsyncIterator, Awaitable, Callable
+from typing import Any
 
 import anyio
 from anyio.abc import TaskGroup
@@ -53,7 +54,8 @@
 
 def hold_signals() -> None:
     """From here on signals wait until they are served: one that comes early must neither end the program nor
-    be missed."""
+    be missed.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, HEARD)
 
 
@@ -63,10 +65,11 @@
     books: Any = None,
     shelf: Any = None,
     runner: Any = None,
-    clock: Optional[Clock] = None,
+    clock: Clock | None = None,
 ) -> None:
     """Serves until SIGTERM; at SIGHUP the configuration is read again, at SIGUSR1 the latest events of
-    connections and requests go to the log."""
+    connections and requests go to the log.
+    """
     poll = Poll()
     options = {"loop_factory": lambda: asyncio.SelectorEventLoop(poll)}
     anyio.run(_serve, told, read_again, poll, books, shelf, runner, clock or Clock(), backend_options=options)
@@ -139,7 +142,7 @@
 
 async def _start(
     told: Assignment, poll: Poll, tasks: TaskGroup, books: Any, shelf: Any, clock: Clock
-) -> Tuple[Director, socket.socket]:
+) -> tuple[Director, socket.socket]:
     """What is known goes to the module first; then clients may come."""
     driver = Driver(tasks, told.limits, poll)
     director = Director(told, driver, books, shelf, clock)
@@ -166,7 +169,8 @@
     """Takes and answers what still comes, and all before the program may be ended by force. Then the backlog
     is taken and closed. Connections stay open for as long as their clients hold them, since requests come on
     them until the end: later ones are refused at once. The program ends when no client is left, or some time
-    after it should have been killed."""
+    after it should have been killed.
+    """
     clock = director.clock
     logger.info("leaving: {}", director.report())
     killed = min(director.router.longest, LONGEST) + KILLED
--- a/ironhinge/net/sockets.py
+++ b/ironhinge/net/sockets.py
@@ -7,7 +7,7 @@
 
 import socket
 import sys
-from typing import Callable, Optional, Tuple
+from collections.abc import Callable
 
 import anyio
 
@@ -28,21 +28,21 @@
     def __init__(self, report: Report):
         self._report = report
 
-    def failed(self, call: Call, error: Optional[int]) -> Remedy:
+    def failed(self, call: Call, error: int | None) -> Remedy:
         """The remedy for an errno; tells the report of it."""
         remedy = remedy_for(call, error or 0)
         if remedy not in ORDINARY:
             self._report(call, name_of(error or 0), remedy)
         return remedy
 
-    def new_stream(self) -> Tuple[Optional[socket.socket], Remedy]:
+    def new_stream(self) -> tuple[socket.socket | None, Remedy]:
         """A TCP socket that does not block; or None and why not."""
         try:
             return _new_socket(socket.SOCK_STREAM), Remedy.DONE
         except OSError as error:
             return None, self.failed(Call.SOCKET, error.errno)
 
-    def accept(self, listener: socket.socket) -> Tuple[Optional[socket.socket], Remedy]:
+    def accept(self, listener: socket.socket) -> tuple[socket.socket | None, Remedy]:
         """The next connection that waits; or None and why not."""
         for _ in range(AT_ONCE):
             try:
@@ -75,7 +75,7 @@
             self.failed(Call.CONNECT, error)
         return remedy
 
-    def send(self, sock: socket.socket, data: memoryview) -> Tuple[int, Remedy]:
+    def send(self, sock: socket.socket, data: memoryview) -> tuple[int, Remedy]:
         """How many bytes the system took; DONE, or why it took none."""
         for _ in range(AT_ONCE):
             try:
@@ -86,7 +86,7 @@
                 return 0, remedy
         return 0, Remedy.PAUSE
 
-    def receive(self, sock: socket.socket, room: memoryview) -> Tuple[int, Remedy]:
+    def receive(self, sock: socket.socket, room: memoryview) -> tuple[int, Remedy]:
         """How many bytes came, 0 for the peer's end; DONE, or why none could be read."""
         for _ in range(AT_ONCE):
             try:
@@ -97,7 +97,7 @@
                 return 0, remedy
         return 0, Remedy.PAUSE
 
-    def peek(self, sock: socket.socket) -> Tuple[bool, Remedy]:
+    def peek(self, sock: socket.socket) -> tuple[bool, Remedy]:
         """Whether bytes are there that were not read yet; DONE with none means the peer's end."""
         for _ in range(AT_ONCE):
             try:
@@ -122,7 +122,8 @@
 
     def since_data(self, sock: socket.socket, unknown: float) -> float:
         """Seconds since bytes last came on a connection, as tcp(7) tells them; `unknown` where it does
-        not."""
+        not.
+        """
         try:
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.stop)
         except OSError as error:
@@ -179,7 +180,7 @@
             self.failed(Call.SEND_DATAGRAM, error.errno)
             return False
 
-    def receive_datagram(self, sock: socket.socket, most: int) -> Tuple[bytes, Optional[Address], Remedy]:
+    def receive_datagram(self, sock: socket.socket, most: int) -> tuple[bytes, Address | None, Remedy]:
         """The next datagram and its sender; or why there is none."""
         try:
             data, sender = sock.recvfrom(most)
--- a/ironhinge/net/system_calls.py
+++ b/ironhinge/net/system_calls.py
@@ -9,8 +9,8 @@
 
 import errno
 import random
+from collections.abc import Iterable
 from enum import Enum, auto
-from typing import Dict, Iterable, Tuple
 
 SHORTEST_PAUSE = (
     0.001  # seconds before a call that failed for want of a resource is made again, the first time
@@ -52,7 +52,7 @@
     BUG = auto()  # the program made a call that it must not make
 
 
-Row = Tuple[Call, Remedy, Tuple[int, ...]]
+Row = tuple[Call, Remedy, tuple[int, ...]]
 
 _BUGS = (errno.EBADF, errno.EFAULT, errno.EINVAL, errno.ENOTSOCK)
 _NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
@@ -74,7 +74,7 @@
     errno.ENETUNREACH,
 )  # ours; a connection that is broken says so at the next call
 
-_ROWS: Tuple[Row, ...] = (
+_ROWS: tuple[Row, ...] = (
     (Call.SOCKET, Remedy.DESCRIPTORS, _NO_DESCRIPTORS),
     (Call.SOCKET, Remedy.PAUSE, _NO_MEMORY),
     (Call.SOCKET, Remedy.RETRY, (errno.EINTR,)),
@@ -142,8 +142,8 @@
 )
 
 
-def _table(rows: Iterable[Row]) -> Dict[Tuple[Call, int], Remedy]:
-    table: Dict[Tuple[Call, int], Remedy] = {}
+def _table(rows: Iterable[Row]) -> dict[tuple[Call, int], Remedy]:
+    table: dict[tuple[Call, int], Remedy] = {}
     for call, remedy, numbers in rows:
         for number in numbers:
             if table.setdefault((call, number), remedy) is not remedy:
@@ -167,7 +167,8 @@
 
 def spread(pause: float) -> float:
     """A pause of half its length to all of it, by chance: many that wait for the same thing don't wake
-    together."""
+    together.
+    """
     return pause * (0.5 + random.random() / 2)
 
 
--- a/ironhinge/settings/apart.py
+++ b/ironhinge/settings/apart.py
@@ -7,7 +7,7 @@
 
 import subprocess
 import sys
-from typing import Sequence
+from collections.abc import Sequence
 
 import msgspec
 
--- a/ironhinge/settings/cli.py
+++ b/ironhinge/settings/cli.py
@@ -4,7 +4,7 @@
 
 import json
 import sys
-from typing import Any, Optional, Tuple
+from typing import Any
 
 import click
 
@@ -23,7 +23,7 @@
 json_option = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of text.")
 
 
-def loaded(files: Tuple[str, ...], as_json: bool = False, config: Optional[str] = None) -> Any:
+def loaded(files: tuple[str, ...], as_json: bool = False, config: str | None = None) -> Any:
     """The settings of these files; what is wrong with them ends the program with code 2, all of it told."""
     from .load import Wrong, against, load
 
@@ -62,7 +62,7 @@
 @files_argument
 @config_option
 @json_option
-def check(files: Tuple[str, ...], config: Optional[str], as_json: bool) -> None:
+def check(files: tuple[str, ...], config: str | None, as_json: bool) -> None:
     """Say all that is wrong with FILES taken together; code 0 if nothing is."""
     traffic = loaded(files, as_json, config).operations.traffic
     count = len(traffic.budgets) if traffic else 0
@@ -77,7 +77,7 @@
 @files_argument
 @config_option
 @json_option
-def show(files: Tuple[str, ...], config: Optional[str], as_json: bool) -> None:
+def show(files: tuple[str, ...], config: str | None, as_json: bool) -> None:
     """Print what FILES come to, unified and with all defaults."""
     from .load import write
 
