--- a/ironhinge/settings/grammar.py
+++ b/ironhinge/settings/grammar.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 from functools import lru_cache
-from typing import Any, Dict, List, NamedTuple, Optional, Tuple, Union
+from typing import Any, NamedTuple, Union
 
 from lark import Lark, Token, Transformer, UnexpectedInput, v_args
 from lark.exceptions import VisitError
@@ -64,26 +64,26 @@
 
 @dataclass(frozen=True)
 class Reference:
-    names: Tuple[str, ...]
+    names: tuple[str, ...]
     at: Where
 
 
 @dataclass(frozen=True)
 class Bound:
     op: str
-    of: "Expr"
+    of: Expr
     at: Where
 
 
 @dataclass(frozen=True)
 class All:
-    parts: Tuple["Expr", ...]
+    parts: tuple[Expr, ...]
     at: Where
 
 
 @dataclass(frozen=True)
 class Any_:
-    parts: Tuple[Tuple["Expr", bool], ...]  # each with whether it is marked as the default
+    parts: tuple[tuple[Expr, bool], ...]  # each with whether it is marked as the default
     at: Where
 
 
@@ -91,22 +91,22 @@
 class Entry:
     name: str
     optional: bool
-    of: "Expr"
+    of: Expr
     at: Where
 
 
 @dataclass(frozen=True)
 class Record:
-    entries: Tuple[Entry, ...]
-    pattern: Optional["Expr"]
+    entries: tuple[Entry, ...]
+    pattern: Expr | None
     is_open: bool
     at: Where
 
 
 @dataclass(frozen=True)
 class Row:
-    parts: Tuple["Expr", ...]
-    rest: Optional["Expr"]
+    parts: tuple[Expr, ...]
+    rest: Expr | None
     at: Where
 
 
@@ -144,10 +144,10 @@
     def at(self, meta: Any) -> Where:
         return Where(self.file, getattr(meta, "line", 1), getattr(meta, "column", 1))
 
-    def start(self, meta: Any, parts: List[Any]) -> Record:
+    def start(self, meta: Any, parts: list[Any]) -> Record:
         return parts[0]
 
-    def body(self, meta: Any, parts: List[Any]) -> Record:
+    def body(self, meta: Any, parts: list[Any]) -> Record:
         entries = tuple(each for each in parts if isinstance(each, Entry))
         others = [each for each in parts if not isinstance(each, Entry)]
         patterns = [each for each in others if each is not None]
@@ -155,70 +155,70 @@
             raise Unreadable(patterns[1].at, "a second pattern", "at most one '[string]: ...' in a record")
         return Record(entries, patterns[0] if patterns else None, None in others, self.at(meta))
 
-    def label(self, meta: Any, parts: List[Token]) -> Tuple[str, Where]:
+    def label(self, meta: Any, parts: list[Token]) -> tuple[str, Where]:
         token = parts[0]
         name = unquoted(token) if token.type == "STRING" else str(token)
         return name, Where(self.file, token.line or 1, token.column or 1)
 
-    def field(self, meta: Any, parts: List[Any]) -> Entry:
+    def field(self, meta: Any, parts: list[Any]) -> Entry:
         return Entry(parts[0][0], False, parts[1], parts[0][1])
 
-    def nested(self, meta: Any, parts: List[Any]) -> Entry:
+    def nested(self, meta: Any, parts: list[Any]) -> Entry:
         inner = Record((parts[1],), None, False, parts[1].at)
         return Entry(parts[0][0], False, inner, parts[0][1])
 
-    def optional(self, meta: Any, parts: List[Any]) -> Entry:
+    def optional(self, meta: Any, parts: list[Any]) -> Entry:
         return Entry(parts[0][0], True, parts[1], parts[0][1])
 
-    def pattern(self, meta: Any, parts: List[Any]) -> Expr:
+    def pattern(self, meta: Any, parts: list[Any]) -> Expr:
         if parts[0] != "string":
             raise Unreadable(self.at(meta), f"[{parts[0]}]", "[string]")
         return parts[1]
 
-    def open(self, meta: Any, parts: List[Any]) -> None:
+    def open(self, meta: Any, parts: list[Any]) -> None:
         return None
 
-    def plain(self, meta: Any, parts: List[Any]) -> Tuple[Expr, bool]:
+    def plain(self, meta: Any, parts: list[Any]) -> tuple[Expr, bool]:
         return parts[0], False
 
-    def marked(self, meta: Any, parts: List[Any]) -> Tuple[Expr, bool]:
+    def marked(self, meta: Any, parts: list[Any]) -> tuple[Expr, bool]:
         return parts[0], True
 
-    def expr(self, meta: Any, parts: List[Any]) -> Expr:
+    def expr(self, meta: Any, parts: list[Any]) -> Expr:
         if len(parts) == 1 and not parts[0][1]:
             return parts[0][0]
         return Any_(tuple(parts), self.at(meta))
 
-    def conj(self, meta: Any, parts: List[Any]) -> Expr:
+    def conj(self, meta: Any, parts: list[Any]) -> Expr:
         return parts[0] if len(parts) == 1 else All(tuple(parts), self.at(meta))
 
-    def bound(self, meta: Any, parts: List[Any]) -> Bound:
+    def bound(self, meta: Any, parts: list[Any]) -> Bound:
         return Bound(str(parts[0]), parts[1], self.at(meta))
 
-    def number(self, meta: Any, parts: List[Token]) -> Literal:
+    def number(self, meta: Any, parts: list[Token]) -> Literal:
         text = str(parts[0])
         whole = not set(text) & set(".eE")
         if len(text) > 40:
             raise Unreadable(self.at(meta), f"a number of {len(text)} digits", "at most 40")
         return Literal(int(text) if whole else float(text), self.at(meta))
 
-    def text(self, meta: Any, parts: List[Token]) -> Literal:
+    def text(self, meta: Any, parts: list[Token]) -> Literal:
         return Literal(unquoted(parts[0]), self.at(meta))
 
-    def reference(self, meta: Any, parts: List[Token]) -> Reference:
+    def reference(self, meta: Any, parts: list[Token]) -> Reference:
         return Reference(tuple(map(str, parts)), self.at(meta))
 
-    def record(self, meta: Any, parts: List[Record]) -> Record:
+    def record(self, meta: Any, parts: list[Record]) -> Record:
         inner = parts[0]
         return Record(inner.entries, inner.pattern, inner.is_open, self.at(meta))
 
-    def row(self, meta: Any, parts: List[Any]) -> Row:
+    def row(self, meta: Any, parts: list[Any]) -> Row:
         return Row(tuple(each for each in parts if each is not None), None, self.at(meta))
 
-    def rest(self, meta: Any, parts: List[Any]) -> Row:
+    def rest(self, meta: Any, parts: list[Any]) -> Row:
         return Row((), parts[0], self.at(meta))
 
-    def group(self, meta: Any, parts: List[Any]) -> Expr:
+    def group(self, meta: Any, parts: list[Any]) -> Expr:
         return parts[0]
 
 
@@ -227,7 +227,7 @@
     return Lark(GRAMMAR, parser="lalr", propagate_positions=True, maybe_placeholders=False)
 
 
-WORDS: Dict[str, str] = {
+WORDS: dict[str, str] = {
     "NAME": "a name",
     "STRING": "a text in quotes",
     "NUMBER": "a number",
--- a/ironhinge/settings/load.py
+++ b/ironhinge/settings/load.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Sequence
 from importlib import resources
-from typing import Any, Dict, Iterable, List, NamedTuple, Optional, Sequence, Tuple
+from typing import Any, NamedTuple
 
 from .grammar import Record, Reference, Unreadable, Where, parse
 from .records import Operations, Traffic, from_plain
@@ -26,20 +27,20 @@
 
 class Loaded(NamedTuple):
     operations: Operations
-    plain: Dict[str, Any]
-    places: Dict[str, Where]
+    plain: dict[str, Any]
+    places: dict[str, Where]
 
 
 def schema_text() -> str:
     return resources.files(__package__).joinpath("schema.cue").read_text(encoding="utf-8")
 
 
-def read_texts(texts: Iterable[Tuple[str, str]]) -> Read:
+def read_texts(texts: Iterable[tuple[str, str]]) -> Read:
     """What several texts, each with its file's name, say together under the schema."""
     schema = Struct([Text(parse(schema_text(), "schema.cue"), Env(None, None, shuts=True), False)], "")
     base = evaluate(Reference((ROOT,), Where("schema.cue", 1, 1)), Env(schema, None), "")
-    records: List[Record] = []
-    faults: List[Fault] = []
+    records: list[Record] = []
+    faults: list[Fault] = []
     for file, text in texts:
         try:
             records.append(parse(text, file))
@@ -56,7 +57,7 @@
     return read
 
 
-def load_texts(texts: Iterable[Tuple[str, str]]) -> Loaded:
+def load_texts(texts: Iterable[tuple[str, str]]) -> Loaded:
     read = read_texts(texts)
     operations = from_plain(read.value)
     faults = list(_relations(operations, read.places))
@@ -77,7 +78,7 @@
     return load_texts(texts)
 
 
-def _relations(operations: Operations, places: Dict[str, Where]) -> Iterable[Fault]:
+def _relations(operations: Operations, places: dict[str, Where]) -> Iterable[Fault]:
     traffic = operations.traffic
     if traffic is None:
         return
@@ -105,13 +106,14 @@
             above = traffic.budgets[above].within
 
 
-def against(loaded: Loaded, zones: Sequence[str], vhosts: Sequence[str]) -> List[Fault]:
+def against(loaded: Loaded, zones: Sequence[str], vhosts: Sequence[str]) -> list[Fault]:
     """What of the settings a deployment lacks: names are only ever turned into places here and in the
-    ledger."""
-    faults: List[Fault] = []
-    traffic: Optional[Traffic] = loaded.operations.traffic
+    ledger.
+    """
+    faults: list[Fault] = []
+    traffic: Traffic | None = loaded.operations.traffic
 
-    def look(path: str, name: Optional[str], known: Sequence[str]) -> None:
+    def look(path: str, name: str | None, known: Sequence[str]) -> None:
         if name is not None and name not in known:
             faults.append(Fault(loaded.places[path], path, printed(name), "one of " + ", ".join(known)))
 
--- a/ironhinge/settings/records.py
+++ b/ironhinge/settings/records.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Any, Dict, Optional, Tuple
+from typing import Any
 
 import msgspec
 
@@ -17,8 +17,8 @@
 class Emergency(msgspec.Struct, frozen=True):
     rate: Rate
     remember: Span
-    burst: Optional[Size] = None
-    sum: Optional[Size] = None
+    burst: Size | None = None
+    sum: Size | None = None
 
 
 class Streams(msgspec.Struct, frozen=True):
@@ -28,26 +28,26 @@
 
 
 class Budget(msgspec.Struct, frozen=True):
-    ways: Tuple[str, ...]
+    ways: tuple[str, ...]
     scope: str
     ahead: float
     begin: str
-    into: Optional[str] = None
-    out_of: Optional[str] = None
-    vhosts: Optional[Tuple[str, ...]] = None
-    within: Optional[str] = None
-    rate: Optional[Rate] = None
-    burst: Optional[Size] = None
-    sum: Optional[Size] = None
-    emergency: Optional[Emergency] = None
-    streams: Optional[Streams] = None
+    into: str | None = None
+    out_of: str | None = None
+    vhosts: tuple[str, ...] | None = None
+    within: str | None = None
+    rate: Rate | None = None
+    burst: Size | None = None
+    sum: Size | None = None
+    emergency: Emergency | None = None
+    streams: Streams | None = None
 
 
 class Price(msgspec.Struct, frozen=True):
-    ways: Tuple[str, ...]
+    ways: tuple[str, ...]
     per_gb: float
-    into: Optional[str] = None
-    out_of: Optional[str] = None
+    into: str | None = None
+    out_of: str | None = None
 
 
 class Keep(msgspec.Struct, frozen=True):
@@ -69,11 +69,11 @@
     period: Span
     most_streams: int
     distributions: bool
-    prices: Tuple[Price, ...]
-    budgets: Dict[str, Budget] = {}
-    keep: Optional[Keep] = None
-    metrics: Optional[Metrics] = None
-    share: Optional[Share] = None
+    prices: tuple[Price, ...]
+    budgets: dict[str, Budget] = {}
+    keep: Keep | None = None
+    metrics: Metrics | None = None
+    share: Share | None = None
 
 
 class Disk(msgspec.Struct, frozen=True):
@@ -85,12 +85,12 @@
     object_share: float
     class_share: float
     background: Rate
-    write: Optional[Rate] = None
+    write: Rate | None = None
 
 
 class Operations(msgspec.Struct, frozen=True):
-    traffic: Optional[Traffic] = None
-    disk: Optional[Disk] = None
+    traffic: Traffic | None = None
+    disk: Disk | None = None
 
 
 def _decode(kind: type, value: Any) -> Any:
--- a/ironhinge/settings/unify.py
+++ b/ironhinge/settings/unify.py
@@ -10,7 +10,7 @@
 import difflib
 import re
 from dataclasses import dataclass, field
-from typing import Any, Dict, List, NamedTuple, Optional, Tuple
+from typing import Any, NamedTuple
 
 from . import units
 from .grammar import All, Any_, Bound, Expr, Literal, Record, Reference, Where, quoted
@@ -58,9 +58,9 @@
 class Wanted:
     """Any scalar of a kind, of a unit, within bounds."""
 
-    kind: Optional[str]
-    unit: Optional[str]
-    bounds: Tuple[Tuple[str, Any], ...]
+    kind: str | None
+    unit: str | None
+    bounds: tuple[tuple[str, Any], ...]
     at: Where
 
 
@@ -68,13 +68,13 @@
 class Choice:
     """One of several; `marked` ones are taken when nothing else tells."""
 
-    parts: Tuple[Tuple[Any, bool], ...]
+    parts: tuple[tuple[Any, bool], ...]
     at: Where
 
 
 @dataclass
 class Rows:
-    parts: Optional[Tuple[Any, ...]]  # None: any number of `rest`
+    parts: tuple[Any, ...] | None  # None: any number of `rest`
     rest: Any
     at: Where
 
@@ -83,8 +83,8 @@
 class Env:
     """Where a name is looked up: a record, then those around it."""
 
-    record: Optional["Struct"]
-    outer: Optional["Env"]
+    record: Struct | None
+    outer: Env | None
     closed: bool = False  # what stands here is within a definition, and says all that there is
     shuts: bool = False  # definitions that stand here close what they hold: the schema's, not an operator's
 
@@ -107,15 +107,15 @@
 class Struct:
     """A record: all texts that say something of it. Its fields are worked out when asked for."""
 
-    def __init__(self, texts: List[Text], path: str):
+    def __init__(self, texts: list[Text], path: str):
         self.texts, self.path = texts, path
         self.at = texts[0].record.at
-        self.fields: Dict[str, List[Conjunct]] = {}
-        self.needed: Dict[str, bool] = {}
-        self.places: Dict[str, Where] = {}
-        self.known: Dict[str, Any] = {}
+        self.fields: dict[str, list[Conjunct]] = {}
+        self.needed: dict[str, bool] = {}
+        self.places: dict[str, Where] = {}
+        self.known: dict[str, Any] = {}
         self.busy: set = set()
-        self.faults: List[Fault] = []
+        self.faults: list[Fault] = []
         inner = [Env(self, text.env, text.closed, text.env.shuts) for text in texts]
         for text, env in zip(texts, inner, strict=True):
             for entry in text.record.entries:
@@ -156,7 +156,7 @@
     return f"{path}.{name}" if path else name
 
 
-def together(conjuncts: List[Conjunct], path: str, at: Where) -> Any:
+def together(conjuncts: list[Conjunct], path: str, at: Where) -> Any:
     """What several texts say of one thing."""
     value: Any = Top(at)
     for each in conjuncts:
@@ -183,7 +183,7 @@
     if isinstance(of, All):
         return together([Conjunct(part, env) for part in of.parts], path, of.at)
     if isinstance(of, Any_):
-        found: List[Tuple[Any, bool]] = []
+        found: list[tuple[Any, bool]] = []
         for part, marked in of.parts:
             value = evaluate(part, env, path)
             if isinstance(value, Choice):  # a choice within: its own default holds where this one is taken
@@ -202,7 +202,7 @@
 
 def _resolve(of: Reference, env: Env, path: str) -> Any:
     first, *rest = of.names
-    scope: Optional[Env] = env
+    scope: Env | None = env
     while scope is not None and (scope.record is None or first not in scope.record.fields):
         scope = scope.outer
     if scope is None or scope.record is None:
@@ -236,9 +236,9 @@
     return value
 
 
-def _names(env: Env) -> List[str]:
-    out: List[str] = []
-    scope: Optional[Env] = env
+def _names(env: Env) -> list[str]:
+    out: list[str] = []
+    scope: Env | None = env
     while scope is not None:
         out += list(scope.record.fields) if scope.record is not None else []
         scope = scope.outer
@@ -253,10 +253,11 @@
     return value
 
 
-def narrowed(parts: List[Tuple[Any, bool]], at: Where, path: str) -> Any:
+def narrowed(parts: list[tuple[Any, bool]], at: Where, path: str) -> Any:
     """A choice of what is possible among these; nothing possible is the last one's fault, told as a
-    choice."""
-    kept: List[Tuple[Any, bool]] = []
+    choice.
+    """
+    kept: list[tuple[Any, bool]] = []
     for value, mark in parts:
         if isinstance(value, Bottom) or faults_of(value):
             continue
@@ -285,7 +286,8 @@
 
 def within(one: Any, wider: Any) -> bool:
     """True when a kind with bounds allows nothing that the other does not: told twice it would be one
-    thing."""
+    thing.
+    """
     if not isinstance(one, Wanted) or not isinstance(wider, Wanted) or same(one, wider):
         return False
     kind = wider.kind in (None, one.kind) or (wider.kind, one.kind) == ("number", "int")
@@ -304,7 +306,7 @@
     return one is other
 
 
-def faults_of(value: Any) -> List[Fault]:
+def faults_of(value: Any) -> list[Fault]:
     """All that can't be within a value, however deep."""
     if isinstance(value, Bottom):
         return [value.fault]
@@ -377,7 +379,7 @@
     if isinstance(one, Rows) and isinstance(other, Rows):
         return _rows(one, other, path)
     if isinstance(one, Scalar) and isinstance(other, Scalar):
-        if same(one, other) or _number(one) and _number(other) and one.value == other.value:
+        if same(one, other) or (_number(one) and _number(other) and one.value == other.value):
             return one if isinstance(one.value, int) else other
         return Bottom(Fault(one.at, path, printed(one.value), f"{printed(other.value)} as at {other.at}"))
     if isinstance(one, Wanted) and isinstance(other, Wanted):
@@ -393,7 +395,7 @@
     return isinstance(value.value, (int, float)) and not isinstance(value.value, bool)
 
 
-def _marks(value: Any) -> List[Tuple[Any, bool]]:
+def _marks(value: Any) -> list[tuple[Any, bool]]:
     """A choice's parts; without any mark all count as marked."""
     if not isinstance(value, Choice):
         return [(value, True)]
@@ -465,11 +467,11 @@
     """A whole text worked out: its plain value, and where each path stands."""
 
     value: Any = None
-    places: Dict[str, Where] = field(default_factory=dict)
-    faults: List[Fault] = field(default_factory=list)
+    places: dict[str, Where] = field(default_factory=dict)
+    faults: list[Fault] = field(default_factory=list)
 
 
-def finish(value: Any, path: str = "", at: Optional[Where] = None) -> Read:
+def finish(value: Any, path: str = "", at: Where | None = None) -> Read:
     """The plain value of a record, defaults taken; every fault of it, each told once."""
     read = Read()
     read.value = _plain(value, path, at or value.at, read)
@@ -487,7 +489,7 @@
         return None
     if isinstance(value, Struct):
         read.faults += value.faults
-        out: Dict[str, Any] = {}
+        out: dict[str, Any] = {}
         for name in value.fields:
             if name.startswith("#"):
                 continue
--- a/ironhinge/settings/units.py
+++ b/ironhinge/settings/units.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import re
-from typing import Dict, NamedTuple, Optional, Tuple
+from typing import NamedTuple
 
 SIZES = {"B": 1, "KB": 10**3, "MB": 10**6, "GB": 10**9, "TB": 10**12, "PB": 10**15}
 SIZES.update({"KiB": 2**10, "MiB": 2**20, "GiB": 2**30, "TiB": 2**40})
@@ -29,19 +29,19 @@
 
 class Unit(NamedTuple):
     kind: type
-    words: Dict[str, int]
+    words: dict[str, int]
     per: str  # what stands behind the word
     example: str
 
 
-UNITS: Dict[str, Unit] = {
+UNITS: dict[str, Unit] = {
     "Size": Unit(Size, SIZES, "", '"2TB"'),
     "Rate": Unit(Rate, SIZES, "/s", '"40MB/s"'),
     "Span": Unit(Span, SPANS, "", '"30d"'),
 }
 
 
-def parse(name: str, text: str) -> Optional[int]:
+def parse(name: str, text: str) -> int | None:
     """The figure of a text of that unit; None where it is not one."""
     unit = UNITS[name]
     found = re.fullmatch(rf"({NUMBER})\s*([A-Za-z]+){unit.per}", text)
@@ -64,5 +64,5 @@
     return f"{figure // scale}{word}{unit.per}"
 
 
-def of(kind: type) -> Tuple[str, Unit]:
+def of(kind: type) -> tuple[str, Unit]:
     return next((name, unit) for name, unit in UNITS.items() if unit.kind is kind)
--- a/ironhinge/traffic/account.py
+++ b/ironhinge/traffic/account.py
@@ -7,14 +7,15 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import Any, Dict, Iterable, List, NamedTuple, Optional, Tuple
+from collections.abc import Iterable
+from typing import Any, NamedTuple
 
 from .types import Crossing, Use, Way
 
 MOST_KINDS = 2048  # of crossings in a window
 REST = -1
 SECOND, MINUTE, HOUR = 1000, 60_000, 3_600_000
-WINDOWS: Tuple[Tuple[str, int, int, bool], ...] = (  # name, length, how many are kept, whether in full
+WINDOWS: tuple[tuple[str, int, int, bool], ...] = (  # name, length, how many are kept, whether in full
     ("second", SECOND, 120, False),
     ("minute", MINUTE, 120, False),
     ("hour", HOUR, 72, True),
@@ -24,9 +25,10 @@
 
 class Cell:
     """What crossed in one way: fills begun, bytes carried, how many of those are guessed, and the bytes that
-    the hub drew from the origin for them."""
+    the hub drew from the origin for them.
+    """
 
-    __slots__ = ("fills", "carried", "guessed", "behind")
+    __slots__ = ("behind", "carried", "fills", "guessed")
 
     def __init__(self, fills: int = 0, carried: int = 0, guessed: int = 0, behind: int = 0):
         self.fills, self.carried, self.guessed, self.behind = fills, carried, guessed, behind
@@ -37,7 +39,7 @@
         self.guessed += guessed
         self.behind += behind
 
-    def plain(self) -> List[int]:
+    def plain(self) -> list[int]:
         return [self.fills, self.carried, self.guessed, self.behind]
 
 
@@ -51,7 +53,7 @@
     behind: int
 
 
-Cells = Dict[Crossing, Cell]
+Cells = dict[Crossing, Cell]
 
 
 def coarse(crossing: Crossing) -> Crossing:
@@ -63,7 +65,7 @@
 
     def __init__(self, length: int, most: int, full: bool):
         self.length, self.most, self.full = length, most, full
-        self.stretches: "OrderedDict[int, Cells]" = OrderedDict()  # by start, the oldest first
+        self.stretches: OrderedDict[int, Cells] = OrderedDict()  # by start, the oldest first
         self.forgotten = 0  # stretches let go
         self.from_, self.until = 0, 0  # of the stretch used last
         self.last: Cells = {}
@@ -77,12 +79,12 @@
             if len(self.stretches) > 1 and start < max(self.stretches):  # a clock stepped back
                 self.stretches = OrderedDict(sorted(self.stretches.items()))
                 last = next(reversed(self.stretches))
-            while len(self.stretches) > self.most and last != start or len(self.stretches) > self.most:
+            while (len(self.stretches) > self.most and last != start) or len(self.stretches) > self.most:
                 self.stretches.popitem(last=False)
                 self.forgotten += 1
         return found
 
-    def add(self, at: int, crossing: Crossing, figures: Tuple[int, int, int, int]) -> None:
+    def add(self, at: int, crossing: Crossing, figures: tuple[int, int, int, int]) -> None:
         if not self.from_ <= at < self.until:
             self.last = self.cells(at)
             self.from_ = at - at % self.length
@@ -97,7 +99,7 @@
 
 class Account:
     def __init__(self, period_ms: int):
-        self.windows: Dict[str, Window] = {
+        self.windows: dict[str, Window] = {
             name: Window(length, most, full) for name, length, most, full in WINDOWS
         }
         self.windows["period"] = Window(period_ms, PERIODS, True)
@@ -111,7 +113,7 @@
         for window in self.windows.values():
             window.add(at, crossing if window.full else short, figures)
 
-    def rows(self, window: str, start: Optional[int] = None) -> List[Row]:
+    def rows(self, window: str, start: int | None = None) -> list[Row]:
         """A stretch of a window, the latest where none is named."""
         stretches = self.windows[window].stretches
         if not stretches:
@@ -119,7 +121,7 @@
         cells = stretches.get(next(reversed(stretches)) if start is None else start, {})
         return [Row(crossing, *cell.plain()) for crossing, cell in cells.items()]
 
-    def plain(self) -> Dict[str, Any]:
+    def plain(self) -> dict[str, Any]:
         """All of it as plain values, for a snapshot."""
         return {
             name: [
@@ -129,7 +131,7 @@
             for name, window in self.windows.items()
         }
 
-    def restore(self, plain: Dict[str, Any]) -> None:
+    def restore(self, plain: dict[str, Any]) -> None:
         for name, stretches in plain.items():
             window = self.windows.get(name)
             if window is None:
--- a/ironhinge/traffic/budget.py
+++ b/ironhinge/traffic/budget.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import Any, Dict, List, Optional, Tuple
+from typing import Any
 
 from ..settings import records
 
@@ -31,7 +31,8 @@
 
     def wait(self, now: int, need: float, floor: float) -> int:
         """Time until `need` bytes may go while `floor` stays; an object larger than the pot takes all of
-        it."""
+        it.
+        """
         self.fill(now)
         lacks = min(need, max(1.0, self.cap - floor)) + floor - self.level
         if lacks <= 0:
@@ -49,12 +50,13 @@
         self.fill(now)
         return max(0.0, self.level - HALF * self.cap)
 
-    def plain(self) -> List[float]:
+    def plain(self) -> list[float]:
         return [self.level]
 
-    def restore(self, plain: List[float], now: int, gap: float) -> None:
+    def restore(self, plain: list[float], now: int, gap: float) -> None:
         """From a snapshot; in the `gap` seconds since then all that could be may have been spent: what was in
-        the pot, and what came into it."""
+        the pot, and what came into it.
+        """
         self.level, self.at = min(plain[0], self.cap, 0.0 if gap else self.cap), now
 
 
@@ -91,10 +93,10 @@
         self.level = min(0.0, self.level)
         self.pace(now)
 
-    def plain(self) -> List[float]:
+    def plain(self) -> list[float]:
         return [self.level, self.left]
 
-    def restore(self, plain: List[float], now: int, gap: float) -> None:
+    def restore(self, plain: list[float], now: int, gap: float) -> None:
         super().restore(plain, now, gap)
         self.left = min(plain[1], self.most)
         self.pace(now)
@@ -105,7 +107,8 @@
 
 class StreamBook:
     """What of a budget is promised to streams that were begun: a part of its rate, and the next part of each
-    in hand. Bounded by the setting's part, so that a flood of first parts can't pin all of it."""
+    in hand. Bounded by the setting's part, so that a flood of first parts can't pin all of it.
+    """
 
     def __init__(self, told: records.Streams, rate: float, burst: float):
         self.told = told
@@ -134,20 +137,20 @@
 
     def __init__(self, name: str, told: records.Budget, part: float, now: int, ends: int, left: float):
         self.name, self.told, self.part = name, told, part
-        self.above: Optional[Budget] = None
+        self.above: Budget | None = None
         full = told.begin == "full"
         rate = (told.rate or 0) * part
         burst = (told.burst if told.burst is not None else told.rate or 0) * part
-        self.pots: List[RatePot] = []
+        self.pots: list[RatePot] = []
         if told.rate is not None:
             self.pots.append(RatePot(rate, burst, now, full))
         if told.sum is not None:
             most = told.sum * part
             self.pots.append(SumPot(most, told.ahead, now, ends, most if full else most * left, full))
-        self.book: Optional[StreamBook] = None
+        self.book: StreamBook | None = None
         if told.streams is not None and told.rate is not None:
             self.book = StreamBook(told.streams, rate, burst)
-        self.emergency: List[RatePot] = []
+        self.emergency: list[RatePot] = []
         if told.emergency is not None:
             more = told.emergency
             spare = (more.burst if more.burst is not None else more.rate) * part
@@ -161,7 +164,7 @@
         self.out = [0.0, 0.0]  # charged and not settled: to the budget, and to the allowance
         self.wanted = 0.0  # bytes refused lately, for peers that have too much
 
-    def wait(self, now: int, need: float, begun: bool, forced: bool) -> Tuple[int, List[RatePot]]:
+    def wait(self, now: int, need: float, begun: bool, forced: bool) -> tuple[int, list[RatePot]]:
         """The time until there is room, and the pots that would be charged."""
         floor = self.book.floor() if self.book is not None and not begun else 0.0
         wait = 0
@@ -172,12 +175,12 @@
                 return 0, self.emergency
         return wait, self.pots
 
-    def charge(self, pots: List[RatePot], count: float) -> None:
+    def charge(self, pots: list[RatePot], count: float) -> None:
         self.out[pots is self.emergency] += count
         for pot in pots:
             pot.take(count)
 
-    def settle(self, pots: List[RatePot], charged: float, actual: int) -> None:
+    def settle(self, pots: list[RatePot], charged: float, actual: int) -> None:
         """Gives back what a fill did not need, or takes what it needed more."""
         self.out[pots is self.emergency] -= charged
         for pot in pots:
@@ -197,7 +200,7 @@
                     pot.begin(now, ends, out)
         self.spent = self.drawn = 0
 
-    def plain(self) -> Dict[str, Any]:
+    def plain(self) -> dict[str, Any]:
         return {
             "spent": self.spent,
             "drawn": self.drawn,
@@ -205,7 +208,7 @@
             "emergency": [pot.plain() for pot in self.emergency],
         }
 
-    def restore(self, plain: Dict[str, Any], now: int, gap_seconds: float) -> None:
+    def restore(self, plain: dict[str, Any], now: int, gap_seconds: float) -> None:
         """Takes up a snapshot of the same period; what may have been spent since then counts as spent."""
         self.spent, self.drawn = plain["spent"], plain["drawn"]
         for mine, theirs in ((self.pots, plain["pots"]), (self.emergency, plain["emergency"])):
--- a/ironhinge/traffic/cli.py
+++ b/ironhinge/traffic/cli.py
@@ -6,7 +6,7 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any, Optional, Tuple
+from typing import Any
 
 import click
 
@@ -29,7 +29,7 @@
     """What crossed between zones, by whom and why, and what budgets have left."""
 
 
-def read(folders: Tuple[Path, ...], window: str, start: Optional[int], all_: bool) -> Any:
+def read(folders: tuple[Path, ...], window: str, start: int | None, all_: bool) -> Any:
     """The report of all directors that keep their accounts in these folders."""
     from .keeper import read_folder
     from .report import collect
@@ -46,7 +46,7 @@
     return collect(snapshots, window, start, all_)
 
 
-def prices_of(operations: Tuple[str, ...]) -> Any:
+def prices_of(operations: tuple[str, ...]) -> Any:
     if not operations:
         return ()
     from ..settings.cli import loaded
@@ -70,15 +70,15 @@
     "--plot", type=click.Path(dir_okay=False, path_type=Path), help="Draw bytes by time into a PNG."
 )
 def report(
-    folders: Tuple[Path, ...],
+    folders: tuple[Path, ...],
     window: str,
-    operations: Tuple[str, ...],
-    start: Optional[int],
+    operations: tuple[str, ...],
+    start: int | None,
     all_: bool,
-    cuts: Tuple[str, ...],
+    cuts: tuple[str, ...],
     as_json: bool,
     as_csv: bool,
-    plot: Optional[Path],
+    plot: Path | None,
 ) -> None:
     """Add up the accounts that directors keep in FOLDERS, each director once."""
     from .report import table
@@ -108,7 +108,7 @@
 @click.option("--every", type=click.FloatRange(0.2, 3600), default=2.0, show_default=True, help="Seconds.")
 @click.option("--times", type=int, default=0, help="How often; 0: until Ctrl-C.")
 @click.option("--json", "as_json", is_flag=True, help="A JSON object a line.")
-def watch(folders: Tuple[Path, ...], window: str, every: float, times: int, as_json: bool) -> None:
+def watch(folders: tuple[Path, ...], window: str, every: float, times: int, as_json: bool) -> None:
     """Show the report anew every few seconds."""
     from .report import table
 
--- a/ironhinge/traffic/keeper.py
+++ b/ironhinge/traffic/keeper.py
@@ -9,8 +9,9 @@
 import os
 import re
 import threading
+from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Any, Callable, Dict, Iterator, List, NamedTuple, Optional, Tuple
+from typing import Any, NamedTuple
 
 import anyio
 from loguru import logger
@@ -32,7 +33,7 @@
     return re.sub(r"[^A-Za-z0-9_.-]", "_", name or "director") + ENDS
 
 
-def read_folder(folder: Path) -> Tuple[List[Snapshot], List[str]]:
+def read_folder(folder: Path) -> tuple[list[Snapshot], list[str]]:
     """The whole snapshots of a folder, and what is wrong with the others."""
     found, wrong = [], []
     for path in sorted(folder.glob("*" + ENDS)):
@@ -45,7 +46,8 @@
 
 def replace(path: Path, data: bytes) -> None:
     """In one step: whoever reads finds the old one or the new one. Guards against being killed while
-    writing."""
+    writing.
+    """
     path.parent.mkdir(parents=True, exist_ok=True)
     beside = path.with_suffix(".part")
     with open(beside, "wb") as file:
@@ -59,8 +61,8 @@
     """Who keeps the account."""
 
     name: str
-    zones: Tuple[str, ...]
-    vhosts: Tuple[str, ...]
+    zones: tuple[str, ...]
+    vhosts: tuple[str, ...]
     me: int  # its place among the peers
 
 
@@ -68,7 +70,7 @@
     """The account of one director, as its front uses it."""
 
     metrics: Any = None
-    reread: Optional[Callable[[], records.Operations]] = None  # reads the operators' files again
+    reread: Callable[[], records.Operations] | None = None  # reads the operators' files again
 
     def __init__(
         self,
@@ -84,7 +86,7 @@
         self.now, self.unix_ms = now, unix_ms
         self.life, self.number = unix_ms(), 0
         self.tell: Callable[[bytes], None] = lambda data: None
-        self.rows: Dict[str, interface.Endpoint] = {}
+        self.rows: dict[str, interface.Endpoint] = {}
         self.lock, self.written = threading.Lock(), 0  # of the file, and the newest snapshot in it
         self.asked_at = 0
         self.ledger = self._ledger(told)
@@ -98,7 +100,7 @@
         who = self.who
         return Ledger(told, self.facts, who.zones, who.vhosts, self.now(), self.unix_ms(), who.me, self.life)
 
-    def _path(self) -> Optional[Path]:
+    def _path(self) -> Path | None:
         return Path(self.told.keep.folder) / file_name(self.who.name) if self.told.keep else None
 
     def _restore(self) -> None:
@@ -115,7 +117,8 @@
 
     async def follow_files(self) -> None:
         """At SIGHUP: reads the operators' files, in a process of its own and so in a thread; no req and no
-        other signal waits for it. A bad file changes nothing and is said."""
+        other signal waits for it. A bad file changes nothing and is said.
+        """
         if self.reread is None:
             return
         try:
@@ -125,12 +128,13 @@
 
     def follow(self, operations: records.Operations) -> None:
         """New settings, between two steps: the account goes on, and what a budget of the same name has
-        spent."""
+        spent.
+        """
         told = operations.traffic
         if told is None:
             return logger.warning("SIGHUP: turning the account off takes a restart")
         if told == self.told:
-            return
+            return None
         if told.metrics != self.told.metrics:
             logger.warning("SIGHUP: where metrics are shown has changed, which takes a restart")
         if told.period != self.told.period:
@@ -152,7 +156,7 @@
         if old.sharing is not None and self.ledger.sharing is not None:
             self.ledger.sharing.peers = old.sharing.peers  # a grant taken once must not be taken again
 
-    def _do(self, acts: List[Doing]) -> None:
+    def _do(self, acts: list[Doing]) -> None:
         for act in acts:
             if isinstance(act, Tell):
                 self.tell(act.data)
@@ -174,7 +178,7 @@
         self._do(self.ledger.step(now, what))
 
     def sent(
-        self, now: int, came: interface.RequestReceived, node: str, source: str, how: Dict[str, str]
+        self, now: int, came: interface.RequestReceived, node: str, source: str, how: dict[str, str]
     ) -> None:
         rank, renew = int(how.get("shelf", "0")), "renew" in how.get("hints", "")
         self._do(self.ledger.step(now, Sent(came, node, source, rank, renew)))
@@ -185,7 +189,7 @@
         came: interface.RequestReceived,
         result: str,
         note: int,
-        body: Optional[int],
+        body: int | None,
         took: int,
         gone: bool,
     ) -> None:
@@ -219,7 +223,7 @@
                     self.asked_at = now
                     self.runner.submit(Job("snapshot", 1, deadline=now + 10_000), self._write)
 
-    def packed(self, clean: bool) -> Tuple[int, bytes]:
+    def packed(self, clean: bool) -> tuple[int, bytes]:
         self.number += 1
         return self.number, pack(Snapshot(self.who.name, self.life, self.number, self.ledger.plain(clean)))
 
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -10,7 +10,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Dict, List, NamedTuple, Optional, Sequence, Tuple
+from collections.abc import Sequence
+from typing import Any, NamedTuple
 
 from .. import interface
 from ..brain import mix, salt
@@ -58,14 +59,15 @@
         self.into, self.out_of, self.at = into, out_of, at
         self.kept = self.renew = self.forced = self.again = False
         self.guess = 0.0
-        self.charges: List[Tuple[Budget, List[RatePot], float]] = []
+        self.charges: list[tuple[Budget, list[RatePot], float]] = []
 
 
 class Means:
     """What answers of a vhost were like: bytes, and how long a fill takes a byte, where its source held the
-    object and where that had to ask the origin first."""
+    object and where that had to ask the origin first.
+    """
 
-    __slots__ = ("body", "most", "time", "time_behind", "behind")
+    __slots__ = ("behind", "body", "most", "time", "time_behind")
 
     def __init__(self) -> None:
         self.body = self.most = self.time = self.time_behind = self.behind = 0.0
@@ -82,7 +84,8 @@
 
     def part(self, size: float, took: int) -> float:
         """The part of a fill that should have crossed by then: nothing does while the source asks the origin,
-        and one that takes longer than where the source has it is one of those."""
+        and one that takes longer than where the source has it is one of those.
+        """
         if not size or not (self.time or self.time_behind):
             return 1.0
         sends = size * (self.time or self.time_behind)
@@ -110,48 +113,48 @@
         self.zones, self.vhosts = tuple(zones), tuple(vhosts)
         self.calendar = Calendar(max(1, told.period // 10), now, unix_ms)
         self.account = Account(max(1, told.period // 10))
-        self.nodes: Dict[str, Place] = {}
-        self.hubs: Dict[
+        self.nodes: dict[str, Place] = {}
+        self.hubs: dict[
             str, Place
         ] = {}  # parents that should be there: listed ones, and those that went lately
-        self.went: Dict[str, int] = {}
-        self.fills: Dict[str, Fill] = {}
-        self.lively: Dict[str, List[int]] = {}  # sources: when one was last asked, and last gave something
-        self.crossed: Dict[str, None] = {}  # open reqs for which bytes have crossed already
+        self.went: dict[str, int] = {}
+        self.fills: dict[str, Fill] = {}
+        self.lively: dict[str, list[int]] = {}  # sources: when one was last asked, and last gave something
+        self.crossed: dict[str, None] = {}  # open reqs for which bytes have crossed already
         self.means = [Means() for _ in vhosts]
         self.per_kb, self.kb = 1000.0, 0.0  # bytes on the socket a KB that reqs tell; and over how many KB
         ends, left = self.calendar.ends(), self.calendar.left()
-        self.budgets: Dict[str, Budget] = {}
+        self.budgets: dict[str, Budget] = {}
         for name, one in told.budgets.items():
             among = facts.local_router_count if one.scope == "branch" else facts.router_count
             self.budgets[name] = Budget(name, one, 1.0 / max(1, among), now, ends, left)
         for name, one in told.budgets.items():
             self.budgets[name].above = self.budgets[one.within] if one.within else None
         spans = [one.streams for one in told.budgets.values() if one.streams is not None]
-        self.streams: Optional[Streams] = None
+        self.streams: Streams | None = None
         if spans:
             idle, interval = max(one.idle for one in spans), min(one.interval for one in spans)
             self.streams = Streams(told.most_streams, idle, interval)
         emergencies = [one.emergency.remember for one in told.budgets.values() if one.emergency]
         self.remember = max(emergencies, default=REMEMBER)
         self.sharing = Sharing(told.share, self.budgets, me, incarnation) if told.share else None
-        self.matches: Dict[Tuple[int, int, Way], Tuple[Budget, ...]] = {}
-        self.homes: Dict[int, str] = {}  # the first hub of an object, while the hubs are the same
-        self.judged: Optional[Tuple[Any, ...]] = (
+        self.matches: dict[tuple[int, int, Way], tuple[Budget, ...]] = {}
+        self.homes: dict[int, str] = {}  # the first hub of an object, while the hubs are the same
+        self.judged: tuple[Any, ...] | None = (
             None  # what the last `wait` found, for the dispatch that follows
         )
         self.unknown_ms = 0  # of this period: time in which it was not running, and nothing was booked
-        self.shapes: Optional[Any] = None
+        self.shapes: Any | None = None
         if told.distributions:
             from .shapes import Shapes
 
             self.shapes = Shapes(self.vhosts)
         self.period = self.calendar.start()
-        self.acts: List[Doing] = []
+        self.acts: list[Doing] = []
 
     # What happens
 
-    def step(self, now: int, what: Told) -> List[Doing]:
+    def step(self, now: int, what: Told) -> list[Doing]:
         """The entry point."""
         self.acts = []
         if isinstance(what, Sent):
@@ -212,7 +215,8 @@
 
     def wait_time(self, now: int, came: interface.RequestReceived, source: str) -> int:
         """0 where the budgets of that source have room for this req's fill, else the time until they
-        should."""
+        should.
+        """
         place = self.nodes.get(source)
         if place is None:
             return 0
@@ -237,7 +241,7 @@
         self.judged = now, came, source, forced, [pots for _, pots in found]
         return 0
 
-    def _refused(self, budgets: Tuple[Budget, ...], need: float) -> None:
+    def _refused(self, budgets: tuple[Budget, ...], need: float) -> None:
         for budget in budgets:
             budget.refused += 1
             budget.wanted += need
@@ -255,12 +259,12 @@
         own = facts.hub_by_zone[facts.zone] if facts.zone < len(facts.hub_by_zone) else facts.zone
         return Way.OWN_HUB if zone == own else Way.OTHER_HUB
 
-    def _matching(self, vhost: int, place: Place) -> Tuple[Budget, ...]:
+    def _matching(self, vhost: int, place: Place) -> tuple[Budget, ...]:
         """The budgets that a fill falls under, with those above them."""
         key = vhost, place.zone, place.way
         found = self.matches.get(key)
         if found is None:
-            here: Dict[str, Budget] = {}
+            here: dict[str, Budget] = {}
             for budget in self.budgets.values():
                 told = budget.told
                 if (
@@ -269,7 +273,7 @@
                     and (told.out_of is None or self.zone_name(place.zone) == told.out_of)
                     and (told.vhosts is None or self.vhosts[vhost] in told.vhosts)
                 ):
-                    above: Optional[Budget] = budget
+                    above: Budget | None = budget
                     while above is not None:
                         here[above.name] = above
                         above = above.above
@@ -281,7 +285,8 @@
 
     def _forced(self, came: interface.RequestReceived, source: str, place: Place) -> bool:
         """True when another hub should have served it: the first of its hash order over all hubs that are
-        listed, or went lately. Told from crossings that the order itself chose."""
+        listed, or went lately. Told from crossings that the order itself chose.
+        """
         if place.kind not in (self.facts.parent_kind, self.facts.origin_kind) or not self.hubs:
             return False
         first = self.homes.get(came.object_id)
@@ -371,7 +376,7 @@
             if len(self.crossed) > self.told.most_streams:  # guards the memory: an end that is never told
                 del self.crossed[next(iter(self.crossed))]
 
-    def _carried(self, fill: Fill, what: Ended) -> Tuple[int, int]:
+    def _carried(self, fill: Fill, what: Ended) -> tuple[int, int]:
         """Bytes that crossed, and how many of them are guessed."""
         if what.result in SURE or what.note in NO_BYTES:
             return 0, 0
@@ -391,9 +396,9 @@
 
     # What is kept and told
 
-    def spans(self) -> Dict[str, Any]:
+    def spans(self) -> dict[str, Any]:
         """The state of the budgets, for reports."""
-        out: Dict[str, Any] = {}
+        out: dict[str, Any] = {}
         for name, budget in self.budgets.items():
             told = budget.told
             out[name] = {
@@ -407,7 +412,7 @@
             }
         return out
 
-    def plain(self, clean: bool) -> Dict[str, Any]:
+    def plain(self, clean: bool) -> dict[str, Any]:
         """All that a restart has to know, as plain values."""
         return {
             "zones": list(self.zones),
@@ -425,9 +430,10 @@
             "shapes": self.shapes.plain() if self.shapes is not None else {},
         }
 
-    def restore(self, plain: Dict[str, Any], now: int) -> List[Doing]:
+    def restore(self, plain: dict[str, Any], now: int) -> list[Doing]:
         """Takes up a snapshot. What it can't know, the time since it was taken, counts as spent in the
-        budgets and is told as unknown in the account: it is never made up."""
+        budgets and is told as unknown in the account: it is never made up.
+        """
         if tuple(plain["zones"]) != self.zones or tuple(plain["vhosts"]) != self.vhosts:
             return [Note("the snapshot is of another deployment: begun anew")]
         if plain["period_ms"] != self.calendar.length:
--- a/ironhinge/traffic/metrics.py
+++ b/ironhinge/traffic/metrics.py
@@ -1,9 +1,10 @@
 """Owns the listener for scrapes. It must never touch the ledger from its own thread: what it shows is a
-picture that the director's loop makes of it now and then. Imported only where operators ask for it."""
+picture that the director's loop makes of it now and then. Imported only where operators ask for it.
+"""
 
 from __future__ import annotations
 
-from typing import Dict, Iterator, List, Tuple
+from collections.abc import Iterator
 
 from prometheus_client import CollectorRegistry, start_http_server
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
@@ -18,7 +19,7 @@
 
 class Metrics(Collector):
     def __init__(self, told: records.Metrics):
-        self.picture: List[Metric] = []
+        self.picture: list[Metric] = []
         registry = CollectorRegistry()
         registry.register(self)
         self.server, self.thread = start_http_server(told.port, told.host, registry)
@@ -30,7 +31,7 @@
         """Counters of this billing period and all before it in memory; they only rise while it runs."""
         carried = CounterMetricFamily("ironhinge_crossed_bytes", "Bytes that fills carried.", labels=LABELS)
         fills = CounterMetricFamily("ironhinge_crossed_fills", "Fills that carried them.", labels=LABELS)
-        cells: Dict[Crossing, List[int]] = {}
+        cells: dict[Crossing, list[int]] = {}
         for stretch in ledger.account.windows["period"].stretches.values():
             for crossing, cell in stretch.items():
                 sums = cells.setdefault(crossing, [0, 0])
@@ -38,7 +39,7 @@
                 sums[1] += cell.fills
         for crossing, (count, times) in cells.items():
             vhosts = ledger.vhosts
-            labels: Tuple[str, ...] = (
+            labels: tuple[str, ...] = (
                 WAYS[crossing.way],
                 USES[crossing.use],
                 vhosts[crossing.vhost] if 0 <= crossing.vhost < len(vhosts) else "the rest",
--- a/ironhinge/traffic/plot.py
+++ b/ironhinge/traffic/plot.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 from pathlib import Path
 from typing import Any
 
@@ -18,7 +18,7 @@
     from matplotlib import pyplot
 
     starts, rows = report.series(cut)
-    times: Any = [datetime.fromtimestamp(start / 1000, timezone.utc) for start in starts]
+    times: Any = [datetime.fromtimestamp(start / 1000, UTC) for start in starts]
     figure, axes = pyplot.subplots(figsize=(10, 4.5))
     if starts:
         axes.stackplot(times, *([count / 1e6 for count in row] for row in rows.values()), labels=list(rows))
--- a/ironhinge/traffic/report.py
+++ b/ironhinge/traffic/report.py
@@ -7,7 +7,8 @@
 
 import csv
 import io
-from typing import Any, Dict, Iterable, List, NamedTuple, Optional, Sequence, Tuple
+from collections.abc import Iterable, Sequence
+from typing import Any, NamedTuple
 
 from ..settings import records
 from .snapshot import Snapshot, one_each
@@ -42,7 +43,7 @@
 
 
 class Report:
-    def __init__(self, lines: List[Line], snapshots: List[Snapshot], window: str, start: Optional[int]):
+    def __init__(self, lines: list[Line], snapshots: list[Snapshot], window: str, start: int | None):
         self.lines, self.snapshots, self.window, self.start = lines, snapshots, window, start
 
     def total(self) -> int:
@@ -51,17 +52,17 @@
     def guessed(self) -> int:
         return sum(line.guessed for line in self.lines)
 
-    def by(self, *cuts: str) -> Dict[str, int]:
+    def by(self, *cuts: str) -> dict[str, int]:
         """Bytes carried by one cut or several together; every cut's sum is the total."""
-        out: Dict[str, int] = {}
+        out: dict[str, int] = {}
         for line in self.lines:
             key = " | ".join(str(getattr(line, cut)) for cut in cuts)
             out[key] = out.get(key, 0) + line.carried
         return dict(sorted(out.items(), key=lambda each: -each[1]))
 
-    def money(self, prices: Iterable[records.Price]) -> Dict[str, float]:
+    def money(self, prices: Iterable[records.Price]) -> dict[str, float]:
         """By way, each line at the last price that fits it; ways without a price cost nothing."""
-        out: Dict[str, float] = {}
+        out: dict[str, float] = {}
         for line in self.lines:
             fits = [
                 price
@@ -74,10 +75,11 @@
                 out[line.way] = out.get(line.way, 0.0) + line.carried / GB * fits[-1].per_gb
         return out
 
-    def budgets(self) -> Dict[str, Dict[str, Any]]:
+    def budgets(self) -> dict[str, dict[str, Any]]:
         """What all directors together have spent and have left, and what the period will come to at this
-        pace."""
-        out: Dict[str, Dict[str, Any]] = {}
+        pace.
+        """
+        out: dict[str, dict[str, Any]] = {}
         for one in self.snapshots:
             plain = one.plain
             elapsed = max(1, plain["unix"] - plain["period"])
@@ -98,7 +100,7 @@
     def unknown_ms(self) -> int:
         return sum(one.plain["unknown_ms"] for one in self.snapshots)
 
-    def plain(self, cuts: Sequence[str], prices: Iterable[records.Price] = ()) -> Dict[str, Any]:
+    def plain(self, cuts: Sequence[str], prices: Iterable[records.Price] = ()) -> dict[str, Any]:
         total = self.total()
         forced = self.by("forced").get("forced", 0)
         return {
@@ -124,10 +126,10 @@
         writer.writerows(self.lines)
         return out.getvalue()
 
-    def series(self, cut: str) -> Tuple[List[int], Dict[str, List[int]]]:
+    def series(self, cut: str) -> tuple[list[int], dict[str, list[int]]]:
         """Bytes by time and one cut, for a plot."""
         starts = sorted({line.start for line in self.lines})
-        rows: Dict[str, List[int]] = {}
+        rows: dict[str, list[int]] = {}
         for line in self.lines:
             row = rows.setdefault(str(getattr(line, cut)), [0] * len(starts))
             row[starts.index(line.start)] += line.carried
@@ -135,11 +137,11 @@
 
 
 def collect(
-    snapshots: Iterable[Snapshot], window: str = "period", start: Optional[int] = None, all_: bool = False
+    snapshots: Iterable[Snapshot], window: str = "period", start: int | None = None, all_: bool = False
 ) -> Report:
     """The stretch of a window, the newest that any director has where none is named, or all of them."""
     kept = one_each(snapshots)
-    found: List[Tuple[Snapshot, int, List[List[int]]]] = [
+    found: list[tuple[Snapshot, int, list[list[int]]]] = [
         (one, at, rows) for one in kept for at, rows in one.plain["account"].get(window, ())
     ]
     if start is None and not all_:
--- a/ironhinge/traffic/shapes.py
+++ b/ironhinge/traffic/shapes.py
@@ -1,9 +1,11 @@
 """Owns the distributions of fills: sizes and times by vhost, in HDR histograms of fixed memory. Imported only
-where operators turn them on: the library is an optional extra."""
+where operators turn them on: the library is an optional extra.
+"""
 
 from __future__ import annotations
 
-from typing import Any, Dict, List, Sequence, Tuple
+from collections.abc import Sequence
+from typing import Any
 
 from hdrh.histogram import HdrHistogram
 
@@ -15,7 +17,7 @@
 class Shapes:
     def __init__(self, vhosts: Sequence[str]):
         self.vhosts = vhosts
-        self.pairs: List[Tuple[Any, Any]] = [
+        self.pairs: list[tuple[Any, Any]] = [
             (HdrHistogram(1, LARGEST, DIGITS), HdrHistogram(1, LONGEST, DIGITS)) for _ in vhosts
         ]
 
@@ -24,9 +26,9 @@
         sizes.record_value(max(1, min(size, LARGEST)))
         times.record_value(max(1, min(took, LONGEST)))
 
-    def plain(self) -> Dict[str, Any]:
+    def plain(self) -> dict[str, Any]:
         """By vhost: how many, and the values at `PARTS` per cent; times in milliseconds."""
-        out: Dict[str, Any] = {}
+        out: dict[str, Any] = {}
         for name, (sizes, times) in zip(self.vhosts, self.pairs, strict=True):
             if sizes.get_total_count():
                 out[name] = {
--- a/ironhinge/traffic/share.py
+++ b/ironhinge/traffic/share.py
@@ -11,7 +11,8 @@
 from __future__ import annotations
 
 import struct
-from typing import Dict, List, NamedTuple, Optional, Sequence, Tuple
+from collections.abc import Sequence
+from typing import NamedTuple
 
 import xxhash
 
@@ -36,11 +37,11 @@
     sender: int
     life: int
     number: int
-    wants: Tuple[Tuple[int, int], ...]
-    grants: Tuple[Tuple[int, int, int, int], ...]
+    wants: tuple[tuple[int, int], ...]
+    grants: tuple[tuple[int, int, int, int], ...]
 
 
-def parse(data: bytes) -> Optional[Message]:
+def parse(data: bytes) -> Message | None:
     """None for what is no message of ours: a datagram may hold anything."""
     if not HEAD.size <= len(data) <= MOST:
         return None
@@ -66,20 +67,20 @@
 class Peer:
     """What is known of one peer: its life, what it wants, what went to it and came from it in that life."""
 
-    __slots__ = ("life", "heard_at", "wants", "given", "taken")
+    __slots__ = ("given", "heard_at", "life", "taken", "wants")
 
     def __init__(self, life: int, now: int):
         self.life, self.heard_at = life, now
-        self.wants: Dict[int, int] = {}
-        self.given: Dict[int, int] = {}
-        self.taken: Dict[int, int] = {}
+        self.wants: dict[int, int] = {}
+        self.given: dict[int, int] = {}
+        self.taken: dict[int, int] = {}
 
 
 class Sharing:
-    def __init__(self, told: records.Share, budgets: Dict[str, Budget], me: int, life: int):
+    def __init__(self, told: records.Share, budgets: dict[str, Budget], me: int, life: int):
         self.told, self.me, self.life = told, me, life
         self.budgets = {tag(name): budget for name, budget in budgets.items()}
-        self.peers: Dict[int, Peer] = {}
+        self.peers: dict[int, Peer] = {}
         self.number = 0
         self.sent_at = -(1 << 60)
         self.turn = 0
@@ -106,7 +107,7 @@
                 for pot in budget.pots:
                     pot.give(new)
 
-    def tick(self, now: int) -> List[Doing]:
+    def tick(self, now: int) -> list[Doing]:
         if now < self.sent_at + self.told.every:
             return []
         self.sent_at = now
@@ -136,7 +137,7 @@
     def _message(self, now: int) -> bytes:
         """Wants first, then as many counters as fit, in turns: all of them come round."""
         self.number += 1
-        parts: List[bytes] = [HEAD.pack(MARK, self.me, self.life, self.number & 0xFFFFFFFF)]
+        parts: list[bytes] = [HEAD.pack(MARK, self.me, self.life, self.number & 0xFFFFFFFF)]
         for key, budget in self.budgets.items():
             parts.append(WANT.pack(1, key, int(budget.wanted)))
             budget.wanted = budget.wanted * WANT_FADES if budget.wanted > 1 else 0.0
@@ -149,7 +150,7 @@
         ]
         return b"".join(parts) + b"".join(self._some(counters, (MOST - sum(map(len, parts))) // GRANT.size))
 
-    def _some(self, counters: Sequence[bytes], most: int) -> List[bytes]:
+    def _some(self, counters: Sequence[bytes], most: int) -> list[bytes]:
         if len(counters) <= most:
             return list(counters)
         self.turn = (self.turn + most) % len(counters)
--- a/ironhinge/traffic/snapshot.py
+++ b/ironhinge/traffic/snapshot.py
@@ -5,7 +5,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Dict, Iterable, List, NamedTuple, Optional, Tuple
+from collections.abc import Iterable
+from typing import Any, NamedTuple
 
 import msgspec
 import xxhash
@@ -18,7 +19,7 @@
     name: str  # the director's
     life: int  # Unix millisecond of its start
     number: int  # of the snapshot in that life
-    plain: Dict[str, Any]
+    plain: dict[str, Any]
 
 
 class Torn(Exception):
@@ -43,16 +44,17 @@
     return Snapshot(name, life, number, plain)
 
 
-def newest(found: Iterable[Snapshot]) -> Optional[Snapshot]:
+def newest(found: Iterable[Snapshot]) -> Snapshot | None:
     """Of one director's: by time, then life and number, so that a clock set back does not bring back the
-    past."""
+    past.
+    """
     return max(found, key=lambda one: (one.plain["unix"], one.life, one.number), default=None)
 
 
-def one_each(found: Iterable[Snapshot]) -> List[Snapshot]:
+def one_each(found: Iterable[Snapshot]) -> list[Snapshot]:
     """The newest of every director: what it had counted before is in it, and never counts twice."""
-    by_name: Dict[str, List[Snapshot]] = {}
+    by_name: dict[str, list[Snapshot]] = {}
     for one in found:
         by_name.setdefault(one.name, []).append(one)
-    best: List[Tuple[str, Optional[Snapshot]]] = [(name, newest(all_)) for name, all_ in by_name.items()]
+    best: list[tuple[str, Snapshot | None]] = [(name, newest(all_)) for name, all_ in by_name.items()]
     return [one for _, one in sorted(best, key=lambda each: each[0]) if one is not None]
--- a/ironhinge/traffic/streams.py
+++ b/ironhinge/traffic/streams.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import Dict, Optional, Sequence, Tuple
+from collections.abc import Sequence
 
 from .budget import NEVER, StreamBook
 
@@ -17,27 +17,27 @@
 PAUSED = 5  # one that went on
 ENDED = 1.5  # one that had as many parts as usual
 
-Key = Tuple[int, int]  # who asks, and for which object
+Key = tuple[int, int]  # who asks, and for which object
 
 
 class Stream:
-    __slots__ = ("vhost", "at", "part", "rate", "parts", "books")
+    __slots__ = ("at", "books", "part", "parts", "rate", "vhost")
 
     def __init__(self, vhost: int, at: int):
         self.vhost, self.at = vhost, at
         self.part, self.rate = 0.0, 0.0  # bytes of its next part, and bytes a unit of time
         self.parts = 0
-        self.books: Tuple[StreamBook, ...] = ()
+        self.books: tuple[StreamBook, ...] = ()
 
 
 class Streams:
     def __init__(self, most: int, idle: int, interval: int):
         self.most, self.idle, self.usual = most, idle, interval
-        self.gaps: Dict[int, float] = {}  # by vhost: usual time between two parts
-        self.lengths: Dict[int, float] = {}  # by vhost: usual number of parts
+        self.gaps: dict[int, float] = {}  # by vhost: usual time between two parts
+        self.lengths: dict[int, float] = {}  # by vhost: usual number of parts
         # streams of one part, and those that went on; the one heard of longest ago first
-        self.trial: "OrderedDict[Key, Stream]" = OrderedDict()
-        self.open: "OrderedDict[Key, Stream]" = OrderedDict()
+        self.trial: OrderedDict[Key, Stream] = OrderedDict()
+        self.open: OrderedDict[Key, Stream] = OrderedDict()
         self.lapsed = self.unheld = 0  # streams that stopped; and that found no place
 
     def __len__(self) -> int:
@@ -49,14 +49,15 @@
     def rate(self, vhost: int, part: float) -> float:
         return part / max(1.0, self.gap(vhost))
 
-    def find(self, key: Key, now: int) -> Optional[Stream]:
+    def find(self, key: Key, now: int) -> Stream | None:
         """An open stream; None where there is none, or it has stopped."""
         self.lapse(now)
         return self.open.get(key) or self.trial.get(key)
 
     def part_came(self, key: Key, vhost: int, part: float, now: int, books: Sequence[StreamBook]) -> None:
         """A part of it is on its way or served; from its first one a place is held for it in `books`. A part
-        sent anew is a part once more, which only keeps the place longer."""
+        sent anew is a part once more, which only keeps the place longer.
+        """
         stream = self.find(key, now)
         if stream is None:
             if len(self) >= self.most:
@@ -81,7 +82,7 @@
         if stream is not None:
             self.part_came(key, vhost, stream.part, now, ())
 
-    def adopt(self, other: "Streams", books: Dict[int, Optional[StreamBook]]) -> None:
+    def adopt(self, other: Streams, books: dict[int, StreamBook | None]) -> None:
         """Goes on with the streams of before; `books`: what a book of before is now, by its identity."""
         self.gaps, self.lengths = other.gaps, other.lengths
         self.trial, self.open = other.trial, other.open
@@ -101,7 +102,8 @@
 
     def lapse(self, now: int) -> None:
         """Gives back what streams that have stopped held. One part is no stream yet: it is waited for less
-        long, which guards the budget against floods of first parts."""
+        long, which guards the budget against floods of first parts.
+        """
         for streams in (self.trial, self.open):
             while streams:
                 key, stream = next(iter(streams.items()))
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from enum import IntEnum
-from typing import NamedTuple, Optional, Union
+from typing import NamedTuple, Union
 
 from ..interface import EndpointsUpdated, RequestReceived
 
@@ -62,7 +62,7 @@
     id: str
     result: str
     note: int
-    body: Optional[int]
+    body: int | None
     took: int
     gone: bool  # its client had left or been answered
 
--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -7,7 +7,7 @@
 
 import base64
 import binascii
-from typing import Any, Dict, List, Optional, Tuple
+from typing import Any
 
 from .. import interface
 from ..facts import REQUIRED, UNIT, Fields, Malformed
@@ -30,7 +30,7 @@
     return FillNote(number) if number < FillNote.UNKNOWN else FillNote.UNKNOWN
 
 
-def happening(event: Fields, lists: Dict[int, Tuple[interface.Endpoint, ...]]) -> Optional[interface.Event]:
+def happening(event: Fields, lists: dict[int, tuple[interface.Endpoint, ...]]) -> interface.Event | None:
     """One event in the interface's words; None for an event that the interface does not know."""
     name = event.message
     if name == "QUERY":
@@ -91,7 +91,7 @@
     return None
 
 
-def message(director: int, act: interface.Command) -> Dict[str, Dict[str, Any]]:
+def message(director: int, act: interface.Command) -> dict[str, dict[str, Any]]:
     """One action in the wire's words."""
     if isinstance(act, interface.SendAttempt):
         name, body = (
@@ -136,5 +136,5 @@
     return {name: {"director": director, **body}}
 
 
-def messages(director: int, acts: List[interface.Command]) -> List[Dict[str, Dict[str, Any]]]:
+def messages(director: int, acts: list[interface.Command]) -> list[dict[str, dict[str, Any]]]:
     return [message(director, act) for act in acts]
--- a/ironhinge/wirehost/host.py
+++ b/ironhinge/wirehost/host.py
@@ -4,7 +4,7 @@
 
 import json
 import traceback
-from typing import Any, BinaryIO, Dict, List, TextIO, Tuple
+from typing import Any, BinaryIO, TextIO
 
 from .. import interface
 from ..brain import Router
@@ -17,21 +17,21 @@
 
     def __init__(self, errors: TextIO):
         self.errors = errors
-        self.routers: Dict[int, Router] = {}
-        self.lists: Dict[int, Tuple[interface.Endpoint, ...]] = {}
+        self.routers: dict[int, Router] = {}
+        self.lists: dict[int, tuple[interface.Endpoint, ...]] = {}
 
-    def batch(self, line: bytes) -> Dict[str, Any]:
+    def batch(self, line: bytes) -> dict[str, Any]:
         try:
             whole = Fields("batch", json.loads(line))
         except ValueError as fault:
             raise Malformed(f"batch: not JSON in UTF-8 ({fault})") from None
         wall, number = whole.whole("wall", REQUIRED), whole.whole("seq", REQUIRED)
-        outbox: List[Dict[str, Any]] = []
+        outbox: list[dict[str, Any]] = []
         for event in whole.rows("input"):
             outbox.extend(self.event(wall // UNIT, event))
         return {"seq": number, "outbox": outbox}
 
-    def event(self, now: int, event: Any) -> List[Dict[str, Any]]:
+    def event(self, now: int, event: Any) -> list[dict[str, Any]]:
         if not isinstance(event, dict) or len(event) != 1:
             raise Malformed("batch: an entry of field 'input' is not an object with one key")
         ((name, values),) = event.items()
@@ -52,7 +52,7 @@
             self.errors.write(traceback.format_exc())
             return [reply]
 
-    def hand_over(self, now: int, director: int, fields: Fields) -> List[interface.Command]:
+    def hand_over(self, now: int, director: int, fields: Fields) -> list[interface.Command]:
         name = fields.message
         if name == "SPAWN":
             router = self.routers[director] = Router(
@@ -77,7 +77,7 @@
             )
         return router.step(now, happened)
 
-    def fatal(self, director: int, text: str) -> Dict[str, Any]:
+    def fatal(self, director: int, text: str) -> dict[str, Any]:
         self.errors.write(f"ironhinge: {text}\n")
         return {"FATAL": {"director": director, "msg": text}}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -235,7 +235,7 @@
             self.agents[member.name] = Desired()
             for at in range(3):
                 win(self.agents[member.name], f"before{at}", at, spec=(("n", "old"),))
-        self.crashes = {name: 0 for name in self.agents}
+        self.crashes = dict.fromkeys(self.agents, 0)
 
     def health(self, name):
         new = dict(self.agents[name].stands.spec)["n"] == "new"
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -173,7 +173,7 @@
     one = world([FakeNode(lambda told: None)])
     began = time.monotonic()
     stream = one.client.ask(patience=400)
-    assert one.client.answer(stream)[0] == DENIED and 0.1 < time.monotonic() - began
+    assert one.client.answer(stream)[0] == DENIED and time.monotonic() - began > 0.1
     assert one.client.answer(one.client.ask(patience=0))[0] == DENIED
     assert stream not in one.client.early
 
@@ -212,7 +212,7 @@
 
     one = world([FakeNode(act)], settings=settings())
     code, _, body = one.client.answer(one.client.ask(patience=800))
-    assert code == DENIED or body == b"second" and wants[0][3] is not wants[1][3]
+    assert code == DENIED or (body == b"second" and wants[0][3] is not wants[1][3])
 
 
 @pytest.mark.parametrize(
