--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -18,9 +18,9 @@
 from loguru import logger
 
 from .. import interface
-from ..brain import Router
 from ..facts import Assignment, load_report
 from ..interface import FillNote
+from ..routing import Router
 from . import clientwire, nodewire
 from .client_connection import HURRIED_STALLED, UNASKED_NOTICE, Client, CloseCause, Use
 from .clock import MILLISECOND as MS
@@ -66,7 +66,7 @@
         self.books = books  # the account of crossings, where operators turned it on
         self.shelf = shelf  # copies of our own, where operators turned them on
         self.router = Router(told.deployment, told.seed)
-        self.router.purse, self.router.shelf = books, shelf
+        self.router.fill_budget, self.router.local_store = books, shelf
         driver.give_way = self.give_way
         self.at_hand: dict[
             str, tuple[interface.RequestReceived, nodewire.Answer]
@@ -124,7 +124,7 @@
             while self.queue:
                 what = self.queue.popleft()
                 try:
-                    for act in self.router.step(self.clock.now(), what):
+                    for act in self.router.handle(self.clock.now(), what):
                         self.carry_out[type(act)](act)
                 except Exception:
                     logger.exception("the module failed on {}", type(what).__name__)
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -173,7 +173,7 @@
     """
     clock = director.clock
     logger.info("leaving: {}", director.report())
-    killed = min(director.router.longest, LONGEST) + KILLED
+    killed = min(director.router.longest_client_timeout, LONGEST) + KILLED
     began = clock.now()
     director.leave(killed - WRITE_OUT)
     await anyio.sleep(STILL_COMING)
--- a/ironhinge/brain.py
+++ b/ironhinge/routing/router.py
@@ -24,13 +24,12 @@
 
 from bisect import bisect_left, bisect_right, insort
 from collections.abc import Iterator
-from hashlib import blake2b
 from heapq import nlargest
 from math import log2
-from struct import unpack
 
-from . import interface
-from .interface import DedupScope, EndpointState, Idempotency
+from .. import interface
+from ..interface import DedupScope, EndpointState, Idempotency
+from .hashing import MASK, RendezvousHasher, hash_key, score
 
 K = 2  # caches that a req walks
 HALF_LIFE = 100_000  # of the rates in a cache's table
@@ -59,45 +58,7 @@
 MOST_ADDED = 512  # caches that came before all orders are forgotten
 MERGED = 64  # caches that came since; with more of them the order is worked out anew
 LIKELY = 4 * ORDER_KEPT  # caches that are looked through for the first of an order, in the mean
-LANE = 16  # bytes
 ROOM = 1.5  # a dispatch may take this many times its sending time before its time-out may come
-MASK = (1 << 64) - 1
-
-
-def salt(text: str) -> int:
-    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
-
-
-def mix(a: int, b: int) -> int:
-    """A stable 64-bit hash of two numbers, the same at every router (the finalizer of splitmix64)."""
-    x = (a * 0x9E3779B97F4A7C15 + b) & MASK
-    x = ((x ^ (x >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    x = ((x ^ (x >> 27)) * 0x94D049BB133111EB) & MASK
-    return x ^ (x >> 31)
-
-
-class Mixer:
-    """`mix` of one number with each of many at once: they lie side by side in one long integer, each in a
-    lane of twice its width, so that no product runs into the next lane.
-    """
-
-    def __init__(self, many: list[int]):
-        self.count = len(many)
-        self.numbers = self._lanes(many)
-        self.ones = self._lanes([1] * self.count)
-        self.low = self.ones * MASK  # the lower half of each lane
-
-    @staticmethod
-    def _lanes(many: list[int]) -> int:
-        return int.from_bytes(b"".join(number.to_bytes(LANE, "little") for number in many), "little")
-
-    def mix(self, a: int) -> list[int]:
-        """The hashes, in the order of the numbers."""
-        x = (self.numbers + self.ones * (a * 0x9E3779B97F4A7C15 & MASK)) & self.low
-        x = ((x ^ (x >> 30 & self.low)) * 0xBF58476D1CE4E5B9) & self.low
-        x = ((x ^ (x >> 27 & self.low)) * 0x94D049BB133111EB) & self.low
-        x ^= x >> 31 & self.low
-        return list(unpack(f"<{2 * self.count}Q", x.to_bytes(LANE * self.count, "little"))[::2])
 
 
 class Chance:
@@ -192,7 +153,7 @@
 
     def __init__(self, row: interface.Endpoint):
         super().__init__()
-        self.id, self.salt, self.row = row.id, salt(row.id), row
+        self.id, self.salt, self.row = row.id, hash_key(row.id), row
         self.table = Table()
         self.reset()
 
@@ -231,12 +192,12 @@
     def merge(self, salt: int, added: list[Node]) -> None:
         """Takes in those that were added since."""
         new = [node for node in added[self.seen :] if node not in self.first]
-        new = [node for node in new if mix(salt, node.salt) >= self.floor]
+        new = [node for node in new if score(salt, node.salt) >= self.floor]
         if new:
             here = [
                 node for node in {**dict.fromkeys(self.first), **dict.fromkeys(new)} if node.is_cache_here
             ]
-            self.first = sorted(here, key=lambda node: mix(salt, node.salt), reverse=True)
+            self.first = sorted(here, key=lambda node: score(salt, node.salt), reverse=True)
         self.seen = len(added)
 
 
@@ -250,8 +211,8 @@
             came.size,
         )
         self.vhost, self.work, self.left_at = vhost, work, now + came.time_remaining
-        self.salt = mix(came.object_id, came.part + 1)
-        self.home = mix(came.object_id, 0)
+        self.salt = score(came.object_id, came.part + 1)
+        self.home = score(came.object_id, 0)
         self.cacheable = vhost.cacheable and not came.is_write
         self.asked: list[Node] = []  # caches walked that had no copy
         self.ranks: dict[Node, int] = {}  # what the tables of the caches walked said
@@ -270,17 +231,21 @@
 
 
 class Router:
-    purse: interface.FillBudget | None = None  # operators' budgets, and copies of our own: most have neither
-    shelf: interface.LocalStore | None = None
+    fill_budget: interface.FillBudget | None = (
+        None  # operators' budgets, and copies of our own: most have neither
+    )
+    local_store: interface.LocalStore | None = None
 
     def __init__(self, facts: interface.Deployment, seed: int):
-        self.facts, self.chance = facts, Chance(seed)
+        self.deployment, self.chance = facts, Chance(seed)
         self.vhosts = [VhostRow(vhost) for vhost in facts.request_classes]
-        self.longest = max([vhost.client_timeout for vhost in facts.request_classes], default=10_000)
+        self.longest_client_timeout = max(
+            [vhost.client_timeout for vhost in facts.request_classes], default=10_000
+        )
         self.nodes: dict[str, Node] = {}
         self.caches: list[Node] = []
         self.cache_salts: list[int] = []  # of the same, in the same order
-        self.mixer: Mixer | None = None  # of these salts, once it is needed
+        self.mixer: RendezvousHasher | None = None  # of these salts, once it is needed
         self.added: list[
             Node
         ] = []  # caches in the order in which they came, for what is remembered of orders
@@ -290,9 +255,9 @@
         self.origin: Node | None = None
         self.inlet = Flow()  # the location's link in, which all fills share
         self.memory = (
-            PACE_MEMORY * self.longest * facts.local_router_count**0.5
+            PACE_MEMORY * self.longest_client_timeout * facts.local_router_count**0.5
         )  # the more, the less each sees
-        self.prior = PACE_PRIOR * self.longest
+        self.prior = PACE_PRIOR * self.longest_client_timeout
         self.listed = False
         self.reqs: dict[str, Req] = {}
         self.seen: dict[tuple[int, int], int] = {}  # when a part was last asked for; oldest first
@@ -302,7 +267,7 @@
         self.acts: list[interface.Command] = []
         self.now = 0
 
-    def step(self, now: int, what: interface.Event) -> list[interface.Command]:
+    def handle(self, now: int, what: interface.Event) -> list[interface.Command]:
         """The entry point."""
         self.now, self.acts = now, []
         try:
@@ -339,9 +304,11 @@
             for req in self.reqs.values():
                 req.left_at = min(req.left_at, self.now + what.time_remaining)
         elif isinstance(what, interface.DiscoveryFailed):
-            self.acts.append(interface.SetTimer(max(1, self.facts.discovery_poll_interval // 10), "watch"))
+            self.acts.append(
+                interface.SetTimer(max(1, self.deployment.discovery_poll_interval // 10), "watch")
+            )
         elif isinstance(what, interface.TimerFired) or (
-            isinstance(what, interface.InstanceStarted) and self.facts.watch_required
+            isinstance(what, interface.InstanceStarted) and self.deployment.watch_required
         ):
             self.acts.append(interface.SetWatch(True))  # the only timer is the one to watch again
 
@@ -373,7 +340,7 @@
         """Sorts a node that has changed in or out; a change of one costs that one, however many there are.
         One that is gone is forgotten: an id told again starts from nothing.
         """
-        facts, ready = self.facts, node.row.state == EndpointState.READY
+        facts, ready = self.deployment, node.row.state == EndpointState.READY
         kind, behind = node.row.kind, (facts.parent_kind, facts.origin_kind)
         if node.row.state == EndpointState.REMOVED:
             del self.nodes[node.id]
@@ -405,7 +372,7 @@
     def first_origin(self) -> Node | None:
         """The origin that was listed first, of those that are ready."""
         for node in self.nodes.values():
-            if node.row.state == EndpointState.READY and node.row.kind == self.facts.origin_kind:
+            if node.row.state == EndpointState.READY and node.row.kind == self.deployment.origin_kind:
                 return node
         return None
 
@@ -421,7 +388,7 @@
         book[name] = max(book.pop(name, at), at)
         while book:
             oldest = next(iter(book))
-            if book[oldest] + self.facts.purge_retention >= self.now:
+            if book[oldest] + self.deployment.purge_retention >= self.now:
                 break
             del book[oldest]
 
@@ -430,7 +397,7 @@
         books = ((self.purged_objects, req.key[0]), (self.purged_groups, req.group))
         purges = [book[name] for book, name in books if name in book]
         at = max(purges, default=0)
-        if not purges or self.now > at + self.facts.purge_retention:
+        if not purges or self.now > at + self.deployment.purge_retention:
             return 0
         limit = max(1, self.now - at)
         fresh = req.vhost.facts.freshness_lifetime
@@ -440,8 +407,8 @@
 
     def take(self, came: interface.RequestReceived) -> None:
         vhost = self.vhosts[came.class_index]
-        if came.size and self.facts.transfer_rate:
-            work = int(came.size * 10_000 / self.facts.transfer_rate) + 1
+        if came.size and self.deployment.transfer_rate:
+            work = int(came.size * 10_000 / self.deployment.transfer_rate) + 1
             vhost.learn(work)
         else:
             work = vhost.seen_work()
@@ -452,13 +419,15 @@
         if len(self.seen) >= TABLE:
             del self.seen[next(iter(self.seen))]
         self.seen[req.key] = self.now
-        req.lately = last is not None and self.now - last <= HALF_LIFE * self.facts.local_router_count
-        age = self.shelf.lookup(self.now, came) if self.shelf is not None and req.cacheable else -1
+        req.lately = last is not None and self.now - last <= HALF_LIFE * self.deployment.local_router_count
+        age = (
+            self.local_store.lookup(self.now, came) if self.local_store is not None and req.cacheable else -1
+        )
         limit = (self.age_limit(req) or vhost.facts.freshness_lifetime) if age >= 0 else 0
         if (
             age >= 0
             and (not limit or age <= limit)
-            and self.now + 2 * self.facts.time_granularity < req.left_at
+            and self.now + 2 * self.deployment.time_granularity < req.left_at
         ):
             return self.acts.append(interface.ServeLocalCopy(req.id))
         self.go_on(req)
@@ -479,14 +448,14 @@
         if req is None or req.over:
             return
         req.over = True
-        if self.facts.cancellation_allowed:
+        if self.deployment.cancellation_allowed:
             self.acts.append(interface.CancelAttempt(req.id, req.dispatches - 1))
 
     def go_on(self, req: Req) -> None:
         """The walk: the next cache of the order, else the first one as a pass-through, else past the
         caches.
         """
-        facts = self.facts
+        facts = self.deployment
         if (
             req.dispatches >= facts.max_attempts
             or self.now + max(req.work, 2 * facts.time_granularity) >= req.left_at
@@ -545,8 +514,8 @@
     def hashes(self, salt: int) -> list[int]:
         """An object's hash at each cache."""
         if self.mixer is None:
-            self.mixer = Mixer(self.cache_salts)
-        return self.mixer.mix(salt)
+            self.mixer = RendezvousHasher(self.cache_salts)
+        return self.mixer.scores(salt)
 
     def work_out(self, salt: int) -> Order:
         """The first caches of a hash order, from all of them."""
@@ -567,7 +536,7 @@
         some = dict.fromkeys([*busy, *self.may_be_cold])
         here = [node for node in some if node.is_cache_here and self.allowed(req, node)]
         if self.may_be_cold:  # chance is drawn for cold nodes, in this order
-            here.sort(key=lambda node: mix(req.salt, node.salt), reverse=True)
+            here.sort(key=lambda node: score(req.salt, node.salt), reverse=True)
         known = {}
         for node in here:
             if node not in req.failed:
@@ -596,7 +565,7 @@
         req.unpaid = 0
         if not self.in_time(req, self.inlet):
             return None
-        for node in sorted(self.parents, key=lambda node: mix(req.home, node.salt), reverse=True):
+        for node in sorted(self.parents, key=lambda node: score(req.home, node.salt), reverse=True):
             bound = max(FILLS_BOUND, node.row.weight)
             if node not in req.failed and len(node.out) < bound and self.fit(req, node):
                 if self.paid(req, node):
@@ -608,12 +577,12 @@
         """Guards operators' budgets: a source whose budget is spent is passed over like a crowded one. The
         soonest that one has room again is what its client is told. Harms hits at caches not at all.
         """
-        wait = self.purse.wait_time(self.now, req.came, node.id) if self.purse is not None else 0
+        wait = self.fill_budget.wait_time(self.now, req.came, node.id) if self.fill_budget is not None else 0
         req.unpaid = min(req.unpaid or wait, wait) if wait else req.unpaid
         return not wait
 
     def dispatch(self, req: Req, node: Node, source: Node, rank: int) -> None:
-        facts, now = self.facts, self.now
+        facts, now = self.deployment, self.now
         end = req.left_at - 2 * facts.time_granularity
         until = end
         if req.vhost.facts.idempotency == Idempotency.IDEMPOTENT:
@@ -656,8 +625,8 @@
         ):
             return
         node, source, result = req.node, req.source, what.result
-        if what.load_report and "busy" in self.facts.load_report_fields:
-            told = min(1.0, what.load_report[self.facts.load_report_fields.index("busy")])
+        if what.load_report and "busy" in self.deployment.load_report_fields:
+            told = min(1.0, what.load_report[self.deployment.load_report_fields.index("busy")])
             node.busy += LATELY * (told - node.busy)
         req.node = req.source = None
         for each in (node, source, self.inlet):
@@ -668,11 +637,15 @@
             self.succeeded(node, req, req.work)
             if not req.size:
                 req.vhost.learn(what.duration)
-            if self.shelf is not None and req.cacheable and self.shelf.should_store(self.now, req.came):
+            if (
+                self.local_store is not None
+                and req.cacheable
+                and self.local_store.should_store(self.now, req.came)
+            ):
                 self.acts.append(interface.StoreLocalCopy(req.id))
             if filler is not None:
                 self.succeeded(filler, req, req.work)
-            if filler is not None or node.row.zone != self.facts.zone:
+            if filler is not None or node.row.zone != self.deployment.zone:
                 self.inlet.paced(what.duration, req, self.now, self.memory)
             (filler or node).paced(what.duration, req, self.now, self.memory)
         elif result == "miss":
@@ -712,7 +685,7 @@
         )
         slack = max(0, req.target_at - self.now - req.work)
         # back while the target can still be met, or when a budget that had no room should have it
-        advice = min(self.facts.max_retry_after, max(int(ADVICE * slack), req.unpaid))
+        advice = min(self.deployment.max_retry_after, max(int(ADVICE * slack), req.unpaid))
         self.acts.append(
             interface.RejectRequest(req.id, advice) if harmless else interface.FailRequest(req.id)
         )
@@ -737,10 +710,12 @@
         once.
         """
         result, culprit = what.result, node
-        quick = what.duration <= 2 * self.facts.time_granularity  # too soon for word from any source
+        quick = what.duration <= 2 * self.deployment.time_granularity  # too soon for word from any source
         if result == "full":  # turned away at the door of one or the other: alive, but crowded
             culprit = node if quick or source is None or what.fill_note == 9 else source
-            culprit.full_until = self.now + int(FULL * req.vhost.mean_work() * self.facts.local_router_count)
+            culprit.full_until = self.now + int(
+                FULL * req.vhost.mean_work() * self.deployment.local_router_count
+            )
             node.answered_at = self.now
             behind = what.fill_note == 10 or (
                 not what.fill_note and any(each in self.parents for each in req.failed)
@@ -749,7 +724,7 @@
                 culprit is source
                 and self.origin is not None
                 and behind
-                and self.facts.origin_overload_multiple
+                and self.deployment.origin_overload_multiple
             ):
                 self.origin.full_until = culprit.full_until  # the second parent in turn: it is behind them
             if culprit is source and what.duration > req.vhost.facts.target:  # waited for in vain
@@ -784,7 +759,7 @@
             culprit.bad = max(culprit.bad, BAD)
             culprit.bench = min(BENCH_MOST, max(BENCH, 2 * culprit.bench))
             length = culprit.bench * (0.75 + self.chance.share() / 2)  # routers' trials fall apart in time
-            culprit.benched_until = self.now + int(length * self.longest)
+            culprit.benched_until = self.now + int(length * self.longest_client_timeout)
 
     def silent(self, node: Node) -> bool:
         """True when a dispatch is overdue and the node has shown no life since. Guards against nodes that
@@ -831,9 +806,9 @@
 
     def is_cold(self, node: Node) -> bool:
         length = (
-            self.facts.parent_slow_start_duration
-            if node.row.kind == self.facts.parent_kind
-            else self.facts.slow_start_duration
+            self.deployment.parent_slow_start_duration
+            if node.row.kind == self.deployment.parent_kind
+            else self.deployment.slow_start_duration
         )
         lost = node.lost_at and self.now < node.lost_at + LOST * length
         return bool(lost or (node.row.started_at and self.now < node.row.started_at + length))
@@ -841,7 +816,7 @@
     def weight(self, req: Req, node: Node) -> float:
         """In a budget: at a cache its vhost's mean sending time, at a parent its own if that is longer."""
         mean = req.vhost.mean_work()
-        return max(req.work, mean) if node.row.kind == self.facts.parent_kind else mean
+        return max(req.work, mean) if node.row.kind == self.deployment.parent_kind else mean
 
     def in_budget(self, req: Req, node: Node) -> bool:
         """Guards 'no cold node pushed over'. Our share of a budget is taken from what we ourselves have
@@ -855,7 +830,7 @@
         if node is self.origin or not self.is_cold(node):
             node.room = None
             return True
-        facts = self.facts
+        facts = self.deployment
         parent = node.row.kind == facts.parent_kind
         least, length, multiple = (
             facts.slow_start_min_share,
@@ -893,10 +868,12 @@
 
     def carried_by_kind(self, kind: int) -> float:
         """What a warm node of the kind can do for us: what it carries, over how busy it says it is."""
-        alike = self.parents if kind == self.facts.parent_kind else self.caches
+        alike = self.parents if kind == self.deployment.parent_kind else self.caches
         warm = [each for each in alike if each.row.kind == kind and not self.is_cold(each) and not each.bench]
         if warm:
-            busy = sum(node.busy for node in warm) if "busy" in self.facts.load_report_fields else len(warm)
+            busy = (
+                sum(node.busy for node in warm) if "busy" in self.deployment.load_report_fields else len(warm)
+            )
             can = sum(node.carry_now(self.now) for node in warm) / max(busy, 0.1 * len(warm))
             self.usual[kind] = max(can, self.usual.get(kind, 0.0))  # less may only mean that less was asked
         return self.usual.get(kind, 0.0)
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 from .. import interface
-from ..brain import mix, salt
+from ..routing.hashing import hash_key, score
 from ..settings import records
 from .account import Account
 from .budget import NEVER, Budget, RatePot
@@ -197,7 +197,7 @@
                 self._gone(now, row.id)
                 continue
             way = self._way(row.zone, row.kind)
-            place = self.nodes[row.id] = Place(row.zone, row.kind, salt(row.id), way)
+            place = self.nodes[row.id] = Place(row.zone, row.kind, hash_key(row.id), way)
             if row.kind == self.facts.parent_kind:
                 self.hubs[row.id] = place
                 self.went.pop(row.id, None)
@@ -291,8 +291,8 @@
             return False
         first = self.homes.get(came.object_id)
         if first is None:
-            home = mix(came.object_id, 0)
-            first = max(self.hubs, key=lambda name: mix(home, self.hubs[name].salt))
+            home = score(came.object_id, 0)
+            first = max(self.hubs, key=lambda name: score(home, self.hubs[name].salt))
             if len(self.homes) >= HOMES:
                 self.homes.clear()
             self.homes[came.object_id] = first
--- a/ironhinge/wirehost/host.py
+++ b/ironhinge/wirehost/host.py
@@ -7,8 +7,8 @@
 from typing import Any, BinaryIO, TextIO
 
 from .. import interface
-from ..brain import Router
 from ..facts import REQUIRED, UNIT, Fields, Malformed, deployment, node_rows
+from ..routing import Router
 from . import codec
 
 
@@ -58,7 +58,7 @@
             router = self.routers[director] = Router(
                 deployment(fields.inner("settings")), fields.whole("seed")
             )
-            return router.step(now, interface.InstanceStarted())
+            return router.handle(now, interface.InstanceStarted())
         if name == "STOP":
             self.routers.pop(director, None)
             return []
@@ -70,12 +70,12 @@
             raise Malformed(f"{name}: field 'director' names instance {director}, which has not started")
         router = self.routers[director]
         if type(happened) is interface.RequestReceived and happened.class_index >= len(
-            router.facts.request_classes
+            router.deployment.request_classes
         ):
             raise Malformed(
                 f"{name}: field 'cls' names class {happened.class_index}, which the settings lack"
             )
-        return router.step(now, happened)
+        return router.handle(now, happened)
 
     def fatal(self, director: int, text: str) -> dict[str, Any]:
         self.errors.write(f"ironhinge: {text}\n")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,8 +13,8 @@
 from random import Random
 
 from ironhinge import interface
-from ironhinge.brain import Router
 from ironhinge.interface import DedupScope, EndpointState, Idempotency
+from ironhinge.routing.router import Router
 
 PARENT, ORIGIN = 1, 2
 CACHES = ["c%d" % i for i in range(5)]
@@ -92,8 +92,8 @@
 
 def router(facts=None, names=(*CACHES, "p0", "p1", "o")):
     one = Router(facts or deployment(), 7)
-    one.step(0, interface.InstanceStarted())
-    one.step(0, interface.EndpointsUpdated(True, tuple(row(name) for name in names)))
+    one.handle(0, interface.InstanceStarted())
+    one.handle(0, interface.EndpointsUpdated(True, tuple(row(name) for name in names)))
     return one
 
 
@@ -227,7 +227,7 @@
 
     def tell(what):
         rules.happened(now, what)
-        for act in one.step(now, what):
+        for act in one.handle(now, what):
             rules.acted(now, act)
             if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
                 due = min(act.deadline, now + int(chance.expovariate(1 / 3000)) + 1)
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -9,7 +9,6 @@
 import pytest
 
 from ironhinge import interface
-from ironhinge.brain import Router
 from ironhinge.facts import assignment
 from ironhinge.net import clientwire
 from ironhinge.net.client_connection import Client, Phase, Use
@@ -20,6 +19,7 @@
 from ironhinge.net.links import Link
 from ironhinge.net.poll import Poll
 from ironhinge.net.sockets import datagrams
+from ironhinge.routing.router import Router
 
 from .helpers import PATIENCE, FakeNode, configuration, endpoint, resp
 
@@ -32,7 +32,7 @@
     def __init__(self, **script):
         self.script, self.told = {name: list(acts) for name, acts in script.items()}, []
 
-    def step(self, now, what):
+    def handle(self, now, what):
         self.told.append(what)
         acts = self.script.get(type(what).__name__)
         return acts.pop(0)(now) if acts else []
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -12,7 +12,6 @@
 import pytest
 
 from ironhinge import interface
-from ironhinge.brain import COLD_MARGIN, Req, Router
 from ironhinge.facts import Address, Limits
 from ironhinge.net import clientwire, driver
 from ironhinge.net.client_connection import Client, CloseCause, Phase, Use
@@ -22,6 +21,7 @@
 from ironhinge.net.service import _leave
 from ironhinge.net.sockets import listen
 from ironhinge.net.system_calls import Remedy
+from ironhinge.routing.router import COLD_MARGIN, Req, Router
 
 from .helpers import (
     CACHES,
@@ -596,11 +596,11 @@
 
 def test_a_repeat_is_to_begin_within_the_window_of_the_first():
     one = router(deployment(cancellation_allowed=False))
-    first = one.step(1000, req("a", vhost=2))[0]
-    then = one.step(1100, outcome(first, "reset"))[0]
+    first = one.handle(1000, req("a", vhost=2))[0]
+    then = one.handle(1100, outcome(first, "reset"))[0]
     assert (first.start_deadline, then.start_deadline) == (
         0,
-        1000 + one.facts.request_classes[2].dedup_window,
+        1000 + one.deployment.request_classes[2].dedup_window,
     )
 
 
@@ -615,7 +615,7 @@
     start, total = 200000, 0
     for one in many:
         one.chance.state = seeds.getrandbits(64)  # each has a seed of its own
-        one.step(start, interface.EndpointsUpdated(False, (row("c0", started=start),)))
+        one.handle(start, interface.EndpointsUpdated(False, (row("c0", started=start),)))
         one.in_budget(one_req(one), one.nodes["c0"])
     for at in range(start + 10000, start + facts.slow_start_duration, 2500):
         sent = 0
@@ -641,8 +641,8 @@
 def test_a_cold_node_is_weighed_where_no_target_and_no_size_is_told():
     vhosts = tuple(vhost._replace(target=0) for vhost in deployment().request_classes)
     one = router(deployment(request_classes=vhosts), ("c0", "o"))
-    one.step(1000, interface.EndpointsUpdated(False, (row("c0", started=1000),)))
-    assert one.step(2000, req("a", size=0.0))
+    one.handle(1000, interface.EndpointsUpdated(False, (row("c0", started=1000),)))
+    assert one.handle(2000, req("a", size=0.0))
 
 
 def test_a_failed_accept_takes_no_others_of_the_backlog_along(monkeypatch):
@@ -683,10 +683,10 @@
     """Nothing has been carried yet, so that nothing tells what a node can do: still no node is starved."""
     facts = deployment(weight_kind="none", router_count=4, local_router_count=4, direct_to_source=False)
     one, start = Router(facts, 7), 10
-    one.step(
+    one.handle(
         start, interface.EndpointsUpdated(True, tuple(row(n, started=start) for n in (*CACHES, "p0", "o")))
     )
-    acts = [act for i in range(200) for act in one.step(start + i * 500, req(f"a{i}", obj=i, size=50.0))]
+    acts = [act for i in range(200) for act in one.handle(start + i * 500, req(f"a{i}", obj=i, size=50.0))]
     assert any(type(act) in (interface.SendAttempt, interface.SendAttemptWithFill) for act in acts)
 
 
@@ -697,4 +697,4 @@
         "print(*sorted({name.split('.')[1] for name in sys.modules if name.startswith('ironhinge.')}))"
     )
     found = os.popen(f'{os.sys.executable} -c "{code}"').read().split()
-    assert found == ["brain", "cli", "facts", "interface", "net"]
+    assert found == ["cli", "facts", "interface", "net", "routing"]
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -117,47 +117,47 @@
 
 def with_shelf(age, **other):
     one = router(deployment(**other))
-    one.shelf = Shelf(age)
+    one.local_store = Shelf(age)
     return one
 
 
 def test_a_young_copy_is_served_and_an_old_one_walked_past():
-    assert with_shelf(100).step(0, req("r")) == [interface.ServeLocalCopy("r")]
-    assert type(with_shelf(-1).step(0, req("r"))[0]) is interface.SendAttemptWithFill
-    assert type(with_shelf(20_001).step(0, req("r", vhost=1))[0]) is interface.SendAttemptWithFill, (
+    assert with_shelf(100).handle(0, req("r")) == [interface.ServeLocalCopy("r")]
+    assert type(with_shelf(-1).handle(0, req("r"))[0]) is interface.SendAttemptWithFill
+    assert type(with_shelf(20_001).handle(0, req("r", vhost=1))[0]) is interface.SendAttemptWithFill, (
         "past its fresh time"
     )
-    assert with_shelf(20_000).step(0, req("r", vhost=1)) == [interface.ServeLocalCopy("r")]
-    assert type(with_shelf(100).step(0, req("r", left=30))[0]) is interface.RejectRequest, (
+    assert with_shelf(20_000).handle(0, req("r", vhost=1)) == [interface.ServeLocalCopy("r")]
+    assert type(with_shelf(100).handle(0, req("r", left=30))[0]) is interface.RejectRequest, (
         "no time to read it"
     )
 
 
 def test_a_copy_older_than_a_purge_is_not_served():
     one = with_shelf(500)
-    one.step(1000, interface.PurgeNotified(1, 0, 0))
-    assert type(one.step(1400, req("r"))[0]) is interface.SendAttemptWithFill
-    assert one.step(1600, req("s")) == [interface.ServeLocalCopy("s")], "it came after the purge"
+    one.handle(1000, interface.PurgeNotified(1, 0, 0))
+    assert type(one.handle(1400, req("r"))[0]) is interface.SendAttemptWithFill
+    assert one.handle(1600, req("s")) == [interface.ServeLocalCopy("s")], "it came after the purge"
 
 
 def test_a_copy_that_could_not_be_read_begins_the_walk_and_one_that_was_ends_it():
     one = with_shelf(5)
-    one.step(0, req("r"))
-    assert type(one.step(10, interface.LocalCopyFinished("r", False))[0]) is interface.SendAttemptWithFill
-    one.step(0, req("s"))
-    assert one.step(10, interface.LocalCopyFinished("s", True)) == [] and "s" not in one.reqs
-    one.step(0, req("t"))
-    one.step(1, interface.ClientDisconnected("t"))
-    assert one.step(10, interface.LocalCopyFinished("t", False)) == [] and "t" not in one.reqs
-    assert one.step(11, interface.LocalCopyFinished("t", False)) == []
+    one.handle(0, req("r"))
+    assert type(one.handle(10, interface.LocalCopyFinished("r", False))[0]) is interface.SendAttemptWithFill
+    one.handle(0, req("s"))
+    assert one.handle(10, interface.LocalCopyFinished("s", True)) == [] and "s" not in one.reqs
+    one.handle(0, req("t"))
+    one.handle(1, interface.ClientDisconnected("t"))
+    assert one.handle(10, interface.LocalCopyFinished("t", False)) == [] and "t" not in one.reqs
+    assert one.handle(11, interface.LocalCopyFinished("t", False)) == []
 
 
 def test_what_came_is_kept_where_the_shelf_wants_it():
     one = with_shelf(-1)
-    act = one.step(0, req("r"))[0]
-    assert one.step(50, outcome(act, "done", note=2)) == [interface.StoreLocalCopy("r")]
-    act = one.step(60, req("s"))[0]
-    assert interface.StoreLocalCopy("s") not in one.step(70, outcome(act, "error", note=2))
+    act = one.handle(0, req("r"))[0]
+    assert one.handle(50, outcome(act, "done", note=2)) == [interface.StoreLocalCopy("r")]
+    act = one.handle(60, req("s"))[0]
+    assert interface.StoreLocalCopy("s") not in one.handle(70, outcome(act, "error", note=2))
 
 
 # A director with a tier
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -270,11 +270,11 @@
     facts = deployment(direct_to_source=False, router_count=1, local_router_count=1)
     purse = ledger(RATE.replace("{", '{ways: ["own-hub", "other-hub", "origin"], '), facts)
     one = router(facts, ("c0", "c1", "p0", "p1", "o"))
-    one.purse = purse
+    one.fill_budget = purse
     fills = denied = 0
     for at in range(60):
         asked = req(f"r{at}", at, size=10.0)
-        acts = one.step(0, asked)
+        acts = one.handle(0, asked)
         while acts and type(acts[0]) in (interface.SendAttemptWithFill, interface.SendAttempt):
             act = acts[0]
             source = (
@@ -287,7 +287,7 @@
                 fills += 1
                 break
             purse.step(0, Ended(act.request_id, "miss", 0, None, 1, False))
-            acts = one.step(0, outcome(act, "miss", one.reqs[act.request_id].dispatches - 1))
+            acts = one.handle(0, outcome(act, "miss", one.reqs[act.request_id].dispatches - 1))
         if acts and type(acts[0]) is interface.RejectRequest:
             denied += 1
             assert acts[0].retry_after >= 1000, "told to come back before there is room"
@@ -296,7 +296,7 @@
 
 def test_without_budgets_the_module_decides_as_before():
     plain, watched = router(), router()
-    watched.purse = ledger(facts=deployment())
+    watched.fill_budget = ledger(facts=deployment())
     chance, out = Random(5), []
     for at in range(600):
         what = req(f"r{at}", chance.randrange(30), chance.randrange(4), chance.choice([50.0, 4000.0]))
@@ -305,8 +305,8 @@
             what = outcome(
                 act, chance.choice(["done", "miss", "error", "full"]), number, note=chance.randrange(6)
             )
-        acts = plain.step(at * 50, what)
-        assert watched.step(at * 50, what) == acts
+        acts = plain.handle(at * 50, what)
+        assert watched.handle(at * 50, what) == acts
         out += [
             (act, plain.reqs[act.request_id].dispatches - 1)
             for act in acts
