--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -12,7 +12,13 @@
 from loguru import logger
 
 from . import __version__
-from .facts import Assignment, Malformed, address, assignment
+from .config import (
+    DirectorConfig,
+    EndpointListUpdate,
+    MalformedMessageError,
+    parse_address,
+    read_director_config,
+)
 
 LEVELS = ("debug", "info", "warning", "error")
 GROUPS = ("disk", "jobs", "lab", "settings", "traffic")  # packages that bring commands of their own
@@ -43,19 +49,19 @@
     return config_option(name_option(listen_option(command)))
 
 
-def read(config: str, name: str | None, listen: str | None) -> Assignment:
+def read(config: str, name: str | None, listen: str | None) -> DirectorConfig:
     with open(config, encoding="utf-8") as file:
-        told = assignment(json.load(file))
+        told = read_director_config(json.load(file))
     if listen:
-        told = told._replace(listen=address(listen, "option 'listen'"))
+        told = told._replace(listen=parse_address(listen, "option 'listen'"))
     return told._replace(name=name or told.name)
 
 
-def read_or_end(config: str, name: str | None, listen: str | None) -> Assignment:
+def read_or_end(config: str, name: str | None, listen: str | None) -> DirectorConfig:
     """The configuration; what is wrong with it ends the program with one line and exit code 2."""
     try:
         return read(config, name, listen)
-    except (OSError, ValueError, Malformed) as fault:
+    except (OSError, ValueError, MalformedMessageError) as fault:
         click.echo(f"ironhinge: {config}: {fault}", err=True)
         sys.exit(2)
 
@@ -109,18 +115,18 @@
     return Runner(budgets, clock.now)
 
 
-def open_books(told: Assignment, operations: Any, runner: Any, clock: Any) -> Any:
+def open_books(told: DirectorConfig, operations: Any, runner: Any, clock: Any) -> Any:
     """What keeps the account, where the operations turn it on."""
     if operations is None or operations.traffic is None:
         return None
     from .traffic.keeper import Keeper, Origin
 
-    me = told.peers.index(told.peer_listen) if told.peer_listen in told.peers else 0
-    who = Origin(told.name, told.names.zones, told.names.vhosts, me)
+    me = told.gossip_peers.index(told.gossip_listen) if told.gossip_listen in told.gossip_peers else 0
+    who = Origin(told.name, told.names.zones, told.names.request_classes, me)
     return Keeper(operations.traffic, told.deployment, who, clock.now, clock.unix_ms, runner)
 
 
-def open_shelf(told: Assignment, operations: Any, runner: Any, clock: Any) -> Any:
+def open_shelf(told: DirectorConfig, operations: Any, runner: Any, clock: Any) -> Any:
     """The tier of copies on disk, where the operations turn it on; a folder that can't be had ends the
     program.
     """
@@ -176,11 +182,12 @@
     """Say what is wrong with a configuration and its operations files, or what they would start."""
     told = read_or_end(config, name, listen)
     operations_or_end(config, operations)
-    nodes = {listing.row.id for news in told.known for listing in getattr(news, "listings", ())}
+    lists = [update for update in told.known if isinstance(update, EndpointListUpdate)]
+    nodes = {record.endpoint.id for update in lists for record in update.records}
     click.echo(
         f"{told.name or 'a director'} on {told.listen.host}:{told.listen.port}: "
-        f"{len(told.names.vhosts)} vhosts, {len(nodes)} node{'s' * (len(nodes) != 1)} known, "
-        f"{told.limits.sockets} descriptors, {told.limits.memory_mb} MB"
+        f"{len(told.names.request_classes)} vhosts, {len(nodes)} node{'s' * (len(nodes) != 1)} known, "
+        f"{told.limits.descriptors} descriptors, {told.limits.memory_mb} MB"
     )
 
 
--- /dev/null
+++ b/ironhinge/config/director_config.py
@@ -0,0 +1,216 @@
+"""The configuration of a real director, from the names of its JSON file to `DirectorConfig`."""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+from ..interface import Deployment, Endpoint, EndpointState
+from .deployment_settings import read_deployment
+from .fields import REQUIRED, Fields, MalformedMessageError
+
+MAX_PORT = 65_535
+
+RECORD_STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
+}
+CONFIG_KEYS = {  # fields of `DirectorConfig` whose key in the file has another name
+    "gossip_listen": "peer_listen",
+    "gossip_peers": "peers",
+    "gossip_broadcast": "peers_all",
+    "discovery_address": "coordinator",
+    "names": "settings",
+    "transport": "settings",
+    "deployment": "settings",
+}
+
+
+class Address(NamedTuple):
+    """Where to connect to, or to listen on."""
+
+    host: str
+    port: int
+
+
+class ResourceLimits(NamedTuple):
+    """What the platform allows; 0 where it is not told."""
+
+    memory_mb: int
+    descriptors: int
+
+
+class SettingsNames(NamedTuple):
+    """What the protocol names by text or by index, in the order of the settings."""
+
+    request_classes: tuple[str, ...]
+    zones: tuple[str, ...]
+    endpoint_kinds: tuple[str, ...]
+
+
+class TransportSettings(NamedTuple):
+    """What the settings say of connections to upstreams; spans in tenths of a millisecond."""
+
+    connect_timeout: int
+    upstream_idle_timeout: int  # upstreams close idle connections after this
+    operations_per_connection: int  # attempts that one connection carries at a time
+
+
+class EndpointRecord(NamedTuple):
+    """A record of the discovery service's list."""
+
+    endpoint: Endpoint
+    address: Address
+    started_unix_ms: int  # 0 for long ago
+
+
+class EndpointListUpdate(NamedTuple):
+    """A discovery event: endpoints that were added, changed or removed."""
+
+    event_index: int
+    is_full: bool  # the whole list: what it lacks is removed
+    records: tuple[EndpointRecord, ...]
+
+
+class PurgeUpdate(NamedTuple):
+    """A discovery event: copies made before that time must not be served."""
+
+    event_index: int
+    object_id: int | None  # None: the whole group
+    group: int
+    unix_ms: int
+
+
+DiscoveryUpdate = EndpointListUpdate | PurgeUpdate
+
+
+class DirectorConfig(NamedTuple):
+    """All that a real director is told at its start."""
+
+    name: str
+    listen: Address
+    seed: int
+    limits: ResourceLimits
+    gossip_listen: Address | None
+    gossip_peers: tuple[Address, ...]
+    gossip_broadcast: Address | None
+    discovery_address: Address | None
+    names: SettingsNames
+    transport: TransportSettings
+    deployment: Deployment
+    known_index: int  # of the last discovery event that the configuration holds
+    known: tuple[DiscoveryUpdate, ...]
+
+
+def parse_address(text: str, context: str) -> Address:
+    """An address and a port, as in `127.0.0.1:7001`; `MalformedMessageError` names the context."""
+    host, _, port = text.rpartition(":")
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        raise MalformedMessageError(f"{context}: '{text}' is not an address and a port")
+    return Address(host, int(port))
+
+
+def _parse_hex(text: str, context: str) -> int:
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise MalformedMessageError(f"{context}: '{text}' is not hex digits") from None
+
+
+def _index_of(name: str, names: tuple[str, ...], context: str) -> int:
+    if name not in names:
+        raise MalformedMessageError(f"{context}: the settings lack '{name}'")
+    return names.index(name)
+
+
+def _read_record(values: Any, context: str, names: SettingsNames) -> EndpointRecord:
+    row = Fields(context, values)
+    endpoint = Endpoint(
+        id=row.text("name"),
+        state=row.keyword("status", RECORD_STATES),
+        cell=row.integer("group"),
+        zone=_index_of(row.text("zone"), names.zones, context),
+        started_at=0,
+        weight=row.number("weight", 1),
+        kind=_index_of(row.text("type"), names.endpoint_kinds, context),
+    )
+    return EndpointRecord(endpoint, parse_address(row.text("address"), context), row.integer("since_ms"))
+
+
+def _read_endpoint_list(
+    update: Fields, event_index: int, is_first: bool, names: SettingsNames
+) -> EndpointListUpdate:
+    change = update.nested("endpoints")
+    records = tuple(
+        _read_record(row, f"{update.context} endpoints[{index}]", names)
+        for index, row in enumerate(change.array("endpoints"))
+    )
+    return EndpointListUpdate(event_index, is_first or change.boolean("snapshot"), records)
+
+
+def _read_purge(update: Fields, event_index: int) -> PurgeUpdate:
+    purge = update.nested("evict")
+    object_id = _parse_hex(purge.text("ref"), update.context) if purge.has("ref") else None
+    return PurgeUpdate(event_index, object_id, purge.integer("shard"), purge.integer("unix_ms"))
+
+
+def _read_known_updates(known: Fields, names: SettingsNames) -> tuple[DiscoveryUpdate, ...]:
+    updates: list[DiscoveryUpdate] = []
+    for index, values in enumerate(known.array("updates")):
+        update = Fields(f"{known.context} updates[{index}]", values)
+        event_index = update.integer("index")
+        if update.has("endpoints"):
+            updates.append(_read_endpoint_list(update, event_index, not updates, names))
+        elif update.has("evict"):
+            updates.append(_read_purge(update, event_index))
+    return tuple(updates)
+
+
+def _read_names(settings: Fields) -> SettingsNames:
+    classes = settings.array("classes", REQUIRED)
+    return SettingsNames(
+        tuple(
+            Fields(f"settings classes[{index}]", values).text("name") for index, values in enumerate(classes)
+        ),
+        settings.texts("failure-domains"),
+        settings.texts("shapes"),
+    )
+
+
+def _read_transport(settings: Fields) -> TransportSettings:
+    policy = settings.nested("policy-limits", {})
+    return TransportSettings(
+        connect_timeout=policy.duration_floor("dial-timeout", REQUIRED),
+        upstream_idle_timeout=policy.duration_floor("conn-idle"),
+        operations_per_connection=max(1, policy.integer("multiplex", 1)),
+    )
+
+
+def _optional_address(fields: Fields, name: str) -> Address | None:
+    return parse_address(fields.text(name), f"field '{name}'") if fields.has(name) else None
+
+
+def read_director_config(values: Any) -> DirectorConfig:
+    """A director's configuration from parsed JSON.
+
+    Raises `MalformedMessageError` with the field at fault and what was expected of it.
+    """
+    fields = Fields("configuration", values)
+    settings, limits = fields.nested("settings"), fields.nested("limits", {})
+    names = _read_names(settings)
+    known = fields.nested("known", {})
+    return DirectorConfig(
+        name=fields.text("name", ""),
+        listen=parse_address(fields.text("listen"), "field 'listen'"),
+        seed=_parse_hex(fields.text("seed", "0"), "field 'seed'"),
+        limits=ResourceLimits(limits.integer("memory_mb"), limits.integer("sockets")),
+        gossip_listen=_optional_address(fields, "peer_listen"),
+        gossip_peers=tuple(parse_address(peer, "field 'peers'") for peer in fields.texts("peers")),
+        gossip_broadcast=_optional_address(fields, "peers_all"),
+        discovery_address=_optional_address(fields, "coordinator"),
+        names=names,
+        transport=_read_transport(settings),
+        deployment=read_deployment(settings),
+        known_index=known.integer("index"),
+        known=_read_known_updates(known, names),
+    )
--- a/ironhinge/lab/people.py
+++ b/ironhinge/lab/people.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from random import Random
 
-from ..net.clientwire import read_fields, write_fields
+from ..net.client_wire import read_fields, write_fields
 from .nodes import LabNode, body_of
 from .scenes import BYTES, FILM, Ask
 
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -11,11 +11,11 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from . import clientwire
+from . import client_wire
+from .attempt_end import AttemptEnd
 from .clock import MILLISECOND
-from .ending import Ending
+from .connection import Connection
 from .event_log import EventKind
-from .links import Link
 
 if TYPE_CHECKING:
     from .director import Director
@@ -47,11 +47,11 @@
     HALF_CLOSED = "half-closed"  # our side has ended; what comes is dropped
 
 
-class Use(Enum):
+class Usage(Enum):
     """What a client has used its connection for, so far; the least useful first."""
 
     NONE = 0  # it never sent a frame
-    ASKED = 1  # it asked whether the director is ready, at most
+    READINESS_ONLY = 1  # it asked whether the director is ready, at most
     REQUESTS = 2
 
 
@@ -59,101 +59,105 @@
     """Why a connection is ended by us."""
 
     IDLE = "idle"
-    SILENT = "silent"  # it never asked anything
-    ROOM = "room"  # descriptors are short
+    NEVER_USED = "silent"  # it never asked anything
+    CAPACITY = "room"  # descriptors are short
     SHUTDOWN = "shutdown"
-    BREACH = "breach"  # the client broke the protocol
+    PROTOCOL_VIOLATION = "breach"  # the client broke the protocol
 
 
-class Client:
+class ClientConnection:
     """One client's connection."""
 
     def __init__(self, director: Director):
         self.director = director
-        director.clients_seen += 1
-        self.number = director.clients_seen
-        self.wire = clientwire.ClientWire()
-        self.open: dict[int, OpenRequest] = {}  # by stream
-        self.link: Link
+        director.clients_accepted += 1
+        self.number = director.clients_accepted
+        self.wire = client_wire.ClientWire()
+        self.open_requests: dict[int, OpenRequest] = {}  # by stream
+        self.connection: Connection
         self.phase = Phase.OPEN
-        self.cause: CloseCause | None = None
-        self.ends_at: int | None = None  # from when on an announced connection may end; None: not yet known
-        self.notice = 0  # how long it has to have been quiet by then
-        self.use = Use.NONE
+        self.close_cause: CloseCause | None = None
+        self.close_not_before: int | None = (
+            None  # from when on an announced connection may end; None: not yet known
+        )
+        self.quiet_period = 0  # how long it has to have been quiet by then
+        self.usage = Usage.NONE
         now = director.clock.now()
-        self.since = now  # it is waited for: its first frame, the rest of one, or the next
-        self.heard_at = now  # bytes came
+        self.waiting_since = now  # it is waited for: its first frame, the rest of one, or the next
+        self.last_received_at = now  # bytes came
 
-    def up(self, link: Link) -> None:
+    def on_connected(self, link: Connection) -> None:
         """The connection was accepted."""
-        self.link = link
+        self.connection = link
         self.director.clients[self] = None
-        if self.director.leave_at is not None:
-            self.announce(CloseCause.SHUTDOWN, None)
+        if self.director.shutdown_deadline is not None:
+            self.announce_close(CloseCause.SHUTDOWN, None)
 
-    def receive(self, link: Link, data: memoryview) -> None:
+    def on_data(self, link: Connection, data: memoryview) -> None:
         """Bytes came; whole frames are handed on."""
         if self.phase is Phase.HALF_CLOSED:
             return
-        begun = bool(self.wire.held)
-        self.heard_at = self.director.clock.now()
+        begun = bool(self.wire.buffered)
+        self.last_received_at = self.director.clock.now()
         messages = self.wire.feed(data)
         if messages or not begun:
-            self._waits()
+            self._restart_wait()
         for message in messages:
             if self.phase is Phase.HALF_CLOSED:
                 return
-            self._uses(message)
-            if isinstance(message, clientwire.Gone):
-                self._gone(message.stream)
-            elif isinstance(message, clientwire.ReadyAsked):
-                link.write(clientwire.ready(message.stream, self.director.leave_at is None))
-            elif isinstance(message, (clientwire.Came, clientwire.Unreadable)):
-                if not message.stream or message.stream in self.open:
-                    self._refuse(f"stream {message.stream} can't take a req")
-                elif len(self.open) >= STREAMS:
-                    self._refuse(f"more than {STREAMS} open reqs")
+            self._record_usage(message)
+            if isinstance(message, client_wire.RequestCancelled):
+                self._cancel_request(message.stream)
+            elif isinstance(message, client_wire.ReadinessQuery):
+                link.write(client_wire.ready(message.stream, self.director.shutdown_deadline is None))
+            elif isinstance(message, (client_wire.RequestFrame, client_wire.MalformedRequest)):
+                if not message.stream or message.stream in self.open_requests:
+                    self._close_for_violation(f"stream {message.stream} can't take a req")
+                elif len(self.open_requests) >= STREAMS:
+                    self._close_for_violation(f"more than {STREAMS} open reqs")
                 else:
-                    self.director.take(self, message)
+                    self.director.admit(self, message)
             else:
-                self._refuse(message.text)
+                self._close_for_violation(message.text)
 
-    def _uses(self, message: clientwire.Message) -> None:
-        if isinstance(message, clientwire.Came):
-            self.use = Use.REQUESTS
-        elif self.use is Use.NONE:
-            self.use = Use.ASKED
+    def _record_usage(self, message: client_wire.Message) -> None:
+        if isinstance(message, client_wire.RequestFrame):
+            self.usage = Usage.REQUESTS
+        elif self.usage is Usage.NONE:
+            self.usage = Usage.READINESS_ONLY
 
-    def _gone(self, stream: int) -> None:
-        req = self.open.pop(stream, None)
+    def _cancel_request(self, stream: int) -> None:
+        req = self.open_requests.pop(stream, None)
         if req is not None:
-            self.director.left(req)
-        for frame in [each for each in self.link.pending if each.mark == stream]:
-            self.link.drop(frame)  # an answer that waits to be written
+            self.director.on_client_left(req)
+        for frame in [each for each in self.connection.pending_frames if each.tag == stream]:
+            self.connection.withdraw(frame)  # an answer that waits to be written
 
-    def answer(self, req: OpenRequest, code: int, fields: dict[str, str], body: bytes) -> None:
+    def send_answer(self, req: OpenRequest, code: int, fields: dict[str, str], body: bytes) -> None:
         """The final answer of a request."""
-        self.open.pop(req.stream, None)
-        self._waits()
-        self.link.write(clientwire.answer(req.stream, code, fields, body), req.stream, req.wanted_until)
+        self.open_requests.pop(req.stream, None)
+        self._restart_wait()
+        self.connection.write(
+            client_wire.answer(req.stream, code, fields, body), req.stream, req.answer_expires_at
+        )
 
     # The end
 
-    def announce(self, cause: CloseCause, notice: int | None) -> None:
+    def announce_close(self, cause: CloseCause, notice: int | None) -> None:
         """Tells the client to bring no new request. Once it has been quiet for `notice` our side ends; None:
         not before it is told another time.
         """
         if self.phase is Phase.HALF_CLOSED:
             return
         if self.phase is Phase.OPEN:
-            self.phase, self.cause = Phase.ANNOUNCED, cause
-            self.link.write(clientwire.no_more())
+            self.phase, self.close_cause = Phase.ANNOUNCED, cause
+            self.connection.write(client_wire.no_more())
             self._record(EventKind.CLIENT_ANNOUNCED)
         if notice is None:
-            self.ends_at, self.notice = None, 0
-        elif self.ends_at is None:
-            self.cause = cause
-            self.ends_at, self.notice = self.director.clock.now() + notice, notice
+            self.close_not_before, self.quiet_period = None, 0
+        elif self.close_not_before is None:
+            self.close_cause = cause
+            self.close_not_before, self.quiet_period = self.director.clock.now() + notice, notice
 
     def half_close(self) -> None:
         """Ends our side, after all that is queued. Guards a request that comes in that moment: its client
@@ -161,107 +165,115 @@
         """
         if self.phase is Phase.HALF_CLOSED:
             return
-        linger = HURRIED_LINGER if self.director.driver.is_crowded() else LINGER
-        self.phase, self.ends_at = Phase.HALF_CLOSED, self.director.clock.now() + linger
+        linger = HURRIED_LINGER if self.director.manager.is_nearly_full() else LINGER
+        self.phase, self.close_not_before = Phase.HALF_CLOSED, self.director.clock.now() + linger
         self._record(EventKind.CLIENT_HALF_CLOSED)
-        self.link.finish()
+        self.connection.finish()
 
-    def _refuse(self, text: str) -> None:
+    def _close_for_violation(self, text: str) -> None:
         """Tells the client what is wrong, and ends the connection: what is open on it is aborted, since
         whoever breaks the protocol on a connection can't be trusted with the rest of it. Guards the nodes
         against crowds of requests: what came with the breach has not been written to them yet.
         """
-        self.director.complain("breaches", f"a client's connection is ended: {text}")
-        self.cause = CloseCause.BREACH
+        self.director.warn("breaches", f"a client's connection is ended: {text}")
+        self.close_cause = CloseCause.PROTOCOL_VIOLATION
         self.half_close()  # first: nothing that its requests cause is to come before this
-        for req in list(self.open.values()):
-            self.director.abort(req)
-        self.link.write(clientwire.error(text))  # our side ends after all that is queued when it is written
+        for req in list(self.open_requests.values()):
+            self.director.fail(req)
+        self.connection.write(
+            client_wire.error(text)
+        )  # our side ends after all that is queued when it is written
 
-    def _waits(self) -> None:
+    def _restart_wait(self) -> None:
         """Waiting begins anew."""
-        self.since = self.director.clock.now()
+        self.waiting_since = self.director.clock.now()
         if self in self.director.clients:
             del self.director.clients[self]
             self.director.clients[self] = None
 
     def is_quiet(self) -> bool:
         """True when nothing is open, nothing waits to be written, and nothing has come of another request."""
-        link = self.link
-        busy = self.open or self.wire.held or link.pending or link.outward.held
+        link = self.connection
+        busy = self.open_requests or self.wire.buffered or link.pending_frames or link.outbound.used
         return not (busy or link.has_unread())
 
     def is_idle(self) -> bool:
         """True when it may be chosen to end: nothing has begun to end it, or only the end of the program."""
-        waits = self.phase is Phase.ANNOUNCED and self.ends_at is None
+        waits = self.phase is Phase.ANNOUNCED and self.close_not_before is None
         return (self.phase is Phase.OPEN or waits) and self.is_quiet()
 
-    def look(self, now: int) -> None:
+    def check_timeouts(self, now: int) -> None:
         """Takes the next step of the end if its time has come."""
         if self.phase is Phase.HALF_CLOSED:
-            if self.ends_at is not None and now > self.ends_at:
-                self.link.end(Ending.CLOSED)
-        elif self.wire.held:
-            if now > self.since + FRAME_TIME:
-                self.end_stalled(now, 0)
+            if self.close_not_before is not None and now > self.close_not_before:
+                self.connection.close(AttemptEnd.CLOSED)
+        elif self.wire.buffered:
+            if now > self.waiting_since + FRAME_TIME:
+                self.close_if_stalled(now, 0)
             else:
-                self.end_stalled(now, STALLED)
+                self.close_if_stalled(now, STALLED)
         elif self.phase is Phase.ANNOUNCED:
-            if self.ends_at is not None and now >= max(self.ends_at, self.since + self.notice):
-                self._end_if_quiet()
-        elif now > self.since + (STALLED if self.use is Use.NONE else IDLE) and self.is_idle():
-            if self.use is Use.NONE:
-                self.announce(CloseCause.SILENT, SILENT_NOTICE)
+            if self.close_not_before is not None and now >= max(
+                self.close_not_before, self.waiting_since + self.quiet_period
+            ):
+                self._close_if_quiet()
+        elif now > self.waiting_since + (STALLED if self.usage is Usage.NONE else IDLE) and self.is_idle():
+            if self.usage is Usage.NONE:
+                self.announce_close(CloseCause.NEVER_USED, SILENT_NOTICE)
             else:
-                self.announce(CloseCause.IDLE, NOTICE)
+                self.announce_close(CloseCause.IDLE, NOTICE)
 
-    def _end_if_quiet(self) -> None:
+    def _close_if_quiet(self) -> None:
         if not self.is_quiet():
             return
-        if self.cause is CloseCause.ROOM and self.use is not Use.REQUESTS:
-            self.link.end(Ending.CLOSED)  # its descriptor is wanted now
+        if self.close_cause is CloseCause.CAPACITY and self.usage is not Usage.REQUESTS:
+            self.connection.close(AttemptEnd.CLOSED)  # its descriptor is wanted now
         else:
             self.half_close()
 
-    def end_stalled(self, now: int, limit: int) -> bool:
+    def close_if_stalled(self, now: int, limit: int) -> bool:
         """Refuses a frame that was begun and of which nothing more has come for so long; False if there is
         none, or if it is we who are late.
         """
-        stalled = self.phase is not Phase.HALF_CLOSED and self.wire.held and now > self.heard_at + limit
-        if not stalled or self.link.has_unread():
+        stalled = (
+            self.phase is not Phase.HALF_CLOSED and self.wire.buffered and now > self.last_received_at + limit
+        )
+        if not stalled or self.connection.has_unread():
             return False
-        self._refuse("a frame that does not end")
+        self._close_for_violation("a frame that does not end")
         return True
 
-    def make_room(self, pressing: bool) -> None:
+    def close_for_capacity(self, pressing: bool) -> None:
         """Ends it as soon as may be, for others. One that never asked ends without notice, and is closed
         whole where no descriptor is left: crowds of them come faster than anything else lets them go. One
         that has brought requests may bring more, and has its full notice.
         """
-        if pressing and self.use is Use.NONE:
-            self.cause = CloseCause.ROOM
-            return self.link.end(Ending.CLOSED)
-        if self.use is Use.REQUESTS:
-            self.announce(CloseCause.ROOM, NOTICE)
+        if pressing and self.usage is Usage.NONE:
+            self.close_cause = CloseCause.CAPACITY
+            return self.connection.close(AttemptEnd.CLOSED)
+        if self.usage is Usage.REQUESTS:
+            self.announce_close(CloseCause.CAPACITY, NOTICE)
         else:
-            self.announce(CloseCause.ROOM, PRESSING_NOTICE if pressing else HURRIED_NOTICE)
-        if self.use is Use.NONE:
+            self.announce_close(CloseCause.CAPACITY, PRESSING_NOTICE if pressing else HURRIED_NOTICE)
+        if self.usage is Usage.NONE:
             self.half_close()
 
-    def ended(self, link: Link, ending: Ending) -> None:
+    def on_closed(self, link: Connection, ending: AttemptEnd) -> None:
         """The connection is over."""
         self.director.clients.pop(self, None)
         self._record(EventKind.CLIENT_CLOSED, ending.name)
-        if link.dropped:
-            self._record(EventKind.REQUEST_UNREAD, f"{link.dropped} bytes")
-        for req in list(self.open.values()):
-            self.director.events.record(EventKind.REQUEST_UNANSWERED, req.id, ending.name, self._name())
-            self.director.left(req)
-        self.open.clear()
+        if link.discarded_bytes:
+            self._record(EventKind.REQUEST_UNREAD, f"{link.discarded_bytes} bytes")
+        for req in list(self.open_requests.values()):
+            self.director.event_log.record(
+                EventKind.REQUEST_UNANSWERED, req.request_id, ending.name, self._name()
+            )
+            self.director.on_client_left(req)
+        self.open_requests.clear()
 
     def _name(self) -> str:
         return f"client {self.number}"
 
     def _record(self, kind: EventKind, detail: str = "") -> None:
-        cause = self.cause.value if self.cause is not None else "peer"
-        self.director.events.record(kind, self._name(), cause, detail)
+        cause = self.close_cause.value if self.close_cause is not None else "peer"
+        self.director.event_log.record(kind, self._name(), cause, detail)
--- a/ironhinge/net/clientwire.py
+++ b/ironhinge/net/client_wire.py
@@ -22,42 +22,42 @@
 TAG = re.compile("[0-9A-Za-z]{1,64}")
 
 
-class Came(NamedTuple):
+class RequestFrame(NamedTuple):
     stream: int
     fields: dict[str, str]
     body: bytes
 
 
-class Unreadable(NamedTuple):
+class MalformedRequest(NamedTuple):
     """A req whose fields can't be read; the framing holds."""
 
     stream: int
     text: str
 
 
-class Gone(NamedTuple):
+class RequestCancelled(NamedTuple):
     """Nobody waits for this stream any more."""
 
     stream: int
 
 
-class ReadyAsked(NamedTuple):
+class ReadinessQuery(NamedTuple):
     stream: int
 
 
-class Unknown(NamedTuple):
+class UnknownFrame(NamedTuple):
     """A frame of a type that clients don't send."""
 
     text: str
 
 
-class Lost(NamedTuple):
+class FramingLost(NamedTuple):
     """The framing is lost; nothing after it can be read."""
 
     text: str
 
 
-Message = Union[Came, Unreadable, Gone, ReadyAsked, Unknown, Lost]
+Message = Union[RequestFrame, MalformedRequest, RequestCancelled, ReadinessQuery, UnknownFrame, FramingLost]
 
 
 def read_fields(data: bytes) -> tuple[dict[str, str], int]:
@@ -117,36 +117,36 @@
 class ClientWire:
     """Fed the bytes of one connection in any pieces."""
 
-    __slots__ = ("held", "lost", "need")
+    __slots__ = ("buffered", "is_out_of_sync", "bytes_needed")
 
     def __init__(self) -> None:
-        self.held = bytearray()
-        self.need = 4  # bytes to hold before the next step
-        self.lost = False
+        self.buffered = bytearray()
+        self.bytes_needed = 4  # bytes to hold before the next step
+        self.is_out_of_sync = False
 
     def feed(self, data: memoryview) -> list[Message]:
         out: list[Message] = []
-        if self.lost:
+        if self.is_out_of_sync:
             return out
-        self.held += data
+        self.buffered += data
         at = 0
-        while len(self.held) - at >= self.need:
-            length = int.from_bytes(self.held[at : at + 4], "big")
+        while len(self.buffered) - at >= self.bytes_needed:
+            length = int.from_bytes(self.buffered[at : at + 4], "big")
             if not LEAST <= length <= MOST:
-                self.lost = True
-                self.held = bytearray()
-                out.append(Lost(f"a frame's length of {length} is out of bounds"))
+                self.is_out_of_sync = True
+                self.buffered = bytearray()
+                out.append(FramingLost(f"a frame's length of {length} is out of bounds"))
                 return out
-            if len(self.held) - at < 4 + length:
-                self.need = 4 + length
+            if len(self.buffered) - at < 4 + length:
+                self.bytes_needed = 4 + length
                 break
-            self.need = 4
-            out.append(self._message(bytes(self.held[at + 4 : at + 4 + length])))
+            self.bytes_needed = 4
+            out.append(self._message(bytes(self.buffered[at + 4 : at + 4 + length])))
             at += 4 + length
-        if at == len(self.held):
-            self.held = bytearray()  # gives back what a crowd or a long frame took
+        if at == len(self.buffered):
+            self.buffered = bytearray()  # gives back what a crowd or a long frame took
         elif at:
-            del self.held[:at]
+            del self.buffered[:at]
         return out
 
     def _message(self, data: bytes) -> Message:
@@ -155,13 +155,13 @@
             try:
                 fields, end = read_fields(data[5:])
             except ValueError as fault:
-                return Unreadable(stream, str(fault))
-            return Came(stream, fields, data[5 + end :])
+                return MalformedRequest(stream, str(fault))
+            return RequestFrame(stream, fields, data[5 + end :])
         if kind == LEAVE:
-            return Gone(stream)
+            return RequestCancelled(stream)
         if kind == ASK_READY:
-            return ReadyAsked(stream)
-        return Unknown(f"type {kind} is not one that clients send")
+            return ReadinessQuery(stream)
+        return UnknownFrame(f"type {kind} is not one that clients send")
 
 
 def text_of(fields: dict[str, str], name: str) -> str:
--- a/ironhinge/net/clock.py
+++ b/ironhinge/net/clock.py
@@ -36,7 +36,7 @@
         self._monotonic_ns, self._wall_ns = monotonic_ns, wall_ns
         self._offset = self._difference()  # Unix time less monotonic time
         self._step = 0  # by how much the wall clock is off, as last logged
-        self._looked_at = self.now()
+        self._checked_at = self.now()
 
     def now(self) -> int:
         """Monotonic time."""
@@ -66,11 +66,11 @@
         """The monotonic instant of a Unix millisecond, rounded up."""
         return self.now() - self.unix_age(unix_ms) + 1
 
-    def look(self) -> None:
+    def check_wall_clock(self) -> None:
         """Compares the wall clock with real time: follows a slew, and logs a step."""
         now = self.now()
-        most = int((now - self._looked_at) * FASTEST_SLEW) + 1
-        self._looked_at = now
+        most = int((now - self._checked_at) * FASTEST_SLEW) + 1
+        self._checked_at = now
         off = self._difference() - self._offset
         if abs(off) < STEP:
             self._offset += max(-most, min(most, off))
@@ -91,7 +91,7 @@
             return since
         return age
 
-    def start_of(self, unix_ms: int, caught_up_at: int) -> int:
+    def start_instant(self, unix_ms: int, caught_up_at: int) -> int:
         """The monotonic instant at which a process started that was just told to have started at a Unix
         millisecond: no earlier than it can have been told. Rounded up.
         """
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -12,11 +12,11 @@
 from loguru import logger
 
 from .. import interface
-from ..facts import Assignment, Listing, ListNews, PurgeNews
+from ..config import DirectorConfig, EndpointListUpdate, EndpointRecord, PurgeUpdate
+from .attempt_end import AttemptEnd
 from .clock import SECOND
-from .ending import Ending
-from .parties import Dispatch, FeedLink, Node
 from .system_calls import spread
+from .upstream import Attempt, DiscoveryConnection, Upstream
 
 if TYPE_CHECKING:
     from .director import Director
@@ -25,7 +25,7 @@
 FEED_LOOK = SECOND // 4  # how often that is looked at
 FEED_AGAIN, FEED_AGAIN_MOST = 0.05, 0.4  # seconds before the coordinator is called again; its news count as
 # told 2 s after a break
-FOLLOWED = "seed", "known", "known_number", "coordinator"  # what each configuration may say anew
+FOLLOWED = "seed", "known", "known_index", "discovery_address"  # what each configuration may say anew
 WRITES_EACH = 1000  # milliseconds: the coordinator writes in order, and each second at least
 
 
@@ -34,102 +34,102 @@
 
     def __init__(self, director: Director):
         self.director = director
-        self.number = 0  # of the last event
-        self.feed: FeedLink | None = None
+        self.last_index = 0  # of the last event
+        self.connection: DiscoveryConnection | None = None
         self.caught_up_at = director.clock.now()  # all that there was to tell by then is known
 
-    def learn(self, news: Any) -> None:
+    def apply(self, news: Any) -> None:
         """An event of the coordinator; those that are known already are passed over."""
         director = self.director
-        if director.shelf is not None:
-            director.shelf.hears(director.clock.unix_ms() - WRITES_EACH)
-        if isinstance(news, PurgeNews) and news.number > self.number:
-            self.number = news.number
-            self._learn_purge(news)
-        elif isinstance(news, ListNews) and news.number > self.number:
-            self.number = news.number
-            listed = interface.EndpointsUpdated(news.whole, self._learn_nodes(news))
-            if director.books is not None:
-                director.books.listed(director.clock.now(), listed)
-            director.happen(listed)
-            director.take_back(Dispatch.is_outdated)
-
-    def _learn_purge(self, news: PurgeNews) -> None:
+        if director.local_store is not None:
+            director.local_store.hears(director.clock.unix_ms() - WRITES_EACH)
+        if isinstance(news, PurgeUpdate) and news.event_index > self.last_index:
+            self.last_index = news.event_index
+            self._apply_purge(news)
+        elif isinstance(news, EndpointListUpdate) and news.event_index > self.last_index:
+            self.last_index = news.event_index
+            listed = interface.EndpointsUpdated(news.is_full, self._apply_endpoints(news))
+            if director.traffic_account is not None:
+                director.traffic_account.listed(director.clock.now(), listed)
+            director.report(listed)
+            director.withdraw_unsent(Attempt.is_outdated)
+
+    def _apply_purge(self, news: PurgeUpdate) -> None:
         director = self.director
-        if director.shelf is not None:
-            director.shelf.purge(news.obj, news.group, news.unix_ms)
+        if director.local_store is not None:
+            director.local_store.purge(news.object_id, news.group, news.unix_ms)
         age = director.clock.age_of_event(news.unix_ms, self.caught_up_at)
-        director.happen(interface.PurgeNotified(news.obj, news.group, age))
-        if news.obj is None:
-            director.take_back(lambda out: out.req.came.group == news.group)
+        director.report(interface.PurgeNotified(news.object_id, news.group, age))
+        if news.object_id is None:
+            director.withdraw_unsent(lambda out: out.request.received.group == news.group)
         else:
-            director.take_back(lambda out: out.req.came.object_id == news.obj)
+            director.withdraw_unsent(lambda out: out.request.received.object_id == news.object_id)
 
-    def _learn_nodes(self, news: ListNews) -> tuple[interface.Endpoint, ...]:
-        nodes = self.director.nodes
-        rows = tuple(self._learn_node(listing) for listing in news.listings)
+    def _apply_endpoints(self, news: EndpointListUpdate) -> tuple[interface.Endpoint, ...]:
+        nodes = self.director.upstreams
+        rows = tuple(self._apply_endpoint(listing) for listing in news.records)
         here = {row.id for row in rows}
         for node in nodes.values():
-            if news.whole and node.id not in here:
+            if news.is_full and node.id not in here:
                 node.state = "gone"
             if node.state == "gone":
                 node.retire()
         return rows
 
-    def _learn_node(self, listing: Listing) -> interface.Endpoint:
+    def _apply_endpoint(self, listing: EndpointRecord) -> interface.Endpoint:
         row, address, started_unix = listing
-        nodes = self.director.nodes
+        nodes = self.director.upstreams
         node = nodes.get(row.id)
         if node is None:
-            node = nodes[row.id] = Node(row.id, address)
-        elif node.address != address or started_unix > node.started_unix:
+            node = nodes[row.id] = Upstream(row.id, address)
+        elif node.address != address or started_unix > node.started_unix_ms:
             node.retire()  # another process listens there now
         if row.state != node.state:
             logger.info("node {} is {}", row.id, row.state)
         node.address, node.state = address, row.state
-        if started_unix > node.started_unix:  # once: told again it must not look like another restart
-            node.started_unix = started_unix
-            node.started = self.director.clock.start_of(started_unix, self.caught_up_at)
-        return row._replace(started_at=node.started if started_unix else 0)
+        if started_unix > node.started_unix_ms:  # once: told again it must not look like another restart
+            node.started_unix_ms = started_unix
+            node.started_at = self.director.clock.start_instant(started_unix, self.caught_up_at)
+        return row._replace(started_at=node.started_at if started_unix else 0)
 
     async def follow(self) -> None:
         """Keeps a connection to the coordinator, wherever it is by now."""
         director, again = self.director, FEED_AGAIN
         while True:
-            at = director.told.coordinator
+            at = director.config.discovery_address
             if at is None:
                 await anyio.sleep(FEED_AGAIN_MOST)
                 continue
-            receiver = self.feed = FeedLink(director, self)
-            dial = director.clock.seconds(director.told.transport.dial)
-            receiver.link = director.driver.dial(receiver, at, dial, needed=True)
-            await self._until_over(receiver)
-            if director.told.coordinator == at:
+            receiver = self.connection = DiscoveryConnection(director, self)
+            dial = director.clock.seconds(director.config.transport.connect_timeout)
+            receiver.connection = director.manager.connect(receiver, at, dial, needed=True)
+            await self._wait_until_closed(receiver)
+            if director.config.discovery_address == at:
                 logger.warning("coordinator: connection over, calling again")
-                again = FEED_AGAIN if receiver.heard else min(FEED_AGAIN_MOST, 2 * again)
+                again = FEED_AGAIN if receiver.has_received else min(FEED_AGAIN_MOST, 2 * again)
                 await anyio.sleep(spread(again))
 
-    async def _until_over(self, receiver: FeedLink) -> None:
+    async def _wait_until_closed(self, receiver: DiscoveryConnection) -> None:
         """Until a connection is over, or was silent for too long."""
         clock = self.director.clock
-        while not receiver.over.is_set():
+        while not receiver.closed.is_set():
             with anyio.move_on_after(clock.seconds(FEED_LOOK)):
-                await receiver.over.wait()
-            if clock.now() > receiver.heard_at + FEED_SILENCE:
-                receiver.link.end(Ending.TIMED_OUT)
+                await receiver.closed.wait()
+            if clock.now() > receiver.last_received_at + FEED_SILENCE:
+                receiver.connection.close(AttemptEnd.TIMED_OUT)
 
-    def follow_anew(self, told: Assignment) -> None:
+    def apply_config(self, told: DirectorConfig) -> None:
         """What a new configuration changes while all else lives on: where the coordinator is. It is asked for
         what follows the last event that we have.
         """
         director = self.director
-        for name in Assignment._fields:
-            if name not in FOLLOWED and getattr(told, name) != getattr(director.told, name):
+        for name in DirectorConfig._fields:
+            if name not in FOLLOWED and getattr(told, name) != getattr(director.config, name):
                 logger.warning("SIGHUP: '{}' has changed, which takes a restart", name)
-        if told.coordinator == director.told.coordinator:
+        if told.discovery_address == director.config.discovery_address:
             return logger.info("SIGHUP: the coordinator is where it was")
-        if told.coordinator is not None:
-            logger.info("SIGHUP: the coordinator is at {}:{} from now on", *told.coordinator)
-        director.told = director.told._replace(coordinator=told.coordinator)
-        if self.feed is not None:
-            self.feed.link.end(Ending.CLOSED)
+        if told.discovery_address is not None:
+            logger.info("SIGHUP: the coordinator is at {}:{} from now on", *told.discovery_address)
+        director.config = director.config._replace(discovery_address=told.discovery_address)
+        if self.connection is not None:
+            self.connection.connection.close(AttemptEnd.CLOSED)
--- a/ironhinge/net/feed.py
+++ b/ironhinge/net/discovery_wire.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from .. import interface
-from ..facts import Address, Listing, ListNews, PurgeNews
+from ..config import Address, EndpointListUpdate, EndpointRecord, PurgeUpdate
 from ..interface import EndpointState
 
 RECORD = struct.Struct(">I4sHBBBHIQ")
@@ -19,11 +19,11 @@
 NOTHING, WHOLE, CHANGES, OBJECT, GROUP = range(5)
 
 
-class Unparsable(Exception):
+class UnparsableError(Exception):
     """The bytes are no frame of the coordinator's."""
 
 
-class Alive(NamedTuple):
+class Keepalive(NamedTuple):
     """Nothing new, but the coordinator lives."""
 
 
@@ -32,52 +32,52 @@
     return number.to_bytes(8, "big")
 
 
-def _listing(values: tuple[Any, ...]) -> Listing:
+def _listing(values: tuple[Any, ...]) -> EndpointRecord:
     name, host, port, state, zone, kind, cell, weight, started = values
     if state >= len(STATES):
-        raise Unparsable(f"a record with state {state}")
+        raise UnparsableError(f"a record with state {state}")
     row = interface.Endpoint(f"s-{name:08x}", STATES[state], cell, zone, 0, weight / 1000, kind)
-    return Listing(row, Address(".".join(map(str, host)), port), started)
+    return EndpointRecord(row, Address(".".join(map(str, host)), port), started)
 
 
 def _news(data: bytes) -> Any:
     number, kind, rest = int.from_bytes(data[:8], "big"), data[8], data[HEAD:]
     if kind == NOTHING:
-        return Alive()
+        return Keepalive()
     if kind in (WHOLE, CHANGES):
         if len(rest) % RECORD.size:
-            raise Unparsable(f"records of {len(rest)} bytes")
-        return ListNews(number, kind == WHOLE, tuple(map(_listing, RECORD.iter_unpack(rest))))
+            raise UnparsableError(f"records of {len(rest)} bytes")
+        return EndpointListUpdate(number, kind == WHOLE, tuple(map(_listing, RECORD.iter_unpack(rest))))
     width = {OBJECT: 8, GROUP: 2}.get(kind)
     if width is None or len(rest) != width + 8:
-        raise Unparsable(f"a frame of kind {kind} and {len(rest)} bytes")
+        raise UnparsableError(f"a frame of kind {kind} and {len(rest)} bytes")
     what, at = int.from_bytes(rest[:width], "big"), int.from_bytes(rest[width:], "big")
-    return PurgeNews(number, what, 0, at) if kind == OBJECT else PurgeNews(number, None, what, at)
+    return PurgeUpdate(number, what, 0, at) if kind == OBJECT else PurgeUpdate(number, None, what, at)
 
 
-class FeedWire:
+class DiscoveryWire:
     """Fed the bytes of one connection in any pieces."""
 
-    __slots__ = ("held",)
+    __slots__ = ("_buffered",)
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self._buffered = bytearray()
 
-    def feed(self, data: memoryview) -> tuple[list[Any], Unparsable | None]:
+    def feed(self, data: memoryview) -> tuple[list[Any], UnparsableError | None]:
         """The news that are whole now, and what made the rest unreadable, if anything did."""
         out: list[Any] = []
-        self.held += data
+        self._buffered += data
         at, fault = 0, None
         try:
-            while len(self.held) - at >= 4:
-                length = int.from_bytes(self.held[at : at + 4], "big")
+            while len(self._buffered) - at >= 4:
+                length = int.from_bytes(self._buffered[at : at + 4], "big")
                 if not HEAD <= length <= MOST:
-                    raise Unparsable(f"a frame of {length} bytes")
-                if len(self.held) - at < 4 + length:
+                    raise UnparsableError(f"a frame of {length} bytes")
+                if len(self._buffered) - at < 4 + length:
                     break
-                out.append(_news(bytes(self.held[at + 4 : at + 4 + length])))
+                out.append(_news(bytes(self._buffered[at + 4 : at + 4 + length])))
                 at += 4 + length
-        except Unparsable as found:
+        except UnparsableError as found:
             fault = found
-        del self.held[:at]
+        del self._buffered[:at]
         return out, fault
--- a/ironhinge/net/event_log.py
+++ b/ironhinge/net/event_log.py
@@ -63,7 +63,7 @@
         """What is kept, oldest first."""
         return tuple(self._events)
 
-    def allow_again(self) -> None:
+    def reset_dump_allowance(self) -> None:
         """A minute is over: a fault may be dumped again."""
         self._dumps_left = MOST_DUMPS
 
--- a/ironhinge/net/ring.py
+++ b/ironhinge/net/ring_buffer.py
@@ -6,52 +6,52 @@
 from __future__ import annotations
 
 
-class Ring:
-    __slots__ = ("held", "size", "start", "view")
+class RingBuffer:
+    __slots__ = ("used", "size", "_start", "_view")
 
     def __init__(self, size: int):
-        self.view = memoryview(bytearray(size))
-        self.size, self.start, self.held = size, 0, 0
+        self._view = memoryview(bytearray(size))
+        self.size, self._start, self.used = size, 0, 0
 
-    def room(self) -> memoryview:
+    def writable(self) -> memoryview:
         """The longest run of free room behind what is held; empty when full."""
-        end = self.start + self.held
+        end = self._start + self.used
         if end < self.size:
-            return self.view[end:]
-        return self.view[end - self.size : self.start]
+            return self._view[end:]
+        return self._view[end - self.size : self._start]
 
-    def filled(self, count: int) -> None:
+    def commit_write(self, count: int) -> None:
         """`count` bytes were written into the room."""
-        if not 0 <= count <= self.size - self.held:
+        if not 0 <= count <= self.size - self.used:
             raise ValueError("more than the room")
-        self.held += count
+        self.used += count
 
-    def data(self) -> memoryview:
+    def readable(self) -> memoryview:
         """The longest run of held bytes, oldest first."""
-        return self.view[self.start : min(self.start + self.held, self.size)]
+        return self._view[self._start : min(self._start + self.used, self.size)]
 
-    def taken(self, count: int) -> None:
+    def consume(self, count: int) -> None:
         """`count` bytes of the data were used."""
-        if not 0 <= count <= self.held:
+        if not 0 <= count <= self.used:
             raise ValueError("more than is held")
-        self.held -= count
-        self.start = (self.start + count) % self.size if self.held else 0
+        self.used -= count
+        self._start = (self._start + count) % self.size if self.used else 0
 
-    def untake(self, count: int) -> None:
+    def unwrite(self, count: int) -> None:
         """The last `count` bytes that were put are taken back."""
-        if not 0 <= count <= self.held:
+        if not 0 <= count <= self.used:
             raise ValueError("more than is held")
-        self.held -= count
+        self.used -= count
 
-    def put(self, data: memoryview) -> int:
+    def write(self, data: memoryview) -> int:
         """Copies as much as there is room for; returns how much."""
         done = 0
         while done < len(data):
-            room = self.room()
+            room = self.writable()
             count = min(len(room), len(data) - done)
             if not count:
                 break
             room[:count] = data[done : done + count]
-            self.held += count
+            self.used += count
             done += count
         return done
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -16,14 +16,14 @@
 from anyio.abc import TaskGroup
 from loguru import logger
 
-from ..facts import Address, Assignment
-from .client_connection import Client
+from ..config import Address, DirectorConfig
+from .client_connection import ClientConnection
 from .clock import MILLISECOND, SECOND, Clock
+from .connection_manager import ConnectionManager
 from .director import Director
-from .driver import Driver
-from .poll import Poll
-from .sockets import datagrams, listen
+from .socket_calls import datagrams, listen
 from .system_calls import Call, Remedy, remedy_for
+from .timed_selector import TimedSelector
 
 STILL_COMING = 0.7  # seconds after SIGTERM in which connections still come: 0.4 says the platform
 LOOK = 0.02  # seconds between looks for clients that have all their answers
@@ -60,8 +60,8 @@
 
 
 def run(
-    told: Assignment,
-    read_again: Callable[[], Assignment],
+    told: DirectorConfig,
+    read_again: Callable[[], DirectorConfig],
     books: Any = None,
     shelf: Any = None,
     runner: Any = None,
@@ -70,15 +70,15 @@
     """Serves until SIGTERM; at SIGHUP the configuration is read again, at SIGUSR1 the latest events of
     connections and requests go to the log.
     """
-    poll = Poll()
+    poll = TimedSelector()
     options = {"loop_factory": lambda: asyncio.SelectorEventLoop(poll)}
     anyio.run(_serve, told, read_again, poll, books, shelf, runner, clock or Clock(), backend_options=options)
 
 
 async def _serve(
-    told: Assignment,
-    read_again: Callable[[], Assignment],
-    poll: Poll,
+    told: DirectorConfig,
+    read_again: Callable[[], DirectorConfig],
+    poll: TimedSelector,
     books: Any,
     shelf: Any,
     runner: Any,
@@ -102,19 +102,19 @@
 async def _until_told_to_leave(
     signals: AsyncIterator[signal.Signals],
     director: Director,
-    read_again: Callable[[], Assignment],
+    read_again: Callable[[], DirectorConfig],
     books: Any,
 ) -> None:
     async for number in signals:
         if number == signal.SIGUSR1:
-            director.events.dump("SIGUSR1")
+            director.event_log.dump("SIGUSR1")
             continue
         if number != signal.SIGHUP:
             return
         if books is not None:
-            director.driver.tasks.start_soon(books.follow_files)
+            director.manager.task_group.start_soon(books.follow_files)
         try:
-            director.discovery.follow_anew(read_again())
+            director.discovery.apply_config(read_again())
         except Exception as fault:  # whatever a file holds, it must not end the program
             logger.error("SIGHUP: {}; the old configuration holds", fault)
 
@@ -123,7 +123,7 @@
     """It is ending already: a second SIGTERM or a SIGHUP changes nothing."""
     async for number in signals:
         if number == signal.SIGUSR1:
-            director.events.dump("SIGUSR1")
+            director.event_log.dump("SIGUSR1")
 
 
 async def _listen(address: Address) -> socket.socket:
@@ -141,23 +141,30 @@
 
 
 async def _start(
-    told: Assignment, poll: Poll, tasks: TaskGroup, books: Any, shelf: Any, clock: Clock
+    told: DirectorConfig, poll: TimedSelector, tasks: TaskGroup, books: Any, shelf: Any, clock: Clock
 ) -> tuple[Director, socket.socket]:
     """What is known goes to the module first; then clients may come."""
-    driver = Driver(tasks, told.limits, poll)
+    driver = ConnectionManager(tasks, told.limits, poll)
     director = Director(told, driver, books, shelf, clock)
     if books is not None:
-        books.tell = director.peers.tell_all
+        books.tell = director.gossip.broadcast
         tasks.start_soon(_keep, books.keep)
     if shelf is not None:
         tasks.start_soon(_keep, shelf.run)
-    if told.peer_listen is not None:
-        director.peers.sock = datagrams(told.peer_listen)
+    if told.gossip_listen is not None:
+        director.gossip.sock = datagrams(told.gossip_listen)
     director.start()
     listener = await _listen(told.listen)
-    for work in (director.keep_time, director.keep_watch, director.discovery.follow, director.peers.hear):
+    for work in (
+        director.run_timers,
+        director.run_maintenance,
+        director.discovery.follow,
+        director.gossip.receive_loop,
+    ):
         tasks.start_soon(_keep, work)
-    tasks.start_soon(_keep, driver.accept, listener, lambda: Client(director), director.make_room)
+    tasks.start_soon(
+        _keep, driver.accept, listener, lambda: ClientConnection(director), director.reclaim_descriptor
+    )
     gc.collect()
     gc.freeze()  # what lives for good is not looked at again
     gc.set_threshold(*COLLECT)
@@ -172,20 +179,22 @@
     after it should have been killed.
     """
     clock = director.clock
-    logger.info("leaving: {}", director.report())
+    logger.info("leaving: {}", director.summary())
     killed = min(director.router.longest_client_timeout, LONGEST) + KILLED
     began = clock.now()
-    director.leave(killed - WRITE_OUT)
+    director.begin_shutdown(killed - WRITE_OUT)
     await anyio.sleep(STILL_COMING)
     left = max(LAST_ACCEPTS, clock.seconds(began + killed - WRITE_OUT - clock.now()))
-    await director.driver.close_listener(listener, lambda: Client(director), director.make_room, left)
-    director.take_no_more()
-    director.end_silent_clients()
-    director.driver.flush()
+    await director.manager.close_listener(
+        listener, lambda: ClientConnection(director), director.reclaim_descriptor, left
+    )
+    director.stop_admitting()
+    director.close_unused_clients()
+    director.manager.flush()
     while director.clients and clock.now() < began + killed + NOT_KILLED:
         await anyio.sleep(LOOK)
-    director.end_all_clients()
+    director.close_all_clients()
     with anyio.move_on_after(clock.seconds(LAST)):
         while director.clients:
             await anyio.sleep(LOOK)
-    logger.info("left: {}", director.report())
+    logger.info("left: {}", director.summary())
--- a/ironhinge/net/sockets.py
+++ b/ironhinge/net/socket_calls.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from ..facts import Address
+from ..config import Address
 from .system_calls import SHORTEST_PAUSE, Call, Remedy, name_of, remedy_for
 
 BACKLOG = 1024  # connections that wait to be accepted
@@ -22,13 +22,13 @@
 ORDINARY = (Remedy.WAIT, Remedy.GONE)  # remedies of errors that calm days bring as well
 
 
-class Caller:
+class SocketCalls:
     """Makes system calls and classifies their errors."""
 
     def __init__(self, report: Report):
         self._report = report
 
-    def failed(self, call: Call, error: int | None) -> Remedy:
+    def classify_failure(self, call: Call, error: int | None) -> Remedy:
         """The remedy for an errno; tells the report of it."""
         remedy = remedy_for(call, error or 0)
         if remedy not in ORDINARY:
@@ -40,7 +40,7 @@
         try:
             return _new_socket(socket.SOCK_STREAM), Remedy.DONE
         except OSError as error:
-            return None, self.failed(Call.SOCKET, error.errno)
+            return None, self.classify_failure(Call.SOCKET, error.errno)
 
     def accept(self, listener: socket.socket) -> tuple[socket.socket | None, Remedy]:
         """The next connection that waits; or None and why not."""
@@ -48,7 +48,7 @@
             try:
                 return listener.accept()[0], Remedy.DONE
             except OSError as error:
-                remedy = self.failed(Call.ACCEPT, error.errno)
+                remedy = self.classify_failure(Call.ACCEPT, error.errno)
             if remedy is not Remedy.RETRY:
                 return None, remedy
         return None, Remedy.PAUSE
@@ -66,13 +66,13 @@
         try:
             return self._connect_error(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
         except OSError as error:
-            remedy = self.failed(Call.GET_OPTION, error.errno)
+            remedy = self.classify_failure(Call.GET_OPTION, error.errno)
             return Remedy.PAUSE if remedy is Remedy.RETRY else remedy
 
     def _connect_error(self, error: int) -> Remedy:
         remedy = remedy_for(Call.CONNECT, error)
         if remedy in (Remedy.PAUSE, Remedy.BUG):
-            self.failed(Call.CONNECT, error)
+            self.classify_failure(Call.CONNECT, error)
         return remedy
 
     def send(self, sock: socket.socket, data: memoryview) -> tuple[int, Remedy]:
@@ -81,7 +81,7 @@
             try:
                 return sock.send(data), Remedy.DONE
             except OSError as error:
-                remedy = self.failed(Call.SEND, error.errno)
+                remedy = self.classify_failure(Call.SEND, error.errno)
             if remedy is not Remedy.RETRY:
                 return 0, remedy
         return 0, Remedy.PAUSE
@@ -92,7 +92,7 @@
             try:
                 return sock.recv_into(room), Remedy.DONE
             except OSError as error:
-                remedy = self.failed(Call.RECEIVE, error.errno)
+                remedy = self.classify_failure(Call.RECEIVE, error.errno)
             if remedy is not Remedy.RETRY:
                 return 0, remedy
         return 0, Remedy.PAUSE
@@ -103,31 +103,31 @@
             try:
                 return bool(sock.recv(1, socket.MSG_PEEK)), Remedy.DONE
             except OSError as error:
-                remedy = self.failed(Call.RECEIVE, error.errno)
+                remedy = self.classify_failure(Call.RECEIVE, error.errno)
             if remedy is not Remedy.RETRY:
                 return False, remedy
         return False, Remedy.PAUSE
 
-    def send_without_delay(self, sock: socket.socket) -> bool:
+    def enable_no_delay(self, sock: socket.socket) -> bool:
         """Turns TCP_NODELAY on, so that the system holds back no small write; False: try again later."""
         for _ in range(AT_ONCE):
             try:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 return True
             except OSError as error:
-                remedy = self.failed(Call.SET_OPTION, error.errno)
+                remedy = self.classify_failure(Call.SET_OPTION, error.errno)
             if remedy is not Remedy.RETRY:
                 return remedy is not Remedy.PAUSE
         return False
 
-    def since_data(self, sock: socket.socket, unknown: float) -> float:
+    def seconds_since_data(self, sock: socket.socket, unknown: float) -> float:
         """Seconds since bytes last came on a connection, as tcp(7) tells them; `unknown` where it does
         not.
         """
         try:
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.stop)
         except OSError as error:
-            self.failed(Call.GET_OPTION, error.errno)
+            self.classify_failure(Call.GET_OPTION, error.errno)
             return unknown
         if len(info) < LAST_DATA_RECEIVED.stop:
             return unknown
@@ -140,7 +140,7 @@
                 sock.shutdown(how)
                 return Remedy.DONE
             except OSError as error:
-                remedy = self.failed(Call.SHUTDOWN, error.errno)
+                remedy = self.classify_failure(Call.SHUTDOWN, error.errno)
             if remedy is not Remedy.RETRY:
                 return remedy
         return Remedy.PAUSE
@@ -150,7 +150,7 @@
         try:
             sock.close()
         except OSError as error:
-            self.failed(Call.CLOSE, error.errno)
+            self.classify_failure(Call.CLOSE, error.errno)
 
     async def readable(self, sock: socket.socket) -> None:
         """Waits until a socket can be read, or for a pause where it can't be watched."""
@@ -167,7 +167,7 @@
             await self._pause_unwatched(error)
 
     async def _pause_unwatched(self, error: OSError) -> None:
-        if self.failed(Call.POLL, error.errno) is Remedy.BUG:
+        if self.classify_failure(Call.POLL, error.errno) is Remedy.BUG:
             raise error
         await anyio.sleep(SHORTEST_PAUSE)
 
@@ -177,7 +177,7 @@
             sock.sendto(data, address)
             return True
         except OSError as error:
-            self.failed(Call.SEND_DATAGRAM, error.errno)
+            self.classify_failure(Call.SEND_DATAGRAM, error.errno)
             return False
 
     def receive_datagram(self, sock: socket.socket, most: int) -> tuple[bytes, Address | None, Remedy]:
@@ -186,7 +186,7 @@
             data, sender = sock.recvfrom(most)
             return data, Address(*sender), Remedy.DONE
         except OSError as error:
-            return b"", None, self.failed(Call.RECEIVE_DATAGRAM, error.errno)
+            return b"", None, self.classify_failure(Call.RECEIVE_DATAGRAM, error.errno)
 
 
 def _new_socket(kind: socket.SocketKind) -> socket.socket:
--- a/ironhinge/settings/cli.py
+++ b/ironhinge/settings/cli.py
@@ -30,15 +30,15 @@
     try:
         found = load(files)
         if config is not None:
-            from ..facts import Malformed, assignment
+            from ..config import MalformedMessageError, read_director_config
 
             try:
                 with open(config, encoding="utf-8") as file:
-                    names = assignment(json.load(file)).names
-            except (ValueError, Malformed) as malformed:
+                    names = read_director_config(json.load(file)).names
+            except (ValueError, MalformedMessageError) as malformed:
                 click.echo(f"ironhinge: {config}: {malformed}", err=True)
                 sys.exit(2)
-            faults = against(found, names.zones, names.vhosts)
+            faults = against(found, names.zones, names.request_classes)
             if faults:
                 raise Wrong(faults)
         return found
--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from .. import interface
-from ..facts import REQUIRED, UNIT, Fields, Malformed
+from ..config import MICROSECONDS_PER_TICK, REQUIRED, Fields, MalformedMessageError
 from ..interface import AttemptResult, FillNote
 
 RESULTS = {
@@ -32,46 +32,48 @@
 
 def happening(event: Fields, lists: dict[int, tuple[interface.Endpoint, ...]]) -> interface.Event | None:
     """One event in the interface's words; None for an event that the interface does not know."""
-    name = event.message
+    name = event.context
     if name == "QUERY":
         return interface.RequestReceived(
             event.text("tid"),
-            event.whole("object"),
-            event.whole("range-no"),
-            event.whole("label-no"),
+            event.integer("object"),
+            event.integer("range-no"),
+            event.integer("label-no"),
             event.number("size-kb"),
-            event.down("budget", REQUIRED),
-            event.whole("cls"),
-            event.mark("again-by-client"),
-            event.mark("is-write"),
+            event.duration_floor("budget", REQUIRED),
+            event.integer("cls"),
+            event.boolean("again-by-client"),
+            event.boolean("is-write"),
         )
     if name == "REPORT_BACK":
         return interface.AttemptFinished(
             event.text("tid"),
-            event.whole("leg"),
+            event.integer("leg"),
             event.text("node"),
-            event.word("reason", RESULTS),
-            event.down("lag"),
-            event.mark("finished"),
-            _fill_note(event.whole("remark")),
-            event.down("ttfb"),
-            event.load(),
+            event.keyword("reason", RESULTS),
+            event.duration_floor("lag"),
+            event.boolean("finished"),
+            _fill_note(event.integer("remark")),
+            event.duration_floor("ttfb"),
+            event.load_report(),
         )
     if name == "MEMBERSHIP":
-        scope = event.word(
+        scope = event.keyword(
             "scope", {"update": "update", "replace": "whole", "restored": "whole", "unavailable": ""}
         )
         if not scope:
             return interface.DiscoveryFailed()
-        number = event.whole("list")
+        number = event.integer("list")
         if number not in lists:
-            raise Malformed(f"{name}: field 'list' names the list {number}, which has not come")
+            raise MalformedMessageError(f"{name}: field 'list' names the list {number}, which has not come")
         return interface.EndpointsUpdated(scope == "whole", lists[number])
     if name == "VANISHED":
         return interface.ClientDisconnected(event.text("tid"))
     if name == "INVALIDATED":
         return interface.PurgeNotified(
-            event.whole("object") if event.has("object") else None, event.whole("set-no"), event.down("age")
+            event.integer("object") if event.has("object") else None,
+            event.integer("set-no"),
+            event.duration_floor("age"),
         )
     if name == "ALARM":
         return interface.TimerFired(event.text("ref"))
@@ -79,15 +81,18 @@
         return interface.ResponseStarted(event.text("tid"))
     if name == "STATUS_BACK":
         return interface.HealthCheckFinished(
-            event.text("node"), event.word("reason", RESULTS), event.down("lag"), event.load()
+            event.text("node"),
+            event.keyword("reason", RESULTS),
+            event.duration_floor("lag"),
+            event.load_report(),
         )
     if name == "FROM_PEER":
         try:
             return interface.GossipReceived(
-                event.whole("who"), base64.b64decode(event.text("bytes", ""), validate=True)
+                event.integer("who"), base64.b64decode(event.text("bytes", ""), validate=True)
             )
         except binascii.Error:
-            raise Malformed(f"{name}: field 'bytes' is not base64") from None
+            raise MalformedMessageError(f"{name}: field 'bytes' is not base64") from None
     return None
 
 
@@ -96,7 +101,11 @@
     if isinstance(act, interface.SendAttempt):
         name, body = (
             "ISSUE",
-            {"tid": act.request_id, "node": act.endpoint_id, "try-until": act.deadline * UNIT},
+            {
+                "tid": act.request_id,
+                "node": act.endpoint_id,
+                "try-until": act.deadline * MICROSECONDS_PER_TICK,
+            },
         )
     elif isinstance(act, interface.SendAttemptWithFill):
         opts = act.may_join_fill * 1 + act.source_cached_only * 2 + act.revalidates * 8
@@ -104,22 +113,22 @@
             "ANSWER_FROM",
             {
                 "tid": act.request_id,
-                "try-until": act.deadline * UNIT,
+                "try-until": act.deadline * MICROSECONDS_PER_TICK,
                 "opts": opts,
                 "supplier": act.source_id,
                 "admit": act.admission_rank,
-                "age": act.max_copy_age * UNIT,
+                "age": act.max_copy_age * MICROSECONDS_PER_TICK,
                 "node": act.endpoint_id,
             },
         )
     elif isinstance(act, interface.RejectRequest):
-        name, body = "DECLINE", {"tid": act.request_id, "backoff": act.retry_after * UNIT}
+        name, body = "DECLINE", {"tid": act.request_id, "backoff": act.retry_after * MICROSECONDS_PER_TICK}
     elif isinstance(act, interface.FailRequest):
         name, body = "ERROR", {"tid": act.request_id}
     elif isinstance(act, interface.CancelAttempt):
         name, body = "CALL_OFF", {"tid": act.request_id, "leg": act.attempt_number}
     elif isinstance(act, interface.SetTimer):
-        name, body = "REMIND", {"offset": act.delay * UNIT, "ref": act.token}
+        name, body = "REMIND", {"offset": act.delay * MICROSECONDS_PER_TICK, "ref": act.token}
     elif isinstance(act, interface.SetWatch):
         name, body = "WATCH", {"active": act.enabled}
     elif isinstance(act, interface.RequestFullList):
--- a/ironhinge/wirehost/host.py
+++ b/ironhinge/wirehost/host.py
@@ -7,7 +7,14 @@
 from typing import Any, BinaryIO, TextIO
 
 from .. import interface
-from ..facts import REQUIRED, UNIT, Fields, Malformed, deployment, node_rows
+from ..config import (
+    MICROSECONDS_PER_TICK,
+    REQUIRED,
+    Fields,
+    MalformedMessageError,
+    read_deployment,
+    read_endpoints,
+)
 from ..routing import Router
 from . import codec
 
@@ -18,66 +25,68 @@
     def __init__(self, errors: TextIO):
         self.errors = errors
         self.routers: dict[int, Router] = {}
-        self.lists: dict[int, tuple[interface.Endpoint, ...]] = {}
+        self.endpoint_lists: dict[int, tuple[interface.Endpoint, ...]] = {}
 
-    def batch(self, line: bytes) -> dict[str, Any]:
+    def handle_batch(self, line: bytes) -> dict[str, Any]:
         try:
             whole = Fields("batch", json.loads(line))
         except ValueError as fault:
-            raise Malformed(f"batch: not JSON in UTF-8 ({fault})") from None
-        wall, number = whole.whole("wall", REQUIRED), whole.whole("seq", REQUIRED)
+            raise MalformedMessageError(f"batch: not JSON in UTF-8 ({fault})") from None
+        wall, number = whole.integer("wall", REQUIRED), whole.integer("seq", REQUIRED)
         outbox: list[dict[str, Any]] = []
-        for event in whole.rows("input"):
-            outbox.extend(self.event(wall // UNIT, event))
+        for event in whole.array("input"):
+            outbox.extend(self.handle_event(wall // MICROSECONDS_PER_TICK, event))
         return {"seq": number, "outbox": outbox}
 
-    def event(self, now: int, event: Any) -> list[dict[str, Any]]:
+    def handle_event(self, now: int, event: Any) -> list[dict[str, Any]]:
         if not isinstance(event, dict) or len(event) != 1:
-            raise Malformed("batch: an entry of field 'input' is not an object with one key")
+            raise MalformedMessageError("batch: an entry of field 'input' is not an object with one key")
         ((name, values),) = event.items()
         fields = Fields(name, values)
         if name == "MANIFEST":
-            self.lists[fields.whole("list")] = node_rows(fields)
+            self.endpoint_lists[fields.integer("list")] = read_endpoints(fields)
             return []
-        director = fields.whole("director", REQUIRED)
+        director = fields.integer("director", REQUIRED)
         try:
-            return codec.messages(director, self.hand_over(now, director, fields))
-        except Malformed as fault:
-            return [self.fatal(director, str(fault))]
+            return codec.messages(director, self.deliver(now, director, fields))
+        except MalformedMessageError as fault:
+            return [self.fatal_reply(director, str(fault))]
         except (
             Exception
         ) as fault:  # the instance is at fault: say so on the wire, and where on standard error
             text = f"{name}: the decision code failed: {type(fault).__name__}: {fault}"
-            reply = self.fatal(director, text)
+            reply = self.fatal_reply(director, text)
             self.errors.write(traceback.format_exc())
             return [reply]
 
-    def hand_over(self, now: int, director: int, fields: Fields) -> list[interface.Command]:
-        name = fields.message
+    def deliver(self, now: int, director: int, fields: Fields) -> list[interface.Command]:
+        name = fields.context
         if name == "SPAWN":
             router = self.routers[director] = Router(
-                deployment(fields.inner("settings")), fields.whole("seed")
+                read_deployment(fields.nested("settings")), fields.integer("seed")
             )
             return router.handle(now, interface.InstanceStarted())
         if name == "STOP":
             self.routers.pop(director, None)
             return []
-        happened = codec.happening(fields, self.lists)
+        happened = codec.happening(fields, self.endpoint_lists)
         if happened is None:
             self.errors.write(f"ironhinge: {name}: unknown event, passed over\n")
             return []
         if director not in self.routers:
-            raise Malformed(f"{name}: field 'director' names instance {director}, which has not started")
+            raise MalformedMessageError(
+                f"{name}: field 'director' names instance {director}, which has not started"
+            )
         router = self.routers[director]
         if type(happened) is interface.RequestReceived and happened.class_index >= len(
             router.deployment.request_classes
         ):
-            raise Malformed(
+            raise MalformedMessageError(
                 f"{name}: field 'cls' names class {happened.class_index}, which the settings lack"
             )
         return router.handle(now, happened)
 
-    def fatal(self, director: int, text: str) -> dict[str, Any]:
+    def fatal_reply(self, director: int, text: str) -> dict[str, Any]:
         self.errors.write(f"ironhinge: {text}\n")
         return {"FATAL": {"director": director, "msg": text}}
 
@@ -89,8 +98,8 @@
         if not line.strip():
             continue
         try:
-            reply = host.batch(line)
-        except Malformed as fault:
+            reply = host.handle_batch(line)
+        except MalformedMessageError as fault:
             errors.write(f"ironhinge: {fault}\n")
             return 2
         sink.write(json.dumps(reply, separators=(",", ":")).encode() + b"\n")
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -25,7 +25,7 @@
         end = self.elapsed + span
         while self.elapsed < end:
             self.elapsed = min(end, self.elapsed + look_every)
-            self.clock.look()
+            self.clock.check_wall_clock()
 
 
 @pytest.mark.parametrize("step", [7, -7, 3600, -3600, 0.4, -0.4])
@@ -68,7 +68,7 @@
 def test_a_node_that_is_told_to_have_started_now_is_not_taken_for_warm(wrong):
     time = Time(int(wrong * SECOND))
     time.pass_(20 * SECOND)
-    assert time.elapsed - time.clock.start_of(time.true_ms(), time.elapsed - SECOND) <= SECOND
+    assert time.elapsed - time.clock.start_instant(time.true_ms(), time.elapsed - SECOND) <= SECOND
 
 
 def test_what_was_told_late_keeps_its_age():
@@ -76,4 +76,4 @@
     time = Time()
     time.pass_(100 * SECOND)
     assert time.clock.age_of_event(time.true_ms() - 90_000, 5 * SECOND) >= 90 * SECOND - 10
-    assert time.elapsed - time.clock.start_of(time.true_ms() - 90_000, 5 * SECOND) >= 90 * SECOND - 10
+    assert time.elapsed - time.clock.start_instant(time.true_ms() - 90_000, 5 * SECOND) >= 90 * SECOND - 10
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -9,16 +9,16 @@
 import pytest
 
 from ironhinge import interface
-from ironhinge.facts import assignment
-from ironhinge.net import clientwire
-from ironhinge.net.client_connection import Client, Phase, Use
+from ironhinge.config import read_director_config
+from ironhinge.net import client_wire
+from ironhinge.net.attempt_end import RESULTS, AttemptEnd
+from ironhinge.net.client_connection import ClientConnection, Phase, Usage
 from ironhinge.net.clock import Clock
+from ironhinge.net.connection import Connection
+from ironhinge.net.connection_manager import ConnectionManager
 from ironhinge.net.director import Director
-from ironhinge.net.driver import Driver
-from ironhinge.net.ending import RESULTS, Ending
-from ironhinge.net.links import Link
-from ironhinge.net.poll import Poll
-from ironhinge.net.sockets import datagrams
+from ironhinge.net.socket_calls import datagrams
+from ironhinge.net.timed_selector import TimedSelector
 from ironhinge.routing.router import Router
 
 from .helpers import PATIENCE, FakeNode, configuration, endpoint, resp
@@ -45,9 +45,9 @@
     """In a client's link's place: keeps what is written."""
 
     def __init__(self):
-        self.pending, self.frames, self.unread_since = [], [], None
+        self.pending_frames, self.frames, self.unread_since = [], [], None
 
-    def write(self, pieces, mark=0, until=None):
+    def write(self, pieces, tag=0, expires_at=None):
         self.frames.append(b"".join(pieces))
 
     def read_now(self): ...
@@ -58,25 +58,25 @@
 
 def came(stream, **fields):
     values = {"route": "film", "trace": TRACE, "patience": "9000", "entity": "7f3a9c21e0b4d655", **fields}
-    return clientwire.Came(stream, values, b"")
+    return client_wire.RequestFrame(stream, values, b"")
 
 
 def play(script, scene, nodes=None, datagrams=None, **other):
     """Runs a scene with a director before two nodes; returns what the module was told."""
     one, two = nodes or (FakeNode(holds_all=True), FakeNode(holds_all=True))
     rows = [endpoint("s-00000001", one.address), endpoint("s-00000002", two.address)]
-    told = assignment(configuration(rows, **other))
+    told = read_director_config(configuration(rows, **other))
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            director = Director(told, Driver(tasks, told.limits, Poll()))
+            director = Director(told, ConnectionManager(tasks, told.limits, TimedSelector()))
             director.router = script(told.deployment, told.seed) if isinstance(script, type) else script
-            director.peers.sock = datagrams
+            director.gossip.sock = datagrams
             director.start()
-            for work in (director.keep_time, director.keep_watch, director.peers.hear):
+            for work in (director.run_timers, director.run_maintenance, director.gossip.receive_loop):
                 tasks.start_soon(work)
-            client = Client(director)
-            client.link = FakeWriter()
+            client = ClientConnection(director)
+            client.connection = FakeWriter()
 
             async def until(true):
                 with anyio.fail_after(PATIENCE):
@@ -110,11 +110,11 @@
     script = Scripted(RequestReceived=[lambda now: 1 / 0, ask()])
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        assert client.link.frames == [b"".join(clientwire.answer(1, 3, {}))] and not director.reqs
-        director.take(client, came(2))
-        director.driver.flush()
-        await until(lambda: len(client.link.frames) == 2)
+        director.admit(client, came(1))
+        assert client.connection.frames == [b"".join(client_wire.answer(1, 3, {}))] and not director.requests
+        director.admit(client, came(2))
+        director.manager.flush()
+        await until(lambda: len(client.connection.frames) == 2)
 
     play(script, scene)
 
@@ -130,12 +130,14 @@
     script = Scripted(RequestReceived=[twice])
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
+        director.admit(client, came(1))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
-        assert client.link.frames == [b"".join(clientwire.answer(1, 2, {"pause": "5"}))]
+        assert client.connection.frames == [b"".join(client_wire.answer(1, 2, {"pause": "5"}))]
         assert (
-            script.got(interface.AttemptFinished)[0].request_closed and not director.reqs and not client.open
+            script.got(interface.AttemptFinished)[0].request_closed
+            and not director.requests
+            and not client.open_requests
         )
 
     play(script, scene)
@@ -146,8 +148,8 @@
     script = Scripted(RequestReceived=[fetch("s-00000002")])
 
     async def scene(director, client, until):
-        director.take(client, came(1, part="3", have="4be0c1927d55a6f3", nonce="715d2556fdad052d"))
-        director.driver.flush()
+        director.admit(client, came(1, part="3", have="4be0c1927d55a6f3", nonce="715d2556fdad052d"))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
 
     play(script, scene, (node, FakeNode()))
@@ -175,8 +177,8 @@
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
-        director.take(client, came(1, route=route))
-        director.driver.flush()
+        director.admit(client, came(1, route=route))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
 
     play(script, scene, (node, node))
@@ -188,10 +190,10 @@
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
+        director.admit(client, came(1))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
-        assert list(director.reqs) == [TRACE]  # the module has not answered it yet
+        assert list(director.requests) == [TRACE]  # the module has not answered it yet
 
     play(script, scene, (node, node))
     (end,) = script.got(interface.AttemptFinished)
@@ -204,10 +206,10 @@
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
+        director.admit(client, came(1))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
-        assert not client.link.frames
+        assert not client.connection.frames
 
     play(script, scene, (node, node))
     assert script.got(interface.AttemptFinished)[0].result == "error"
@@ -219,9 +221,9 @@
     script = Scripted(RequestReceived=[fetch("s-00000002")])
 
     async def scene(director, client, until):
-        node = director.nodes["s-00000001"]
-        director.take(client, came(1, group="17"))
-        (waiting,) = node.links  # not up yet: the event loop had no turn
+        node = director.upstreams["s-00000001"]
+        director.admit(client, came(1, group="17"))
+        (waiting,) = node.connections  # not up yet: the event loop had no turn
         if news.startswith("drain"):
             row = endpoint(
                 "s-00000002" if "source" in news else "s-00000001", "127.0.0.1:9", status="DRAINING"
@@ -234,12 +236,12 @@
         else:
             which = {"ref": "7f3a9c21e0b4d655"} if news == "purge" else {"shard": 17}
             event = {"index": 2, "evict": {**which, "unix_ms": 5}}
-        told = assignment(configuration([], updates=[event]))
-        director.discovery.learn(told.known[1])
+        told = read_director_config(configuration([], updates=[event]))
+        director.discovery.apply(told.known[1])
         taken = [end.result for end in script.got(interface.AttemptFinished)]
-        assert taken == ([] if news == "other" else ["unsent"]) and bool(waiting.link.pending) is (
-            news == "other"
-        )
+        assert taken == ([] if news == "other" else ["unsent"]) and bool(
+            waiting.connection.pending_frames
+        ) is (news == "other")
 
     play(script, scene)
 
@@ -259,10 +261,10 @@
     )
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
+        director.admit(client, came(1))
+        director.manager.flush()
         await until(lambda: len(script.got(interface.TimerFired)) == 2)
-        assert client.link.frames == [b"".join(clientwire.answer(1, 3, {}))]
+        assert client.connection.frames == [b"".join(client_wire.answer(1, 3, {}))]
 
     node = FakeNode(lambda told: None)
     play(script, scene, (node, node))
@@ -281,9 +283,9 @@
     node = FakeNode(lambda told: None)
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
-        await until(lambda: client.link.frames)
+        director.admit(client, came(1))
+        director.manager.flush()
+        await until(lambda: client.connection.frames)
 
     play(script, scene, (node, node))
     assert node.next()[3] is not node.next()[3]
@@ -302,18 +304,21 @@
     nodes = FakeNode(lambda told: stuck and reading.wait(PATIENCE) and None), FakeNode(lambda told: None)
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.take(client, came(2, trace=other))
-        director.driver.flush()
+        director.admit(client, came(1))
+        director.admit(client, came(2, trace=other))
+        director.manager.flush()
         await until(lambda: nodes[0].wanted and nodes[1].wanted)
-        first = director.nodes["s-00000001"].links[0]
+        first = director.upstreams["s-00000001"].connections[0]
         if stuck:
-            first.link.write_now((b"x" * 2**24,))  # more than the system takes
-        for req in list(director.reqs.values()):
-            director._give_up(req.out, Ending.TIMED_OUT)
-        links = [each.link for node in director.nodes.values() for each in node.links]
-        queued = [b"".join(frame.render()) for link in links for frame in link.pending]
-        assert first.link.is_over and first.link.inward.size == first.link.outward.size == 0
+            first.connection.write_now((b"x" * 2**24,))  # more than the system takes
+        for req in list(director.requests.values()):
+            director._abandon(req.attempt, AttemptEnd.TIMED_OUT)
+        links = [each.connection for node in director.upstreams.values() for each in node.connections]
+        queued = [b"".join(frame.render()) for link in links for frame in link.pending_frames]
+        assert (
+            first.connection.is_closed
+            and first.connection.inbound.size == first.connection.outbound.size == 0
+        )
         assert any(other.encode() in each for each in queued) and not any(
             b"never_mind" in each for each in queued
         )
@@ -342,7 +347,7 @@
     )
 
     async def scene(director, client, until):
-        director.driver.flush()
+        director.manager.flush()
         await until(lambda: script.got(interface.HealthCheckFinished))
         assert [theirs.recv(300), theirs.recv(300)] == [b"one", b"all"]
         theirs.sendto(b"back", ours.getsockname())
@@ -359,14 +364,15 @@
     node = FakeNode()
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        client.open.clear()
-        director.left(director.reqs[TRACE])
-        assert not director.reqs
+        director.admit(client, came(1))
+        client.open_requests.clear()
+        director.on_client_left(director.requests[TRACE])
+        assert not director.requests
 
     play(script, scene, (node, node))
     assert (
-        script.got(interface.AttemptFinished)[0].result == RESULTS[Ending.UNWRITTEN] and node.commands.empty()
+        script.got(interface.AttemptFinished)[0].result == RESULTS[AttemptEnd.NOT_SENT]
+        and node.commands.empty()
     )
 
 
@@ -375,10 +381,10 @@
     script = Scripted()
 
     async def scene(director, client, until):
-        director.driver.poll.since -= 0.2
-        director.take(client, came(1, patience="900"))
-        director.lag = 1000
-        director.take(client, came(2, patience="900", trace=TRACE[::-1]))
+        director.manager.selector.previous_found_at -= 0.2
+        director.admit(client, came(1, patience="900"))
+        director.loop_lag = 1000
+        director.admit(client, came(2, patience="900", trace=TRACE[::-1]))
 
     first, second = (what.time_remaining for what in play(script, scene).got(interface.RequestReceived))
     assert 7000 < first <= 7500 and 6000 < second <= 6500  # of 200 ms, and 100 more, the protocol leaves 50
@@ -393,7 +399,7 @@
         for index in (2, 3):
             row = endpoint("s-00000001", "127.0.0.1:9", since_ms=1764576000123)
             event = {"index": index, "endpoints": {"endpoints": [row], "snapshot": False}}
-            director.discovery.learn(assignment(configuration([], updates=[event])).known[1])
+            director.discovery.apply(read_director_config(configuration([], updates=[event])).known[1])
             director.clock.from_unix = lambda unix_ms: 10**12
 
     _, first, second = (
@@ -411,21 +417,21 @@
 
 def listed(index, *rows, snapshot=False):
     event = {"index": index, "endpoints": {"endpoints": list(rows), "snapshot": snapshot}}
-    return assignment(configuration([], updates=[event])).known[1]
+    return read_director_config(configuration([], updates=[event])).known[1]
 
 
 def test_nodes_that_are_gone_are_forgotten():
     """Guards the memory on a long day on which new ids replace old ones all the time."""
-    router = Router(assignment(configuration([])).deployment, 1)
+    router = Router(read_director_config(configuration([])).deployment, 1)
 
     async def scene(director, client, until):
         for i in range(1000):
             new = endpoint(f"s-{i + 16:08x}", "127.0.0.1:9")
-            director.discovery.learn(
+            director.discovery.apply(
                 listed(i + 2, new, endpoint(f"s-{i + 15:08x}", "127.0.0.1:9", status="DELETED"))
             )
-            director.sweep()
-        assert len(director.nodes) == len(router.nodes) == 3
+            director.close_idle_connections()
+        assert len(director.upstreams) == len(router.nodes) == 3
 
     play(router, scene)
 
@@ -438,18 +444,18 @@
     node = FakeNode(lambda told: None)
 
     async def scene(director, client, until):
-        director.links_each = 1
+        director.connections_per_upstream = 1
         for i, name in enumerate(names):
-            director.take(client, came(i + 1, trace=name))
-        (carrier,) = director.nodes["s-00000001"].links
+            director.admit(client, came(i + 1, trace=name))
+        (carrier,) = director.upstreams["s-00000001"].connections
         if written:
-            director.driver.flush()
+            director.manager.flush()
             await until(lambda: len(node.wanted) == 6)
         else:
-            carrier.link.is_up = True  # and nothing was written yet
+            carrier.connection.is_connected = True  # and nothing was written yet
         if isinstance(written, str):
-            director._give_up(director.reqs[names[0]].out, Ending.TIMED_OUT)
-        carrier.link.end(Ending.RESET)
+            director._abandon(director.requests[names[0]].attempt, AttemptEnd.TIMED_OUT)
+        carrier.connection.close(AttemptEnd.RESET)
 
     play(script, scene, (node, node))
     results = [end.result for end in script.got(interface.AttemptFinished)]
@@ -463,14 +469,14 @@
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
-        (carrier,) = director.nodes["s-00000001"].links
-        await until(lambda: carrier.wire.begun())
-        carrier.link.heard_at -= 1
-        carrier.link.has_unread = lambda: late
-        carrier.look(director.clock.now(), 0)
-        assert carrier.link.is_over is not late
+        director.admit(client, came(1))
+        director.manager.flush()
+        (carrier,) = director.upstreams["s-00000001"].connections
+        await until(lambda: carrier.wire.has_partial_answer())
+        carrier.connection.last_received_at -= 1
+        carrier.connection.has_unread = lambda: late
+        carrier.check_timeouts(director.clock.now(), 0)
+        assert carrier.connection.is_closed is not late
 
     play(script, scene, (node, node))
     assert [end.result for end in script.got(interface.AttemptFinished)] == ([] if late else ["reset"])
@@ -481,14 +487,14 @@
     nodes = FakeNode(), FakeNode()
 
     async def scene(director, client, until):
-        director.links_each, links = 3, director.nodes["s-00000001"].links
+        director.connections_per_upstream, links = 3, director.upstreams["s-00000001"].connections
         for i in range(4):
-            director.take(client, came(i + 1, trace=f"{i:016x}"))
-        assert [len(each.open) for each in links] == [2, 1, 1]
-        director.driver.flush()
+            director.admit(client, came(i + 1, trace=f"{i:016x}"))
+        assert [len(each.operations) for each in links] == [2, 1, 1]
+        director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 4)
-        director.take(client, came(5, trace=f"{4:016x}"))
-        assert len(links) == 3 and sum(len(each.open) for each in links) == 1
+        director.admit(client, came(5, trace=f"{4:016x}"))
+        assert len(links) == 3 and sum(len(each.operations) for each in links) == 1
 
     play(script, scene, nodes)
 
@@ -500,14 +506,14 @@
     seen = []
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        seen.extend(weakref.ref(each.link) for each in director.nodes["s-00000001"].links)
-        seen.extend(weakref.ref(each) for each in director.nodes["s-00000001"].links)
-        director.driver.flush()
-        await until(lambda: client.link.frames)
+        director.admit(client, came(1))
+        seen.extend(weakref.ref(each.connection) for each in director.upstreams["s-00000001"].connections)
+        seen.extend(weakref.ref(each) for each in director.upstreams["s-00000001"].connections)
+        director.manager.flush()
+        await until(lambda: client.connection.frames)
         gc.collect()
         gc.disable()
-        director.nodes["s-00000001"].links[0].link.end(Ending.CLOSED)
+        director.upstreams["s-00000001"].connections[0].connection.close(AttemptEnd.CLOSED)
         await until(lambda: not any(each() for each in seen))
 
     try:
@@ -523,10 +529,10 @@
     node = FakeNode(lambda told: resp(told[1], "ACK", "digest=4b,dated=1764576000123,res=h", b"old"))
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
+        director.admit(client, came(1))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
-        assert not client.link.frames
+        assert not client.connection.frames
 
     play(script, scene, (node, node))
     assert script.got(interface.AttemptFinished)[0].result == "error"
@@ -540,21 +546,21 @@
     async def scene(director, client, until):
         clients, now = [], director.clock.now()
         for waited, asked in [(20000, True), (9000, True), (5000, False), (3000, True), (100, False)]:
-            one = Client(director)
-            one.link = Link(director.driver, one, 0, 0)
-            one.since, one.use = now - waited, Use.REQUESTS if asked else Use.NONE
+            one = ClientConnection(director)
+            one.connection = Connection(director.manager, one, 0, 0)
+            one.waiting_since, one.usage = now - waited, Usage.REQUESTS if asked else Usage.NONE
             director.clients[one] = None
             clients.append(one)
-        director.take(clients[0], came(1))
+        director.admit(clients[0], came(1))
 
         def left():
             return [clients.index(one) for one in director.clients if one.phase is Phase.OPEN]
 
-        assert director.make_room(False) and left() == [0, 1, 3, 4]
-        assert not director.make_room(False)
-        director.driver.ending_at_once = lambda: len(clients)  # as many as may be
-        assert director.make_room(True) and left() == [0, 3, 4]
-        clients[3].receive(clients[3].link, memoryview(b"".join(clientwire.frame(9, 1))))
-        assert left() == [0, 4, 3] and not director.make_room(True)
+        assert director.reclaim_descriptor(False) and left() == [0, 1, 3, 4]
+        assert not director.reclaim_descriptor(False)
+        director.manager.max_concurrent_closes = lambda: len(clients)  # as many as may be
+        assert director.reclaim_descriptor(True) and left() == [0, 3, 4]
+        clients[3].on_data(clients[3].connection, memoryview(b"".join(client_wire.frame(9, 1))))
+        assert left() == [0, 4, 3] and not director.reclaim_descriptor(True)
 
     play(script, scene)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from ironhinge.facts import ListNews, PurgeNews
-from ironhinge.net import clientwire, feed, nodewire
-from ironhinge.net.ending import RESULTS, Ending
-from ironhinge.net.ring import Ring
+from ironhinge.config import EndpointListUpdate, PurgeUpdate
+from ironhinge.net import client_wire, discovery_wire, upstream_wire
+from ironhinge.net.attempt_end import RESULTS, AttemptEnd
+from ironhinge.net.ring_buffer import RingBuffer
 
 
 def fed(make, data, cuts):
@@ -51,22 +51,26 @@
         + frame_bytes(6, 4)
         + req_bytes(2, [])
     )
-    out, _ = same_at_every_cut(clientwire.ClientWire, data)
+    out, _ = same_at_every_cut(client_wire.ClientWire, data)
     assert out == [
-        clientwire.ReadyAsked(0),
-        clientwire.Came(1, {"route": "film", "entity": "7f3a9c21e0b4d655"}, b"body"),
-        clientwire.Gone(1),
-        clientwire.Unknown("type 6 is not one that clients send"),
-        clientwire.Came(2, {}, b""),
+        client_wire.ReadinessQuery(0),
+        client_wire.RequestFrame(1, {"route": "film", "entity": "7f3a9c21e0b4d655"}, b"body"),
+        client_wire.RequestCancelled(1),
+        client_wire.UnknownFrame("type 6 is not one that clients send"),
+        client_wire.RequestFrame(2, {}, b""),
     ]
 
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
 def test_lengths_out_of_bounds_lose_the_framing(length):
     out, _ = same_at_every_cut(
-        clientwire.ClientWire, frame_bytes(9, 3) + length.to_bytes(4, "big") + b"x" * 30
+        client_wire.ClientWire, frame_bytes(9, 3) + length.to_bytes(4, "big") + b"x" * 30
+    )
+    assert (
+        out[0] == client_wire.RequestCancelled(3)
+        and isinstance(out[1], client_wire.FramingLost)
+        and len(out) == 2
     )
-    assert out[0] == clientwire.Gone(3) and isinstance(out[1], clientwire.Lost) and len(out) == 2
 
 
 @pytest.mark.parametrize(
@@ -81,9 +85,9 @@
     ],
 )
 def test_unreadable_fields_are_named_and_the_framing_holds(payload, word):
-    out, _ = fed(clientwire.ClientWire, frame_bytes(7, 5, payload) + frame_bytes(9, 6), [])
-    assert isinstance(out[0], clientwire.Unreadable) and out[0].stream == 5 and word in out[0].text
-    assert out[1] == clientwire.Gone(6)
+    out, _ = fed(client_wire.ClientWire, frame_bytes(7, 5, payload) + frame_bytes(9, 6), [])
+    assert isinstance(out[0], client_wire.MalformedRequest) and out[0].stream == 5 and word in out[0].text
+    assert out[1] == client_wire.RequestCancelled(6)
 
 
 def test_generated_answers_round_trip():
@@ -92,10 +96,10 @@
         fields = {f"n{i}": "v" * chance.randrange(300) for i in range(chance.randrange(4))}
         body = chance.randbytes(chance.choice([0, 1, 70_000]))
         stream, code = chance.randrange(2**32), chance.choice([1, 2, 3])
-        data = b"".join(clientwire.answer(stream, code, fields, body))
+        data = b"".join(client_wire.answer(stream, code, fields, body))
         assert int.from_bytes(data[:4], "big") == len(data) - 4
         assert (data[4], int.from_bytes(data[5:9], "big"), data[9]) == (8, stream, code)
-        read, end = clientwire.read_fields(data[10:])
+        read, end = client_wire.read_fields(data[10:])
         assert read == fields and data[10 + end :] == body
 
 
@@ -111,12 +115,17 @@
         + resp(b"a4", b"AGAIN", b"-")
         + resp(b"p1", b"AILING", b"gauges=util:1", b"")
     )
-    out, faults = same_at_every_cut(nodewire.NodeWire, data)
-    assert not faults and [each.id for each in out] == ["a1", "a2", "a3", "a4", "p1"]
-    assert out[0] == nodewire.Answer(
-        "a1", Ending.SERVED, 2, {"inflight": 7.0, "util": 0.61}, 1764576000123, True, b"by\r\ntes", "4b"
+    out, faults = same_at_every_cut(upstream_wire.UpstreamWire, data)
+    assert not faults and [each.operation_id for each in out] == ["a1", "a2", "a3", "a4", "p1"]
+    assert out[0] == upstream_wire.UpstreamAnswer(
+        "a1", AttemptEnd.SERVED, 2, {"inflight": 7.0, "util": 0.61}, 1764576000123, True, b"by\r\ntes", "4b"
     )
-    assert [each.ending for each in out[1:]] == [Ending.MISSED, Ending.SAME, Ending.FULL, Ending.AILING]
+    assert [each.end for each in out[1:]] == [
+        AttemptEnd.MISS,
+        AttemptEnd.NOT_MODIFIED,
+        AttemptEnd.REJECTED,
+        AttemptEnd.UNHEALTHY,
+    ]
 
 
 @pytest.mark.parametrize(
@@ -138,24 +147,24 @@
     ],
 )
 def test_answers_that_are_none_are_found_at_every_cut(bad):
-    out, faults = same_at_every_cut(nodewire.NodeWire, resp(b"a0", b"EIO", b"-", b"") + bad)
-    assert [each.ending for each in out] == [Ending.ERRED] and len(faults) == 1
+    out, faults = same_at_every_cut(upstream_wire.UpstreamWire, resp(b"a0", b"EIO", b"-", b"") + bad)
+    assert [each.end for each in out] == [AttemptEnd.ERROR] and len(faults) == 1
 
 
 def test_long_answers_pass_in_pieces():
     """Guards against looking at the same bytes again and again while a body comes."""
     body = Random(1).randbytes(240_000)
     data = resp(b"a1", b"ACK", b"digest=4b,dated=5", body)
-    out, _ = fed(nodewire.NodeWire, data, range(1000, len(data), 1000))
+    out, _ = fed(upstream_wire.UpstreamWire, data, range(1000, len(data), 1000))
     assert out[0].body == body
 
 
 def test_commands_are_arrays_of_bulk_strings():
-    assert nodewire.want("a1", {"kind": "film", "seg": "3"}, b"\r\n") == resp(
+    assert upstream_wire.want("a1", {"kind": "film", "seg": "3"}, b"\r\n") == resp(
         b"want", b"a1", b"kind=film,seg=3", b"\r\n"
     )
-    assert nodewire.want("a1", {}, b"") == resp(b"want", b"a1", b"-", b"")
-    assert nodewire.never_mind("a1") == resp(b"never_mind", b"a1")
+    assert upstream_wire.want("a1", {}, b"") == resp(b"want", b"a1", b"-", b"")
+    assert upstream_wire.never_mind("a1") == resp(b"never_mind", b"a1")
 
 
 def record(name, state=0, weight=1500, started=0):
@@ -183,10 +192,10 @@
         + event(7, 3, (2**60).to_bytes(8, "big") + (1764576000123).to_bytes(8, "big"))
         + event(8, 4, (17).to_bytes(2, "big") + (5).to_bytes(8, "big"))
     )
-    out, faults = same_at_every_cut(feed.FeedWire, data)
-    assert not faults and isinstance(out[0], feed.Alive)
-    assert isinstance(out[1], ListNews) and out[1].whole and not out[2].whole
-    row, address, started = out[1].listings[0]
+    out, faults = same_at_every_cut(discovery_wire.DiscoveryWire, data)
+    assert not faults and isinstance(out[0], discovery_wire.Keepalive)
+    assert isinstance(out[1], EndpointListUpdate) and out[1].is_full and not out[2].is_full
+    row, address, started = out[1].records[0]
     assert (row.id, row.state, row.zone, row.kind, row.cell, row.weight) == (
         "s-00c41f7a",
         "ready",
@@ -196,55 +205,55 @@
         1.5,
     )
     assert address == ("10.1.0.9", 7001) and started == 0
-    assert out[1].listings[1].row.state == "draining" and out[2].listings[0].row.state == "gone"
-    assert out[2].listings[0].started_unix == 99
-    assert out[3:] == [PurgeNews(7, 2**60, 0, 1764576000123), PurgeNews(8, None, 17, 5)]
+    assert out[1].records[1].endpoint.state == "draining" and out[2].records[0].endpoint.state == "gone"
+    assert out[2].records[0].started_unix_ms == 99
+    assert out[3:] == [PurgeUpdate(7, 2**60, 0, 1764576000123), PurgeUpdate(8, None, 17, 5)]
 
 
 @pytest.mark.parametrize(
     "bad", [event(9, 7), event(9, 2, b"x" * 26), event(9, 3, b"x"), event(9, 1, record(1, 3)), b"\0\0\0\0"]
 )
 def test_frames_of_the_coordinator_that_are_none_are_found_at_every_cut(bad):
-    out, faults = same_at_every_cut(feed.FeedWire, event(8, 0) + bad)
+    out, faults = same_at_every_cut(discovery_wire.DiscoveryWire, event(8, 0) + bad)
     assert len(out) == 1 and len(faults) == 1
 
 
 def test_the_ring_holds_what_a_plain_queue_of_bytes_holds():
-    chance, ring, model = Random(3), Ring(64), b""
+    chance, ring, model = Random(3), RingBuffer(64), b""
     for _ in range(5000):
         data = chance.randbytes(chance.randrange(100))
         if chance.random() < 0.5:
-            done = ring.put(memoryview(data))
+            done = ring.write(memoryview(data))
             assert done == min(len(data), 64 - len(model))
             model += data[:done]
         else:
-            room = ring.room()
+            room = ring.writable()
             count = min(len(room), len(data))
             room[:count] = data[:count]
-            ring.filled(count)
+            ring.commit_write(count)
             model += data[:count]
-        got = bytes(ring.data())
-        assert model.startswith(got) and bool(got) == bool(model) and ring.held == len(model)
+        got = bytes(ring.readable())
+        assert model.startswith(got) and bool(got) == bool(model) and ring.used == len(model)
         count = chance.randrange(len(got) + 1)
-        ring.taken(count)
+        ring.consume(count)
         model = model[count:]
     with pytest.raises(ValueError):
-        ring.taken(65)
+        ring.consume(65)
     with pytest.raises(ValueError):
-        ring.filled(65)
+        ring.commit_write(65)
 
 
 def test_only_what_proves_that_nothing_ran_is_told_so():
     proven = {"miss", "full", "unconnected", "cut", "unsent"}
     never_ran = {
-        Ending.MISSED,
-        Ending.FULL,
-        Ending.STALE,
-        Ending.REFUSED,
-        Ending.NEVER_UP,
-        Ending.UNWRITTEN,
-        Ending.CUT,
+        AttemptEnd.MISS,
+        AttemptEnd.REJECTED,
+        AttemptEnd.EXPIRED,
+        AttemptEnd.CONNECTION_REFUSED,
+        AttemptEnd.CONNECT_TIMEOUT,
+        AttemptEnd.NOT_SENT,
+        AttemptEnd.CUT_BEFORE_SEND,
     }
-    assert {ending for ending in Ending if RESULTS[ending] in proven} == never_ran
-    assert RESULTS[Ending.RESET] == RESULTS[Ending.CLOSED] == "reset"
-    assert RESULTS[Ending.TIMED_OUT] == "timeout" and RESULTS[Ending.CALLED_OFF] == "cancelled"
+    assert {ending for ending in AttemptEnd if RESULTS[ending] in proven} == never_ran
+    assert RESULTS[AttemptEnd.RESET] == RESULTS[AttemptEnd.CLOSED] == "reset"
+    assert RESULTS[AttemptEnd.TIMED_OUT] == "timeout" and RESULTS[AttemptEnd.CANCELLED] == "cancelled"
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -12,15 +12,15 @@
 import pytest
 
 from ironhinge import interface
-from ironhinge.facts import Address, Limits
-from ironhinge.net import clientwire, driver
-from ironhinge.net.client_connection import Client, CloseCause, Phase, Use
+from ironhinge.config import Address, ResourceLimits
+from ironhinge.net import client_wire, connection_manager
+from ironhinge.net.client_connection import ClientConnection, CloseCause, Phase, Usage
 from ironhinge.net.clock import SECOND
-from ironhinge.net.driver import Driver
-from ironhinge.net.poll import Poll
+from ironhinge.net.connection_manager import ConnectionManager
 from ironhinge.net.service import _leave
-from ironhinge.net.sockets import listen
+from ironhinge.net.socket_calls import listen
 from ironhinge.net.system_calls import Remedy
+from ironhinge.net.timed_selector import TimedSelector
 from ironhinge.routing.router import COLD_MARGIN, Req, Router
 
 from .helpers import (
@@ -50,7 +50,7 @@
 def request(stream):
     """A request's bytes."""
     fields = {"route": "film", "trace": TRACE, "patience": "9000", "entity": "7f3a9c21e0b4d655"}
-    return b"".join(clientwire.frame(7, stream, clientwire.write_fields(fields)))
+    return b"".join(client_wire.frame(7, stream, client_wire.write_fields(fields)))
 
 
 def no_room(pressing):
@@ -64,13 +64,13 @@
     def __init__(self):
         self.link, self.data, self.over = None, b"", False
 
-    def up(self, link):
+    def on_connected(self, link):
         self.link = link
 
-    def receive(self, link, data):
+    def on_data(self, link, data):
         self.data += bytes(data)
 
-    def ended(self, link, ending):
+    def on_closed(self, link, ending):
         self.over = True
 
 
@@ -83,8 +83,8 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         peer.connect(listener.getsockname())
         async with anyio.create_task_group() as tasks:
-            driver, heard = Driver(tasks, Limits(0, 0), Poll()), Heard()
-            driver.take(listener.accept()[0], heard)
+            driver, heard = ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()), Heard()
+            driver.adopt(listener.accept()[0], heard)
             heard.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             with anyio.fail_after(PATIENCE):
                 await scene(heard, peer)
@@ -113,16 +113,16 @@
     async def scene(heard, peer):
         link = heard.link
         frames = [link.write([bytes([65 + i]) * 3000, b"."]) for i in range(20)]
-        link.pump()
-        assert link.writing is not None  # the system takes no more
-        begun = [frame for frame in frames if not link.drop(frame)]
+        link.send_pending()
+        assert link.write_wait is not None  # the system takes no more
+        begun = [frame for frame in frames if not link.withdraw(frame)]
         assert 0 < len(begun) < 15 and begun == frames[: len(begun)]
         last = link.write([b"last"])
         link.finish()
-        link.driver.flush()
+        link.manager.flush()
         data = await all_of(peer)
         expected = b"".join(bytes([65 + i]) * 3000 + b"." for i in range(len(begun)))
-        assert data == expected + b"last" and link.written(last) and not link.driver.queued
+        assert data == expected + b"last" and link.is_written(last) and not link.manager.queued_bytes
 
     connected(scene)
 
@@ -135,13 +135,13 @@
     )
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        client.receive(client.link, memoryview(b"".join(clientwire.frame(9, 1))))
-        director.driver.flush()
-        (link,) = director.nodes["s-00000001"].links
-        await until(lambda: link.link.is_up)
-        director.take(client, came(2, trace=TRACE[::-1]))
-        director.driver.flush()
+        director.admit(client, came(1))
+        client.on_data(client.connection, memoryview(b"".join(client_wire.frame(9, 1))))
+        director.manager.flush()
+        (link,) = director.upstreams["s-00000001"].connections
+        await until(lambda: link.connection.is_connected)
+        director.admit(client, came(2, trace=TRACE[::-1]))
+        director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
@@ -158,25 +158,25 @@
     async def scene(director, _, until):
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
-        client = Client(director)
-        director.driver.take(listener.accept()[0], client)
-        client.link.has_unread = lambda: False
+        client = ClientConnection(director)
+        director.manager.adopt(listener.accept()[0], client)
+        client.connection.has_unread = lambda: False
         now = director.clock.now()
         if by == "sweep":
-            client.look(now + 10**6)
+            client.check_timeouts(now + 10**6)
         else:
-            client.since, client.use = now - 10**6, Use.REQUESTS
-            assert director.make_room(True)
+            client.waiting_since, client.usage = now - 10**6, Usage.REQUESTS
+            assert director.reclaim_descriptor(True)
         assert client.phase is Phase.ANNOUNCED
         peer.sendall(request(1))
-        director.driver.flush()
-        expected = b"".join(clientwire.no_more()) + b"".join(clientwire.answer(1, DENIED, {}))
-        await until(lambda: not client.open and script.got(interface.RequestReceived))
-        client.since -= 10**6  # quiet for long enough
-        client.look(director.clock.now() + 10**6)
+        director.manager.flush()
+        expected = b"".join(client_wire.no_more()) + b"".join(client_wire.answer(1, DENIED, {}))
+        await until(lambda: not client.open_requests and script.got(interface.RequestReceived))
+        client.waiting_since -= 10**6  # quiet for long enough
+        client.check_timeouts(director.clock.now() + 10**6)
         assert client.phase is Phase.HALF_CLOSED
-        client.ends_at = director.clock.now() + 10**6
-        director.driver.flush()
+        client.close_not_before = director.clock.now() + 10**6
+        director.manager.flush()
         assert await all_of(peer) == expected
         for _ in range(2):  # what comes later still meets no reset
             peer.sendall(b"more")
@@ -196,13 +196,13 @@
     async def scene(director, _, until):
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
-        client = Client(director)
-        director.driver.take(listener.accept()[0], client)
-        client.announce(CloseCause.IDLE, 100)
+        client = ClientConnection(director)
+        director.manager.adopt(listener.accept()[0], client)
+        client.announce_close(CloseCause.IDLE, 100)
         for stream in (1, 2, 3):
             peer.sendall(request(stream))
-            await until(lambda: director.counts["denied"] == stream)  # noqa: B023
-            client.look(client.since + client.notice - 1)
+            await until(lambda: director.counters["denied"] == stream)  # noqa: B023
+            client.check_timeouts(client.waiting_since + client.quiet_period - 1)
             assert client.phase is Phase.ANNOUNCED
 
     play(script, scene)
@@ -225,8 +225,8 @@
     script = Scripted(RequestReceived=[ask()], AttemptFinished=[ask()])
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
+        director.admit(client, came(1))
+        director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
@@ -253,16 +253,18 @@
     script = Scripted(RequestReceived=[first, ask(name=other)], AttemptFinished=[lambda now: []])
 
     async def scene(director, client, until):
-        director.told = director.told._replace(transport=director.told.transport._replace(dial=10**6))
-        director.take(client, came(1))
-        director.driver.flush()
-        (link,) = director.nodes["s-00000001"].links
+        director.config = director.config._replace(
+            transport=director.config.transport._replace(connect_timeout=10**6)
+        )
+        director.admit(client, came(1))
+        director.manager.flush()
+        (link,) = director.upstreams["s-00000001"].connections
         await until(lambda: script.got(interface.AttemptFinished))
         more.set()
         if when == "after it":
-            await until(lambda: link.wire.begun() or link.link.is_over)
-        director.take(client, came(2, trace=other))
-        director.driver.flush()
+            await until(lambda: link.wire.has_partial_answer() or link.connection.is_closed)
+        director.admit(client, came(2, trace=other))
+        director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
@@ -281,15 +283,15 @@
     script = Scripted(RequestReceived=[ask(), ask(name=other)])
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        director.driver.flush()
+        director.admit(client, came(1))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
-        (link,) = director.nodes["s-00000001"].links
+        (link,) = director.upstreams["s-00000001"].connections
         conns[0].shutdown(socket.SHUT_RDWR)
-        while not link.link.has_ended():
+        while not link.connection.peer_has_closed():
             time.sleep(0.001)  # the event loop has no turn
-        director.take(client, came(2, trace=other))
-        director.driver.flush()
+        director.admit(client, came(2, trace=other))
+        director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
     play(script, scene, (node, node))
@@ -315,10 +317,10 @@
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
-        director.take(client, came(1, have="4be0c1927d55a6f3"))
-        director.driver.flush()
+        director.admit(client, came(1, have="4be0c1927d55a6f3"))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
-        assert not client.link.frames
+        assert not client.connection.frames
 
     play(script, scene, (node, node))
     assert script.got(interface.AttemptFinished)[0].result == "error"
@@ -328,9 +330,14 @@
     coordinator = FakeCoordinator()
 
     async def scene(director, client, until):
-        director.driver.most = director.driver.open
-        director.driver.tasks.start_soon(director.discovery.follow)
-        await until(lambda: director.discovery.feed is not None and director.discovery.feed.link.is_up)
+        director.manager.descriptor_limit = director.manager.open_sockets
+        director.manager.task_group.start_soon(director.discovery.follow)
+        await until(
+            lambda: (
+                director.discovery.connection is not None
+                and director.discovery.connection.connection.is_connected
+            )
+        )
 
     play(Scripted(), scene, coordinator=coordinator.address)
 
@@ -341,11 +348,11 @@
     script = Scripted(RequestReceived=[ask(), ask("s-00000002", name=TRACE[::-1])])
 
     async def scene(director, client, until):
-        director.driver.most = director.driver.open + 1
+        director.manager.descriptor_limit = director.manager.open_sockets + 1
         for stream, trace in enumerate((TRACE, TRACE[::-1])):
-            director.take(client, came(stream + 1, trace=trace))
-            director.driver.flush()
-            await until(lambda: len(script.got(interface.AttemptFinished)) == director.counts["reqs"])
+            director.admit(client, came(stream + 1, trace=trace))
+            director.manager.flush()
+            await until(lambda: len(script.got(interface.AttemptFinished)) == director.counters["reqs"])
 
     play(script, scene, nodes)
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
@@ -355,11 +362,11 @@
     script = Scripted()
 
     async def scene(director, client, until):
-        director.leave(5000)
-        director.take_no_more()
-        director.no_more_at -= 1
-        director.take(client, came(1))
-        assert client.link.frames[-1] == b"".join(clientwire.answer(1, DENIED, {}))
+        director.begin_shutdown(5000)
+        director.stop_admitting()
+        director.admission_deadline -= 1
+        director.admit(client, came(1))
+        assert client.connection.frames[-1] == b"".join(client_wire.answer(1, DENIED, {}))
 
     play(script, scene)
     assert not script.got(interface.RequestReceived)
@@ -368,14 +375,14 @@
 def test_the_backlog_is_taken_before_the_listener_closes():
     async def run():
         async with anyio.create_task_group() as tasks:
-            driver, heard = Driver(tasks, Limits(0, 0), Poll()), []
+            driver, heard = ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()), []
             listener = listen(Address("127.0.0.1", 0))
             at = listener.getsockname()
             tasks.start_soon(driver.accept, listener, Heard, lambda pressing: False)
             await anyio.wait_all_tasks_blocked()
             peers = [socket.create_connection(at) for _ in range(3)]  # no turn for accept
             await driver.close_listener(listener, lambda: heard.append(Heard()) or heard[-1], no_room, 5.0)
-            assert len(heard) == 3 and all(each.link.is_up for each in heard)
+            assert len(heard) == 3 and all(each.link.is_connected for each in heard)
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(at)
             for peer in peers:
@@ -403,15 +410,15 @@
     async def scene(director, client, until):
         listener = listen(Address("127.0.0.1", 0))
         peers = [socket.create_connection(listener.getsockname()) for _ in range(2)]
-        director.driver.take(listener.accept()[0], Client(director))
+        director.manager.adopt(listener.accept()[0], ClientConnection(director))
         began = time.monotonic()
-        director.driver.tasks.start_soon(_leave, director, listener)
+        director.manager.task_group.start_soon(_leave, director, listener)
         for peer in peers:
             seen.append(await all_of(peer))
         assert time.monotonic() - began < 1.0
 
     play(Router, scene, settings=short_settings())
-    assert seen == [b"".join(clientwire.no_more())] * 2
+    assert seen == [b"".join(client_wire.no_more())] * 2
 
 
 @pytest.fixture
@@ -469,20 +476,20 @@
     async def scene(director, _, until):
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
-        client = Client(director)
-        director.driver.poll = BusyPoll()
+        client = ClientConnection(director)
+        director.manager.selector = BusyPoll()
         if where == "backlog":
             peer.sendall(request(1))
-            director.driver.backlog_empty_at = time.monotonic() - 0.5
+            director.manager.backlog_empty_at = time.monotonic() - 0.5
             await anyio.sleep(0.3)  # the event loop has its turns, and the backlog is not looked at
-        director.driver.take(listener.accept()[0], client)
+        director.manager.adopt(listener.accept()[0], client)
         if where == "failing recv":
-            plain, failing_until = director.driver.caller.receive, time.monotonic() + 0.3
+            plain, failing_until = director.manager.calls.receive, time.monotonic() + 0.3
             short = lambda *args: (0, Remedy.PAUSE) if time.monotonic() < failing_until else plain(*args)  # noqa: E731
-            monkeypatch.setattr(director.driver.caller, "receive", short)
+            monkeypatch.setattr(director.manager.calls, "receive", short)
             peer.sendall(request(1))
         await until(lambda: script.got(interface.RequestReceived))
-        assert client.link.unread_since is None or where == "backlog"
+        assert client.connection.unread_since is None or where == "backlog"
 
     play(script, scene)
     (came_,) = script.got(interface.RequestReceived)
@@ -493,7 +500,7 @@
 
 def test_what_came_while_the_program_was_stopped_is_known_to_have_waited():
     """A task that takes a turn more to wake reads it when two looks have gone by since."""
-    poll, pair = Poll(), socket.socketpair()
+    poll, pair = TimedSelector(), socket.socketpair()
     poll.register(pair[0], 1)
     poll.select(0)
     began = time.monotonic()
@@ -516,15 +523,17 @@
         resting = []
         for _ in range(4):
             peer = socket.create_connection(listener.getsockname())
-            client = Client(director)
-            director.driver.take(listener.accept()[0], client)
-            client.use, client.since = Use.ASKED, client.since - SECOND
+            client = ClientConnection(director)
+            director.manager.adopt(listener.accept()[0], client)
+            client.usage, client.waiting_since = Usage.READINESS_ONLY, client.waiting_since - SECOND
             resting.append(peer)
-        director.leave(5 * SECOND)
-        director.driver.most = director.driver.open
+        director.begin_shutdown(5 * SECOND)
+        director.manager.descriptor_limit = director.manager.open_sockets
         late = socket.create_connection(listener.getsockname())
         late.sendall(request(1))
-        await director.driver.close_listener(listener, lambda: Client(director), director.make_room, 3.0)
+        await director.manager.close_listener(
+            listener, lambda: ClientConnection(director), director.reclaim_descriptor, 3.0
+        )
         late.setblocking(False)
         with anyio.fail_after(PATIENCE):
             await anyio.wait_readable(late)
@@ -539,13 +548,15 @@
     script = Scripted(RequestReceived=[ask(name=other), ask()])
 
     async def scene(director, first, until):
-        director.take(first, came(1, trace=other))
-        director.driver.flush()
+        director.admit(first, came(1, trace=other))
+        director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
-        director.driver.take(listener.accept()[0], Client(director))
-        director.driver.poll.since = time.monotonic() - 0.2  # the program was kept from running for a while
+        director.manager.adopt(listener.accept()[0], ClientConnection(director))
+        director.manager.selector.previous_found_at = (
+            time.monotonic() - 0.2
+        )  # the program was kept from running for a while
         peer.sendall(request(1))
         peer.shutdown(socket.SHUT_RDWR)
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
@@ -563,11 +574,11 @@
     script = Scripted(RequestReceived=[lambda now: [interface.SendAttempt(TRACE, "s-00000001", now + 20000)]])
 
     async def scene(director, client, until):
-        director.take(client, came(1))
-        (link,) = director.nodes["s-00000001"].links
-        pump, link.link.pump = link.link.pump, lambda: None
+        director.admit(client, came(1))
+        (link,) = director.upstreams["s-00000001"].connections
+        pump, link.connection.send_pending = link.connection.send_pending, lambda: None
         await anyio.sleep(0.3)
-        link.link.pump = pump
+        link.connection.send_pending = pump
         pump()
         await until(lambda: script.got(interface.AttemptFinished))
 
@@ -581,11 +592,11 @@
     script = Scripted(RequestReceived=[late], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]])
 
     async def scene(director, client, until):
-        director.take(client, came(1))  # not flushed: the connection is not up before the window ends
-        (link,) = director.nodes["s-00000001"].links
-        link.link.pump = lambda: None
+        director.admit(client, came(1))  # not flushed: the connection is not up before the window ends
+        (link,) = director.upstreams["s-00000001"].connections
+        link.connection.send_pending = lambda: None
         await until(lambda: script.got(interface.AttemptFinished))
-        assert not link.link.pending
+        assert not link.connection.pending_frames
 
     play(script, scene)
     (end,) = script.got(interface.AttemptFinished)
@@ -647,7 +658,7 @@
 
 def test_a_failed_accept_takes_no_others_of_the_backlog_along(monkeypatch):
     """One that has gone, an interrupted call, and a moment without memory or descriptors."""
-    monkeypatch.setattr(driver.anyio, "notify_closing", lambda sock: None)
+    monkeypatch.setattr(connection_manager.anyio, "notify_closing", lambda sock: None)
     numbers = errno.ECONNABORTED, errno.EINTR, errno.ENOBUFS, errno.ENFILE, errno.EPROTO, errno.ENETUNREACH
 
     class Backlog:
@@ -667,7 +678,7 @@
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            one, heard = Driver(tasks, Limits(0, 0), Poll()), Heard()
+            one, heard = ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()), Heard()
             await one.close_listener(Backlog(), lambda: heard, no_room, 5.0)
             assert heard.link is not None and not Backlog.found
             tasks.cancel_scope.cancel()
@@ -697,4 +708,4 @@
         "print(*sorted({name.split('.')[1] for name in sys.modules if name.startswith('ironhinge.')}))"
     )
     found = os.popen(f'{os.sys.executable} -c "{code}"').read().split()
-    assert found == ["cli", "facts", "interface", "net", "routing"]
+    assert found == ["cli", "config", "interface", "net", "routing"]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,7 +11,7 @@
 from ironhinge.net.system_calls import LONGEST_PAUSE, REMEDIES, Backoff, Call, Remedy, remedy_for
 
 NET = Path(ironhinge.__file__).parent / "net"
-MAY_CATCH = {"sockets.py", "service.py"}  # where calls are made, and where the listener is
+MAY_CATCH = {"socket_calls.py", "service.py"}  # where calls are made, and where the listener is
 
 
 @pytest.mark.parametrize("call", Call)
