--- /dev/null
+++ b/tests/test_fleet_stored_form.py
@@ -0,0 +1,62 @@
+"""The bytes of an agent's journal as an earlier version wrote them: read to the same state, written alike."""
+
+from pathlib import Path
+
+import pytest
+
+from ironhinge.fleet.desired import Answer, Asked, Command, Desired, Entry
+from ironhinge.fleet.journal import line, read
+
+STORED = Path(__file__).parent / "data" / "fleet_journal.bin"
+ENTRIES = [
+    Entry(1, "ada-1", "ada", "first configuration", 0, (("n0", "sha-one"), ("n1", "sha-one"))),
+    Entry(
+        2,
+        "r1/m00/new",
+        "bob",
+        'canary of "r1": \\ new buffers\nsecond line',
+        1764576000123,
+        (("n0", "sha-two"), ("n1", "sha-two")),
+    ),
+    Entry(
+        3,
+        "r1/m00/old@2",
+        "bob",
+        "undone: 93.0% in target on the new one, 95.0% on the old",
+        1764576000124,
+        (("n0", "sha-one"), ("n1", "sha-one")),
+    ),
+    Entry(
+        4,
+        "zoë-1",
+        "zoë",
+        "",
+        9007199254740992,
+        (("n0", "sha-three"), ("n1", "sha-one"), ("édge", "sha-三")),
+    ),
+    Entry(5, "ada-2", "ada", "site closes", 9007199254740993, ()),
+]
+
+
+@pytest.fixture
+def stored() -> bytes:
+    return STORED.read_bytes()
+
+
+def test_a_stored_journal_is_decoded_to_the_same_entries(stored):
+    assert read(stored) == (ENTRIES, len(stored))
+
+
+def test_the_same_entries_are_encoded_to_the_same_bytes(stored):
+    assert b"".join(line(entry) for entry in ENTRIES) == stored
+
+
+def test_an_agent_restored_from_a_stored_journal_has_the_same_state(stored):
+    entries, _ = read(stored)
+    agent = Desired(tuple(entries))
+    assert agent.stands == ENTRIES[-1]
+    assert list(agent.history)[1:] == ENTRIES
+    assert agent.before(3) == ENTRIES[1]
+    for entry in ENTRIES:
+        again = Command(entry.id, entry.generation - 1, entry.who, entry.why, entry.spec)
+        assert agent.step(Asked(again, 1)) == [Answer(entry.id, True, entry)]
