--- /dev/null
+++ b/ironhinge/fleet/desired_state.py
@@ -0,0 +1,225 @@
+"""One agent's desired state: which generation is in force, who set it, and the results of commands.
+
+A change is compare-and-set: it names the generation that it was decided on, and is accepted whole or rejected
+with the entry that is current instead. It is in force, and answered, once its entry is durable.
+
+A command that is repeated, also after the agent has restarted, gets the same result and has no further
+effect; a delayed one names an old generation and is rejected for that. So generations are the fencing tokens.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict, deque
+from collections.abc import Sequence
+from dataclasses import dataclass
+from itertools import pairwise
+from typing import NamedTuple, TypeAlias
+
+from .errors import GenerationOrderError
+
+MAX_REMEMBERED_RESULTS = 1024  # commands; older ones are rejected by their generation
+MAX_HISTORY = 64  # entries that can be rolled back to
+WRITE_FAILURE = "could not be written"
+
+DirectorSpec: TypeAlias = tuple[tuple[str, str], ...]
+"""Directors by name, each with the digest of its configuration."""
+
+
+@dataclass(frozen=True, slots=True)
+class Command:
+    """An operator's change of one agent's directors.
+
+    Attributes:
+        command_id: Identifies the command; a repeated one is recognised by it.
+        expected_generation: The generation that the operator saw.
+        author: Who wants the change.
+        reason: Why, for people.
+        spec: All directors of this agent.
+    """
+
+    command_id: str
+    expected_generation: int
+    author: str
+    reason: str
+    spec: DirectorSpec
+
+
+class Entry(NamedTuple):
+    """One generation, as the journal stores it.
+
+    The order of the fields is the stored form; see `journal`.
+    """
+
+    generation: int
+    command_id: str
+    author: str
+    reason: str
+    created_at_ms: int
+    spec: DirectorSpec
+
+    def configs(self) -> dict[str, str]:
+        """Returns the digest of each director's configuration by the director's name."""
+        return dict(self.spec)
+
+
+@dataclass(frozen=True, slots=True)
+class CommandResult:
+    """The answer to one command.
+
+    Attributes:
+        command_id: The command that is answered.
+        accepted: Whether its change is in force.
+        current: The entry in force.
+        reason: Why it was rejected; empty if it was accepted.
+    """
+
+    command_id: str
+    accepted: bool
+    current: Entry
+    reason: str = ""
+
+    @property
+    def is_write_failure(self) -> bool:
+        """Whether the command was rejected because its entry could not be made durable."""
+        return WRITE_FAILURE in self.reason
+
+
+@dataclass(frozen=True, slots=True)
+class PendingCommand:
+    """Event: a command arrived.
+
+    Attributes:
+        command: The command.
+        received_at_ms: When it arrived, in milliseconds of Unix time.
+    """
+
+    command: Command
+    received_at_ms: int
+
+
+@dataclass(frozen=True, slots=True)
+class EntryPersisted:
+    """Event: the entry of this generation is durable."""
+
+    generation: int
+
+
+@dataclass(frozen=True, slots=True)
+class EntryWriteFailed:
+    """Event: the entry of this generation is not durable and will not be."""
+
+    generation: int
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class AppendEntry:
+    """Action: make the entry durable, then report `EntryPersisted` or `EntryWriteFailed`."""
+
+    entry: Entry
+
+
+@dataclass(frozen=True, slots=True)
+class ActivateGeneration:
+    """Action: the entry is in force, so have the supervisor run it."""
+
+    entry: Entry
+
+
+Event: TypeAlias = PendingCommand | EntryPersisted | EntryWriteFailed
+Action: TypeAlias = AppendEntry | ActivateGeneration | CommandResult
+
+INITIAL_ENTRY = Entry(0, "", "nobody", "the beginning", 0, ())
+
+
+class DesiredState:
+    """The desired state of one agent, as a pure state machine with `handle` as its entry point.
+
+    Attributes:
+        history: The latest entries, oldest first; the last one is in force.
+    """
+
+    def __init__(self, entries: Sequence[Entry] = ()) -> None:
+        """Restores the state from a journal.
+
+        Args:
+            entries: The journal's entries, oldest first.
+
+        Raises:
+            GenerationOrderError: The generations are not consecutive from 1.
+        """
+        self.history: deque[Entry] = deque([INITIAL_ENTRY], MAX_HISTORY)
+        self._results: OrderedDict[str, CommandResult] = OrderedDict()
+        self._unpersisted: Entry | None = None
+        self._queue: deque[PendingCommand] = deque()
+        for entry in entries:
+            expected = self.current.generation + 1
+            if entry.generation != expected:
+                raise GenerationOrderError(entry.generation, expected)
+            self._activate(entry)
+
+    @property
+    def current(self) -> Entry:
+        """The entry in force."""
+        return self.history[-1]
+
+    def handle(self, event: Event) -> list[Action]:
+        """Applies an event and returns what is to be done for it, in order."""
+        actions: list[Action] = []
+        if isinstance(event, PendingCommand):
+            self._queue.append(event)
+        elif self._unpersisted is None or event.generation != self._unpersisted.generation:
+            return actions  # a late report on an entry that is settled
+        else:
+            actions += self._settle(self._unpersisted, event)
+        while self._queue and self._unpersisted is None:
+            actions.append(self._decide(self._queue.popleft()))
+        return actions
+
+    def entry_before(self, generation: int) -> Entry | None:
+        """Returns the entry that a generation replaced, or None where that is no longer remembered."""
+        for older, newer in pairwise(self.history):
+            if newer.generation == generation:
+                return older
+        return None
+
+    def _settle(self, entry: Entry, event: EntryPersisted | EntryWriteFailed) -> list[Action]:
+        self._unpersisted = None
+        if isinstance(event, EntryPersisted):
+            return [ActivateGeneration(entry), self._activate(entry)]
+        # Not remembered, so that the command may succeed when it is repeated.
+        return [CommandResult(entry.command_id, False, self.current, f"{WRITE_FAILURE}: {event.reason}")]
+
+    def _decide(self, pending: PendingCommand) -> AppendEntry | CommandResult:
+        command = pending.command
+        known_result = self._results.get(command.command_id)
+        if known_result is not None:
+            return known_result
+        if command.expected_generation != self.current.generation:
+            reason = f"generation {self.current.generation} stands, not {command.expected_generation}"
+            return self._reject(command, reason)
+        names = [name for name, _ in command.spec]
+        if len(set(names)) != len(names):
+            return self._reject(command, "a director stands twice in it")
+        self._unpersisted = Entry(
+            generation=self.current.generation + 1,
+            command_id=command.command_id,
+            author=command.author,
+            reason=command.reason,
+            created_at_ms=pending.received_at_ms,
+            spec=tuple(sorted(command.spec)),
+        )
+        return AppendEntry(self._unpersisted)
+
+    def _reject(self, command: Command, reason: str) -> CommandResult:
+        return self._remember(CommandResult(command.command_id, False, self.current, reason))
+
+    def _activate(self, entry: Entry) -> CommandResult:
+        self.history.append(entry)
+        return self._remember(CommandResult(entry.command_id, True, entry))
+
+    def _remember(self, result: CommandResult) -> CommandResult:
+        self._results[result.command_id] = result
+        while len(self._results) > MAX_REMEMBERED_RESULTS:
+            self._results.popitem(last=False)
+        return result
--- a/ironhinge/fleet/journal.py
+++ b/ironhinge/fleet/journal.py
@@ -1,41 +1,70 @@
-"""Owns the bytes of an agent's journal: one line an entry, each with its checksum. It must never do I/O.
+"""The stored form of an agent's journal: one line for each entry, with its checksum.
 
-A line that was not written whole can only be the last one; it was never answered, so it is cut off. Anything
-else that does not fit is a journal that must not be trusted.
+A line is the xxHash64 of the body in hexadecimal, a space, the body and a newline. The body is the entry as a
+JSON array, so the names of the entry's fields are not part of the stored form. The module does no I/O.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 import xxhash
 
-from .desired import Entry
+from .desired_state import Entry
+from .errors import CorruptJournalError
+
+LINE_END = b"\n"
+CHECKSUM_SEPARATOR = b" "
+
 
+class JournalContents(NamedTuple):
+    """The entries of a journal and the number of its bytes that hold them.
 
-class Broken(Exception):
-    """A journal with damage before its last line."""
+    What follows `valid_length` was never written whole and is to be cut off.
+    """
 
+    entries: list[Entry]
+    valid_length: int
 
-def line(entry: Entry) -> bytes:
+
+def encode_entry(entry: Entry) -> bytes:
+    """Returns the line that stores an entry."""
     body = msgspec.json.encode(entry)
-    return xxhash.xxh64_hexdigest(body).encode() + b" " + body + b"\n"
-
-
-def read(data: bytes) -> tuple[list[Entry], int]:
-    """The entries, and how many bytes of the data hold them: what follows is to be cut off."""
-    out: list[Entry] = []
-    at = 0
-    while at < len(data):
-        end = data.find(b"\n", at)
-        whole = data[at:end] if end >= 0 else b""
-        digest, _, body = whole.partition(b" ")
-        if end < 0 or xxhash.xxh64_hexdigest(body).encode() != digest:
-            if end >= 0 and end + 1 < len(data):
-                raise Broken(f"a line at byte {at} that does not fit its checksum, with more behind it")
-            return out, at
-        try:
-            out.append(msgspec.json.decode(body, type=Entry))
-        except msgspec.DecodeError as fault:
-            raise Broken(f"a line at byte {at}: {fault}") from None
-        at = end + 1
-    return out, at
+    return _checksum(body) + CHECKSUM_SEPARATOR + body + LINE_END
+
+
+def decode_journal(data: bytes) -> JournalContents:
+    """Reads a journal up to its last whole line.
+
+    Only the last line can be incomplete. Its command was never answered, so it can be dropped.
+
+    Raises:
+        CorruptJournalError: A line before the last one is damaged, or a whole line holds no entry.
+    """
+    entries: list[Entry] = []
+    offset = 0
+    while offset < len(data):
+        line_end = data.find(LINE_END, offset)
+        if line_end < 0:
+            break
+        next_offset = line_end + len(LINE_END)
+        checksum, _, body = data[offset:line_end].partition(CHECKSUM_SEPARATOR)
+        if _checksum(body) != checksum:
+            if next_offset < len(data):
+                raise CorruptJournalError(offset, "checksum mismatch, expected only in the last line")
+            break
+        entries.append(_decode_body(body, offset))
+        offset = next_offset
+    return JournalContents(entries, offset)
+
+
+def _decode_body(body: bytes, offset: int) -> Entry:
+    try:
+        return msgspec.json.decode(body, type=Entry)
+    except msgspec.DecodeError as error:
+        raise CorruptJournalError(offset, f"expected an entry: {error}") from None
+
+
+def _checksum(body: bytes) -> bytes:
+    return xxhash.xxh64_hexdigest(body).encode()
--- a/ironhinge/fleet/rollout.py
+++ b/ironhinge/fleet/rollout.py
@@ -1,235 +1,346 @@
-"""Owns how a change goes through a fleet: in waves, each gated on how the changed members fare against the
-others, and back by itself when a gate fails. One entry point, `Rollout.step`; it must never talk to an agent.
+"""A rollout: how a change goes through a fleet in waves, and back when a gate fails.
 
-It holds nothing that a member could not tell: whoever has the plan and asks the members where they stand
-goes on where another tool stopped. What is sent are commands with ids made of the rollout and the member, so
-that a second tool that sends them too does nothing twice.
+Each wave is gated on how the changed members fare against the others. The rollout holds nothing that a member
+could not report: whoever has the plan and asks the members for their status goes on where another tool
+stopped. What is sent are commands with ids made of the rollout and the member, so that a second tool that
+sends them too has no further effect.
+
+The module talks to no agent itself: `Rollout.handle` returns what is to be sent. Instants and spans are in
+ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple, Union
-
-from .desired import Answer, Command, Spec
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import TypeAlias
 
-CANARY = 1
-GROWS = 2  # each wave is at most this many times as large as all before it
-SOAK = 100_000  # tenths of a millisecond that a wave is looked at before the next
-WORSE = 0.02  # by which the share done in target may fall against the members still on the old one
-LOST_FOR = 150_000  # without a word for that long a member counts as cut off, and the rollout holds
+from .desired_state import Command, CommandResult
+from .waves import Member, plan_waves
 
+SOAK_TIME = 100_000  # for which a settled wave is observed before the next
+RESEND_INTERVAL = SOAK_TIME // 10  # between two sendings of a command that has no effect yet
+CONTACT_TIMEOUT = 150_000  # without contact for longer, a member counts as unreachable
+MAX_ON_TARGET_DROP = 0.02  # of the ratio, against the members that still run the previous specification
 
-class Member(NamedTuple):
-    name: str
-    branch: str
-    generation: int  # in force there when the plan was made
-    old: Spec
-    new: Spec
 
+@dataclass(frozen=True, slots=True)
+class MemberStatus:
+    """Event: a member reports its generation and how its directors fare.
 
-def plan(members: tuple[Member, ...], away: dict[str, int]) -> list[list[str]]:
-    """Waves of members' names: one, then growing; of a branch never more at once than may be `away` (1 where
-    it is not told). Branches take turns, so that no wave is of one branch where it can be helped.
+    Attributes:
+        name: The member.
+        generation: The generation in force there.
+        command_id: The command that set it.
+        author: Who sent that command.
+        ready: Whether all its directors are ready.
+        on_target_ratio: The part of requests that met their latency objective, 0 to 1.
+        crash_count: How often its directors have crashed.
     """
-    left: dict[str, list[str]] = {}
-    for member in sorted(members):
-        left.setdefault(member.branch, []).append(member.name)
-    waves: list[list[str]] = []
-    done = 0
-    while any(left.values()):
-        most = CANARY if not waves else GROWS * done
-        wave: list[str] = []
-        taken = dict.fromkeys(left, 0)
-        going = True
-        while going and len(wave) < most:
-            going = False
-            for branch, names in sorted(left.items()):
-                if names and taken[branch] < max(1, away.get(branch, 1)) and len(wave) < most:
-                    wave.append(names.pop(0))
-                    taken[branch] += 1
-                    going = True
-        waves.append(wave)
-        done += len(wave)
-    return waves
-
-
-class Health(NamedTuple):
-    """A member's word: where it stands and by which command, and how its directors fare."""
 
     name: str
     generation: int
-    id: str
-    who: str
+    command_id: str
+    author: str
     ready: bool
-    in_target: float
-    crashes: int
+    on_target_ratio: float
+    crash_count: int
 
 
-class Answered(NamedTuple):
+@dataclass(frozen=True, slots=True)
+class CommandAnswered:
+    """Event: a member answered a command."""
+
     name: str
-    answer: Answer
+    result: CommandResult
+
+
+@dataclass(frozen=True, slots=True)
+class TimePassed:
+    """Event: nothing happened, but timeouts may be due."""
 
 
-class Tick(NamedTuple):
-    pass
+@dataclass(frozen=True, slots=True)
+class SetPaused:
+    """Event: the operator pauses or resumes the rollout."""
 
+    paused: bool
 
-class Pause(NamedTuple):
-    on: bool
 
+Event: TypeAlias = MemberStatus | CommandAnswered | TimePassed | SetPaused
 
-Event = Union[Health, Answered, Tick, Pause]
 
+class RolloutOutcome(StrEnum):
+    """How a rollout ended."""
+
+    COMPLETED = "done"
+    ROLLED_BACK = "undone"
+    CONFLICT = "conflict"
+
+
+@dataclass(frozen=True, slots=True)
+class SendCommand:
+    """Action: send a command to a member."""
 
-class Send(NamedTuple):
     name: str
     command: Command
 
 
-class Over(NamedTuple):
-    how: str  # 'done', 'undone', 'conflict'
-    why: str
+@dataclass(frozen=True, slots=True)
+class RolloutFinished:
+    """Action: tell the operator that the rollout has ended, how and why."""
+
+    outcome: RolloutOutcome
+    reason: str
+
 
+Action: TypeAlias = SendCommand | RolloutFinished
 
-Doing = Union[Send, Over]
+
+class RolloutState(StrEnum):
+    """States of a rollout; it is held while paused or while a changed member is unreachable."""
+
+    ROLLING = "rolling"
+    HOLDING = "holding"
+    ROLLING_BACK = "undoing"
+    FINISHED = "over"
+
+
+class Revision(StrEnum):
+    """Which specification a command sets; the values stand in stored command ids."""
+
+    NEW = "new"
+    PREVIOUS = "old"
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutPlan:
+    """What a rollout changes; whoever has it can carry the rollout on.
+
+    Attributes:
+        name: Names the rollout in the ids of its commands.
+        author: Who wants the change.
+        reason: Why, for people.
+        members: The members that are changed.
+        max_unavailable: How many members of a branch may change at once; see `plan_waves`.
+    """
+
+    name: str
+    author: str
+    reason: str
+    members: tuple[Member, ...]
+    max_unavailable: Mapping[str, int]
 
 
 class Rollout:
-    """States: 'rolling', 'holding' (paused, or a member is cut off), 'undoing', 'over'."""
-
-    def __init__(
-        self, name: str, who: str, why: str, members: tuple[Member, ...], away: dict[str, int], now: int
-    ):
-        self.name, self.who, self.why = name, who, why
-        self.members = {member.name: member for member in members}
-        self.waves = plan(members, away)
-        self.wave = -1
-        self.since = now
-        self.sent: dict[str, int] = {}  # when a command was last sent; sent again until it is answered
-        self.health: dict[str, Health] = {}
-        self.heard = dict.fromkeys(self.members, now)
-        self.crashes: dict[str, int] = {}
-        self.undo: list[str] = []
-        self.state, self.verdict = "rolling", ""
-        self.paused = False
-
-    def step(self, now: int, what: Event) -> list[Doing]:
-        if self.state == "over":
+    """One rollout, as a pure state machine with `handle` as its entry point.
+
+    Attributes:
+        state: Its state.
+        status: Why it is held or rolled back, for people; empty while it is rolling.
+        current_wave: Index of the latest wave that has begun; -1 before the first.
+    """
+
+    def __init__(self, plan: RolloutPlan, now: int) -> None:
+        self.state = RolloutState.ROLLING
+        self.status = ""
+        self.current_wave = -1
+        self._plan = plan
+        self._members = {member.name: member for member in plan.members}
+        self._waves = plan_waves(plan.members, plan.max_unavailable)
+        self._unsettled_until = now  # the latest instant at which the current wave was not settled
+        self._last_sent: dict[str, int] = {}  # by command id
+        self._last_contact = dict.fromkeys(self._members, now)
+        self._latest_status: dict[str, MemberStatus] = {}
+        self._initial_crash_count: dict[str, int] = {}
+        self._rollback_pending: list[str] = []
+        self._paused = False
+
+    def handle(self, now: int, event: Event) -> list[Action]:
+        """Applies an event at the instant `now` and returns what is to be done for it, in order."""
+        if self.state is RolloutState.FINISHED:
             return []
-        acts: list[Doing] = []
-        if isinstance(what, Pause):
-            self.paused = what.on
-        elif isinstance(what, Health) and what.name in self.members:
-            self.heard[what.name] = now
-            self.health[what.name] = what
-            self.crashes.setdefault(what.name, what.crashes)
-            if what.generation > self.members[what.name].generation and not self._ours(what.name, what.id):
-                return self._conflict(f"{what.name} stands at generation {what.generation} of {what.who}")
-        elif isinstance(what, Answered) and what.name in self.members:
-            acts += self._answered(now, what)
-        return acts + self._go_on(now)
-
-    def _answered(self, now: int, what: Answered) -> list[Doing]:
-        self.heard[what.name] = now
-        if what.answer.won:
+        actions: list[Action] = []
+        match event:
+            case SetPaused(paused=paused):
+                self._paused = paused
+            case MemberStatus(name=name) if name in self._members:
+                self._record_status(now, event)
+                if self._is_foreign_change(event):
+                    return self._finish_in_conflict(
+                        f"{name} stands at generation {event.generation} of {event.author}"
+                    )
+            case CommandAnswered(name=name) if name in self._members:
+                actions += self._on_command_answered(now, event)
+        return actions + self._advance(now)
+
+    def _record_status(self, now: int, status: MemberStatus) -> None:
+        self._last_contact[status.name] = now
+        self._latest_status[status.name] = status
+        self._initial_crash_count.setdefault(status.name, status.crash_count)
+
+    def _on_command_answered(self, now: int, event: CommandAnswered) -> list[Action]:
+        self._last_contact[event.name] = now
+        if event.result.accepted:
             return []
-        stands = what.answer.stands
-        if self._ours(what.name, stands.id):
-            return []  # by this tool or another that has the same plan
-        if "could not be written" in what.answer.reason:
-            self._go_back(now, f"{what.name}: {what.answer.reason}")
+        current = event.result.current
+        if self._is_from_this_rollout(event.name, current.command_id):
+            return []  # sent by this tool or by another with the same plan
+        if event.result.is_write_failure:
+            self._begin_rollback(f"{event.name}: {event.result.reason}")
             return []
-        return self._conflict(
-            f"{what.name} stands at generation {stands.generation} of {stands.who}: {stands.why}"
+        return self._finish_in_conflict(
+            f"{event.name} stands at generation {current.generation} of {current.author}: {current.reason}"
         )
 
-    def _conflict(self, why: str) -> list[Doing]:
-        """Another operator's change stands there: nothing of it is touched, and nothing more is sent."""
-        self.state = "over"
-        return [Over("conflict", why)]
-
-    def _ours(self, name: str, id_: str) -> bool:
-        return id_.startswith(f"{self.name}/{name}/")
-
-    def _id(self, name: str, to: str) -> str:
-        return f"{self.name}/{name}/{to}"
-
-    def _at(self, name: str, to: str) -> bool:
-        """Whether a member has come to stand there."""
-        health = self.health.get(name)
-        return health is not None and health.id.startswith(self._id(name, to))
-
-    def _go_on(self, now: int) -> list[Doing]:
-        if self.state == "undoing":
-            return self._undo(now)
-        silent = [name for name in self._begun() if now > self.heard[name] + LOST_FOR]
-        self.state = "holding" if self.paused or silent else "rolling"
-        self.verdict = f"no word from {silent[0]}" if silent else "paused" if self.paused else ""
-        acts: list[Doing] = []
-        fault = self._gate()
-        if fault:
-            self._go_back(now, fault)
-            return self._undo(now)
-        if self.state == "holding":
-            return acts
-        begun = self._begun()
-        settled = all(self._at(name, "new") and self.health[name].ready for name in begun)
-        if not settled:
-            self.since = now
-        elif now >= self.since + (SOAK if begun else 0):
-            if self.wave + 1 == len(self.waves):
-                self.state = "over"
-                return [Over("done", f"{len(begun)} members in {len(self.waves)} waves")]
-            self.wave += 1
-            self.since = now
-        for name in self._begun():
-            if not self._at(name, "new"):
-                acts += self._send(now, name, "new")
-        return acts
-
-    def _begun(self) -> list[str]:
-        return [name for wave in self.waves[: self.wave + 1] for name in wave]
-
-    def _send(self, now: int, name: str, to: str) -> list[Doing]:
-        if now < self.sent.get(self._id(name, to), -SOAK) + SOAK // 10:
+    def _advance(self, now: int) -> list[Action]:
+        if self.state is RolloutState.ROLLING_BACK:
+            return self._roll_back(now)
+        self._update_hold(now)
+        failure = self._gate_failure()
+        if failure:
+            self._begin_rollback(failure)
+            return self._roll_back(now)
+        if self.state is RolloutState.HOLDING:
             return []
-        self.sent[self._id(name, to)] = now
-        member = self.members[name]
-        if to == "new":
-            return [
-                Send(name, Command(self._id(name, to), member.generation, self.who, self.why, member.new))
-            ]
-        # also to one that does not stand on the new one: it fences off a command that is still on its way
-        expect = member.generation + self._at(name, "new")
-        why = f"undone: {self.verdict}"
-        return [Send(name, Command(f"{self._id(name, to)}@{expect}", expect, self.who, why, member.old))]
-
-    def _gate(self) -> str:
-        """What is wrong with the members that were changed, against those that were not."""
-        changed = [name for name in self._begun() if self._at(name, "new")]
-        others = [one.in_target for name, one in self.health.items() if name not in self._begun()]
+        return self._roll_forward(now)
+
+    def _update_hold(self, now: int) -> None:
+        unreachable = [name for name in self._started_members() if self._is_unreachable(now, name)]
+        if unreachable:
+            self.status = f"no word from {unreachable[0]}"
+        elif self._paused:
+            self.status = "paused"
+        else:
+            self.status = ""
+        self.state = RolloutState.HOLDING if self.status else RolloutState.ROLLING
+
+    def _roll_forward(self, now: int) -> list[Action]:
+        """Begins the next wave once the current one has settled and soaked, and sends what is not done."""
+        started = self._started_members()
+        soak_time = SOAK_TIME if started else 0
+        if not all(self._is_updated(name) for name in started):
+            self._unsettled_until = now
+        elif now >= self._unsettled_until + soak_time:
+            if self.current_wave + 1 == len(self._waves):
+                summary = f"{len(started)} members in {len(self._waves)} waves"
+                return self._finish(RolloutOutcome.COMPLETED, summary)
+            self.current_wave += 1
+            self._unsettled_until = now
+        actions: list[Action] = []
+        for name in self._started_members():
+            if not self._runs(name, Revision.NEW):
+                actions += self._send(now, name, Revision.NEW)
+        return actions
+
+    def _gate_failure(self) -> str:
+        """Returns what is wrong with the changed members against the others; empty if nothing is."""
+        started = self._started_members()
+        changed = [name for name in started if self._runs(name, Revision.NEW)]
         for name in changed:
-            health = self.health[name]
-            if health.crashes > self.crashes.get(name, 0):
+            if self._latest_status[name].crash_count > self._initial_crash_count.get(name, 0):
                 return f"{name}: a director of it crashed"
-        shares = [self.health[name].in_target for name in changed if self.health[name].ready]
-        if shares and others:
-            usual, now = sum(others) / len(others), sum(shares) / len(shares)
-            if now < usual - WORSE:
-                return f"{100 * now:.1f}% in target on the new one, {100 * usual:.1f}% on the old"
+        statuses = [self._latest_status[name] for name in changed]
+        new_ratios = [status.on_target_ratio for status in statuses if status.ready]
+        previous_ratios = [
+            status.on_target_ratio for name, status in self._latest_status.items() if name not in started
+        ]
+        if not new_ratios or not previous_ratios:
+            return ""
+        new_mean = sum(new_ratios) / len(new_ratios)
+        previous_mean = sum(previous_ratios) / len(previous_ratios)
+        if new_mean < previous_mean - MAX_ON_TARGET_DROP:
+            return f"{100 * new_mean:.1f}% in target on the new one, {100 * previous_mean:.1f}% on the old"
         return ""
 
-    def _go_back(self, now: int, why: str) -> None:
-        self.state, self.verdict = "undoing", why
-        self.undo = [
-            name for name in self._begun() if self._id(name, "new") in self.sent or self._at(name, "new")
+    def _begin_rollback(self, reason: str) -> None:
+        self.state = RolloutState.ROLLING_BACK
+        self.status = reason
+        self._rollback_pending = [
+            name
+            for name in self._started_members()
+            if self._command_id(name, Revision.NEW) in self._last_sent or self._runs(name, Revision.NEW)
         ]
 
-    def _undo(self, now: int) -> list[Doing]:
-        """Members that took the change go back, all together: the old one is known to do well."""
-        self.undo = [name for name in self.undo if not self._at(name, "old")]
-        if not self.undo or all(now > self.heard[name] + LOST_FOR for name in self.undo):
-            self.state = "over"
-            lost = f"; no word from {', '.join(self.undo)}" if self.undo else ""
-            return [Over("undone", self.verdict + lost)]
-        return [act for name in self.undo for act in self._send(now, name, "old")]
+    def _roll_back(self, now: int) -> list[Action]:
+        """Sends all changed members back at once, as the previous specification is known to be good."""
+        self._rollback_pending = [
+            name for name in self._rollback_pending if not self._runs(name, Revision.PREVIOUS)
+        ]
+        pending = self._rollback_pending
+        if all(self._is_unreachable(now, name) for name in pending):
+            unreachable = f"; no word from {', '.join(pending)}" if pending else ""
+            return self._finish(RolloutOutcome.ROLLED_BACK, self.status + unreachable)
+        return [action for name in pending for action in self._send(now, name, Revision.PREVIOUS)]
+
+    def _send(self, now: int, name: str, revision: Revision) -> list[Action]:
+        command_id = self._command_id(name, revision)
+        last_sent = self._last_sent.get(command_id)
+        if last_sent is not None and now < last_sent + RESEND_INTERVAL:
+            return []
+        self._last_sent[command_id] = now
+        if revision is Revision.NEW:
+            return [SendCommand(name, self._forward_command(name))]
+        return [SendCommand(name, self._rollback_command(name))]
+
+    def _forward_command(self, name: str) -> Command:
+        member = self._members[name]
+        return Command(
+            command_id=self._command_id(name, Revision.NEW),
+            expected_generation=member.generation,
+            author=self._plan.author,
+            reason=self._plan.reason,
+            spec=member.new_spec,
+        )
+
+    def _rollback_command(self, name: str) -> Command:
+        """Returns the command that sets the previous specification.
+
+        It is sent also to a member that does not run the new one: it fences off a command on its way there.
+        """
+        member = self._members[name]
+        expected_generation = member.generation + self._runs(name, Revision.NEW)
+        return Command(
+            command_id=f"{self._command_id(name, Revision.PREVIOUS)}@{expected_generation}",
+            expected_generation=expected_generation,
+            author=self._plan.author,
+            reason=f"undone: {self.status}",
+            spec=member.previous_spec,
+        )
+
+    def _finish(self, outcome: RolloutOutcome, reason: str) -> list[Action]:
+        self.state = RolloutState.FINISHED
+        return [RolloutFinished(outcome, reason)]
+
+    def _finish_in_conflict(self, reason: str) -> list[Action]:
+        """Ends the rollout where another operator's change is in force, and leaves that untouched."""
+        return self._finish(RolloutOutcome.CONFLICT, reason)
+
+    def _started_members(self) -> list[str]:
+        """Returns the members of all waves that have begun."""
+        return [name for wave in self._waves[: self.current_wave + 1] for name in wave]
+
+    def _is_unreachable(self, now: int, name: str) -> bool:
+        return now > self._last_contact[name] + CONTACT_TIMEOUT
+
+    def _is_foreign_change(self, status: MemberStatus) -> bool:
+        changed = status.generation > self._members[status.name].generation
+        return changed and not self._is_from_this_rollout(status.name, status.command_id)
+
+    def _is_from_this_rollout(self, name: str, command_id: str) -> bool:
+        return command_id.startswith(self._command_id_prefix(name))
+
+    def _command_id_prefix(self, name: str) -> str:
+        return f"{self._plan.name}/{name}/"
+
+    def _command_id(self, name: str, revision: Revision) -> str:
+        return f"{self._command_id_prefix(name)}{revision.value}"
+
+    def _runs(self, name: str, revision: Revision) -> bool:
+        """Returns whether a member last reported that it runs the specification of that revision."""
+        status = self._latest_status.get(name)
+        return status is not None and status.command_id.startswith(self._command_id(name, revision))
+
+    def _is_updated(self, name: str) -> bool:
+        return self._runs(name, Revision.NEW) and self._latest_status[name].ready
--- /dev/null
+++ b/ironhinge/fleet/supervisor.py
@@ -0,0 +1,220 @@
+"""Supervision of an agent's directors: start, drain, restart with backoff, and give up on crash loops.
+
+A director whose configuration changes is drained and started anew once it has exited; one that does not exit
+in its time is killed. One that exits by itself is restarted after a backoff that doubles; after `MAX_CRASHES`
+exits within `CRASH_WINDOW` it has failed, and stays down until another generation is in force.
+
+The module starts no process itself: `Supervisor.handle` returns what is to be done. Instants and spans are in
+ticks of a tenth of a millisecond.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import TypeAlias
+
+from .desired_state import Entry
+
+TICKS_PER_SECOND = 10_000
+INITIAL_BACKOFF = TICKS_PER_SECOND // 5
+MAX_BACKOFF = 30 * TICKS_PER_SECOND
+MAX_CRASHES = 5
+CRASH_WINDOW = 60 * TICKS_PER_SECOND
+# The platform promises that all admitted requests are answered within 3.7 s of SIGTERM.
+DRAIN_TIMEOUT = 4 * TICKS_PER_SECOND + TICKS_PER_SECOND // 2
+READY_TIMEOUT = 10 * TICKS_PER_SECOND
+
+
+@dataclass(frozen=True, slots=True)
+class GenerationActivated:
+    """Event: a generation is in force."""
+
+    entry: Entry
+
+
+@dataclass(frozen=True, slots=True)
+class ChildStarted:
+    """Event: a director reports that it is ready."""
+
+    name: str
+    pid: int
+
+
+@dataclass(frozen=True, slots=True)
+class ChildExited:
+    """Event: a director's process has exited."""
+
+    name: str
+    pid: int
+    exit_code: int
+
+
+@dataclass(frozen=True, slots=True)
+class TimePassed:
+    """Event: nothing happened, but timeouts may be due."""
+
+
+Event: TypeAlias = GenerationActivated | ChildStarted | ChildExited | TimePassed
+
+
+@dataclass(frozen=True, slots=True)
+class StartChild:
+    """Action: start a director with the configuration of this digest."""
+
+    name: str
+    config: str
+
+
+@dataclass(frozen=True, slots=True)
+class DrainChild:
+    """Action: have a director finish its requests and exit."""
+
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class KillChild:
+    """Action: end a director's process by force."""
+
+    name: str
+
+
+Action: TypeAlias = StartChild | DrainChild | KillChild
+
+
+class ChildState(StrEnum):
+    """States of a director; the values are those that `Supervisor.states` shows."""
+
+    DOWN = "down"
+    STARTING = "starting"
+    RUNNING = "up"
+    DRAINING = "draining"
+    BACKOFF = "waits"
+    FAILED = "broken"
+
+
+_WITHOUT_PROCESS = (ChildState.DOWN, ChildState.BACKOFF, ChildState.FAILED)
+_WITH_CURRENT_PROCESS = (ChildState.STARTING, ChildState.RUNNING)
+
+
+@dataclass(slots=True)
+class Child:
+    """What the supervisor knows of one director.
+
+    Attributes:
+        desired_config: Digest of the configuration that it is to run; None if it is to be down.
+        running_config: Digest of the configuration that its process was started with.
+        state: Its state.
+        state_since: When it was started, or became ready, or was last killed while starting.
+        deadline: When its drain or its backoff ends.
+        crash_times: Its latest exits that nobody asked for.
+        backoff: How long the next backoff lasts.
+    """
+
+    desired_config: str | None
+    running_config: str | None = None
+    state: ChildState = ChildState.DOWN
+    state_since: int = 0
+    deadline: int = 0
+    crash_times: list[int] = field(default_factory=list)
+    backoff: int = INITIAL_BACKOFF
+
+    def reset_crashes(self) -> None:
+        """Forgets earlier crashes, so that it is started at once."""
+        self.state = ChildState.DOWN
+        self.crash_times = []
+        self.backoff = INITIAL_BACKOFF
+
+    def record_exit(self, now: int) -> None:
+        """Notes that its process has exited, and decides whether and when it is restarted."""
+        self.running_config = None
+        if self.state is ChildState.DRAINING:
+            self.state = ChildState.DOWN
+            return
+        self.crash_times = [at for at in self.crash_times if at > now - CRASH_WINDOW]
+        self.crash_times.append(now)
+        if len(self.crash_times) >= MAX_CRASHES:
+            self.state = ChildState.FAILED
+            return
+        self.state = ChildState.BACKOFF
+        self.deadline = now + self.backoff
+        self.backoff = min(MAX_BACKOFF, 2 * self.backoff)
+
+
+class Supervisor:
+    """The supervisor of one agent's directors, as a pure state machine with `handle` as its entry point.
+
+    Attributes:
+        children: The directors that are to run, or whose processes still do, by name.
+        generation: The generation in force.
+    """
+
+    def __init__(self) -> None:
+        self.children: dict[str, Child] = {}
+        self.generation = 0
+
+    def handle(self, now: int, event: Event) -> list[Action]:
+        """Applies an event at the instant `now` and returns what is to be done for it, in order."""
+        match event:
+            case GenerationActivated(entry=entry):
+                self._on_generation(entry)
+            case ChildStarted(name=name):
+                self._on_started(now, name)
+            case ChildExited(name=name) if name in self.children:
+                self.children[name].record_exit(now)
+        actions: list[Action] = []
+        for name, child in list(self.children.items()):
+            actions += self._advance(now, name, child)
+            if child.desired_config is None and child.state in _WITHOUT_PROCESS:
+                del self.children[name]
+        return actions
+
+    def states(self) -> dict[str, str]:
+        """Returns the state of each director by name, for people."""
+        return {name: child.state.value for name, child in sorted(self.children.items())}
+
+    def _on_generation(self, entry: Entry) -> None:
+        if entry.generation <= self.generation:
+            return  # a delayed event of an earlier generation
+        self.generation = entry.generation
+        configs = entry.configs()
+        for name, config in configs.items():
+            child = self.children.setdefault(name, Child(config))
+            child.desired_config = config
+            if child.state in (ChildState.FAILED, ChildState.BACKOFF):
+                child.reset_crashes()
+        for name, child in self.children.items():
+            if name not in configs:
+                child.desired_config = None
+
+    def _on_started(self, now: int, name: str) -> None:
+        child = self.children.get(name)
+        if child is not None and child.state is ChildState.STARTING:
+            child.state = ChildState.RUNNING
+            child.state_since = now
+
+    def _advance(self, now: int, name: str, child: Child) -> list[Action]:
+        if child.state is ChildState.BACKOFF and now >= child.deadline:
+            child.state = ChildState.DOWN
+        if child.state is ChildState.DOWN and child.desired_config is not None:
+            child.state = ChildState.STARTING
+            child.state_since = now
+            child.running_config = child.desired_config
+            return [StartChild(name, child.desired_config)]
+        if child.state in _WITH_CURRENT_PROCESS and child.running_config != child.desired_config:
+            child.state = ChildState.DRAINING
+            child.deadline = now + DRAIN_TIMEOUT
+            return [DrainChild(name)]
+        return self._check_timeouts(now, name, child)
+
+    def _check_timeouts(self, now: int, name: str, child: Child) -> list[Action]:
+        if child.state is ChildState.DRAINING and now >= child.deadline:
+            child.deadline = now + DRAIN_TIMEOUT  # kill it again should this be lost
+            return [KillChild(name)]
+        if child.state is ChildState.STARTING and now >= child.state_since + READY_TIMEOUT:
+            child.state_since = now
+            return [KillChild(name)]
+        if child.state is ChildState.RUNNING and now >= child.state_since + CRASH_WINDOW:
+            child.backoff = INITIAL_BACKOFF
+        return []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,208 +1,275 @@
-"""Generations, journals, children and rollouts: pure state machines under delays, doubles and crashes."""
+"""Desired states, journals, supervision and rollouts: state machines among delays, doubles and crashes."""
 
 from random import Random
 
 import pytest
 
-from ironhinge.fleet.children import (
-    BACK_OFF,
-    DRAIN,
-    MOST,
-    READY,
-    Children,
-    Drain,
-    Ended,
-    Kill,
-    Start,
-    Tick,
-    Told,
-    Up,
-)
-from ironhinge.fleet.desired import (
-    Answer,
-    Append,
-    Appended,
-    Asked,
+from ironhinge.fleet.desired_state import (
+    ActivateGeneration,
+    AppendEntry,
     Command,
-    Desired,
+    CommandResult,
+    DesiredState,
     Entry,
-    InForce,
-    NotAppended,
+    EntryPersisted,
+    EntryWriteFailed,
+    PendingCommand,
 )
-from ironhinge.fleet.journal import Broken, line, read
+from ironhinge.fleet.errors import CorruptJournalError, FleetError, GenerationOrderError
+from ironhinge.fleet.journal import decode_journal, encode_entry
 from ironhinge.fleet.rollout import (
-    LOST_FOR,
-    SOAK,
-    Answered,
-    Health,
-    Member,
-    Over,
-    Pause,
+    CONTACT_TIMEOUT,
+    RESEND_INTERVAL,
+    SOAK_TIME,
+    CommandAnswered,
+    MemberStatus,
     Rollout,
-    Send,
-    plan,
+    RolloutFinished,
+    RolloutOutcome,
+    RolloutPlan,
+    RolloutState,
+    SendCommand,
+    SetPaused,
+)
+from ironhinge.fleet.rollout import TimePassed as RolloutTimePassed
+from ironhinge.fleet.supervisor import (
+    DRAIN_TIMEOUT,
+    INITIAL_BACKOFF,
+    MAX_CRASHES,
+    READY_TIMEOUT,
+    ChildExited,
+    ChildStarted,
+    DrainChild,
+    GenerationActivated,
+    KillChild,
+    StartChild,
+    Supervisor,
+    TimePassed,
 )
-from ironhinge.fleet.rollout import Tick as RollTick
+from ironhinge.fleet.waves import Member, plan_waves
 
 SPEC = (("n0", "one"), ("n1", "one"))
 
 
-def command(id_, expect, who="ada", spec=SPEC):
-    return Command(id_, expect, who, "a reason", spec)
-
+def command(command_id, expected_generation, author="ada", spec=SPEC):
+    return Command(command_id, expected_generation, author, "a reason", spec)
 
-def win(one, id_, expect, **other):
-    (act,) = one.step(Asked(command(id_, expect, **other), 5))
-    assert type(act) is Append
-    return one.step(Appended(act.entry.generation))
 
+def accept(agent, command_id, expected_generation, **other):
+    (action,) = agent.handle(PendingCommand(command(command_id, expected_generation, **other), 5))
+    assert type(action) is AppendEntry
+    return agent.handle(EntryPersisted(action.entry.generation))
 
-def test_one_of_two_conflicting_commands_wins_whole_and_the_other_learns_of_it():
-    one = Desired()
-    (append,) = one.step(Asked(command("a", 0), 5))
-    assert one.step(Asked(command("b", 0, "bob"), 6)) == []  # not before the first is settled
-    force, won, lost = one.step(Appended(1))
-    assert force == InForce(append.entry) and won == Answer("a", True, append.entry)
-    assert not lost.won and (lost.stands.who, lost.stands.at_ms) == ("ada", 5) and one.stands.id == "a"
 
+def journal_entries(agent):
+    """All entries but the initial one, which is never written."""
+    return list(agent.history)[1:]
 
-def test_a_command_that_comes_again_does_nothing_also_after_a_restart():
-    one = Desired()
-    win(one, "a", 0)
-    assert one.step(Asked(command("a", 0), 9)) == [Answer("a", True, one.stands)]
-    again = Desired(tuple(one.history)[1:])
-    assert again.step(Asked(command("a", 0), 9)) == [Answer("a", True, one.stands)]
-    (late,) = again.step(Asked(command("old", 0), 9))
-    assert not late.won, "a delayed command of an earlier generation"
 
+@pytest.fixture
+def agent():
+    return DesiredState()
 
-def test_what_could_not_be_written_is_not_in_force_and_may_be_asked_again():
-    one = Desired()
-    one.step(Asked(command("a", 0), 5))
-    (answer,) = one.step(NotAppended(1, "no space left"))
-    assert not answer.won and "no space" in answer.reason and one.stands.generation == 0
-    assert one.step(Appended(1)) == []
-    assert win(one, "a", 0)[1].won
 
-
-def test_a_journal_is_read_up_to_what_was_not_written_whole():
-    one = Desired()
-    for at in range(5):
-        win(one, f"c{at}", at)
-    data = b"".join(map(line, tuple(one.history)[1:]))
-    assert read(data) == (list(one.history)[1:], len(data))
-    for cut in range(len(data)):
-        entries, whole = read(data[:cut])
-        assert entries == list(one.history)[1 : 1 + len(entries)] and data[:whole].count(b"\n") == len(
-            entries
-        )
-    bad = bytearray(data)
-    bad[30] ^= 1
-    with pytest.raises(Broken):
-        read(bytes(bad))
-    with pytest.raises(ValueError):
-        Desired((one.history[2],))
+def test_one_of_two_conflicting_commands_is_accepted_and_the_other_learns_of_it(agent):
+    (append,) = agent.handle(PendingCommand(command("a", 0), 5))
+    assert agent.handle(PendingCommand(command("b", 0, "bob"), 6)) == [], "not before the first is settled"
+    activate, accepted, rejected = agent.handle(EntryPersisted(1))
+    assert activate == ActivateGeneration(append.entry)
+    assert accepted == CommandResult("a", True, append.entry)
+    assert not rejected.accepted
+    assert (rejected.current.author, rejected.current.created_at_ms) == ("ada", 5)
+    assert agent.current.command_id == "a"
+
+
+def test_a_repeated_command_has_no_effect_also_after_a_restart(agent):
+    accept(agent, "a", 0)
+    assert agent.handle(PendingCommand(command("a", 0), 9)) == [CommandResult("a", True, agent.current)]
+    restarted = DesiredState(journal_entries(agent))
+    assert restarted.handle(PendingCommand(command("a", 0), 9)) == [CommandResult("a", True, agent.current)]
+    (delayed,) = restarted.handle(PendingCommand(command("old", 0), 9))
+    assert not delayed.accepted, "a delayed command of an earlier generation"
+
+
+def test_an_entry_that_could_not_be_written_is_not_in_force_and_its_command_may_be_repeated(agent):
+    agent.handle(PendingCommand(command("a", 0), 5))
+    (result,) = agent.handle(EntryWriteFailed(1, "no space left"))
+    assert not result.accepted
+    assert result.is_write_failure
+    assert "no space" in result.reason
+    assert agent.current.generation == 0
+    assert agent.handle(EntryPersisted(1)) == []
+    assert accept(agent, "a", 0)[1].accepted
+
+
+@pytest.fixture
+def written_agent(agent):
+    for generation in range(5):
+        accept(agent, f"c{generation}", generation)
+    return agent
+
+
+@pytest.fixture
+def journal(written_agent):
+    return b"".join(map(encode_entry, journal_entries(written_agent)))
+
+
+def test_a_journal_is_read_up_to_an_incomplete_last_line(written_agent, journal):
+    written = journal_entries(written_agent)
+    assert decode_journal(journal) == (written, len(journal))
+    for cut in range(len(journal)):
+        entries, valid_length = decode_journal(journal[:cut])
+        assert entries == written[: len(entries)]
+        assert journal[:valid_length].count(b"\n") == len(entries)
+
+
+def test_a_journal_damaged_before_its_last_line_is_refused(journal):
+    damaged = bytearray(journal)
+    damaged[30] ^= 1
+    with pytest.raises(CorruptJournalError, match="line at byte 0: checksum mismatch") as raised:
+        decode_journal(bytes(damaged))
+    assert isinstance(raised.value, FleetError)
+
+
+def test_entries_out_of_order_are_refused(written_agent):
+    with pytest.raises(GenerationOrderError, match="found generation 2, expected 1") as raised:
+        DesiredState((written_agent.history[2],))
+    assert isinstance(raised.value, ValueError)
+
+
+class Interleaving:
+    """Two operators' commands to one agent, over a network that delays and doubles, among crashes."""
+
+    def __init__(self, seed):
+        self.seed, self.random = seed, Random(seed)
+        self.agent, self.journal, self.in_force = DesiredState(), b"", []
+        self.commands = [
+            command(f"{author}{number}", self.random.randrange(6), author)
+            for author in ("ada", "bob")
+            for number in range(6)
+        ]
+        self.in_transit, self.results, self.writing = list(self.commands), {}, []
+
+    def run(self):
+        while self.in_transit or self.writing:
+            for action in self.step():
+                self.perform(action)
+            if not self.in_transit and not self.writing:  # operators repeat what was not answered
+                self.in_transit = [one for one in self.commands if one.command_id not in self.results]
+
+    def step(self):
+        draw = self.random.random()
+        if draw < 0.1:
+            self.crash()
+        elif draw < 0.4 and self.writing:
+            return self.finish_write(self.writing.pop(0))
+        elif self.in_transit:
+            one = self.in_transit.pop(self.random.randrange(len(self.in_transit)))
+            if self.random.random() < 0.2:
+                self.in_transit.append(one)  # doubled
+            return self.agent.handle(PendingCommand(one, self.seed))
+        return []
+
+    def crash(self):
+        """The agent is killed; what it was writing may be there, or in part, or not."""
+        for entry in self.writing:
+            line = encode_entry(entry)
+            self.journal += line[: self.random.choice([0, self.random.randrange(len(line)), len(line)])]
+        self.writing = []
+        entries, valid_length = decode_journal(self.journal)
+        self.journal, self.agent = self.journal[:valid_length], DesiredState(entries)
+        stored = [entry.command_id for entry in entries]
+        assert stored[: len(self.in_force)] == self.in_force, "in force, and then not any more"
+        self.in_force = stored
+
+    def finish_write(self, entry):
+        if self.random.random() < 0.1:
+            return self.agent.handle(EntryWriteFailed(entry.generation, "no space left"))
+        self.journal += encode_entry(entry)
+        return self.agent.handle(EntryPersisted(entry.generation))
+
+    def perform(self, action):
+        if type(action) is AppendEntry:
+            self.writing.append(action.entry)
+        elif type(action) is ActivateGeneration:
+            self.in_force.append(action.entry.command_id)
+        else:
+            self.results[action.command_id] = action
 
 
 @pytest.mark.parametrize("seeds", range(10))
 def test_two_operators_among_delays_doubles_and_crashes(seeds):
     """1,000 interleavings in all: no two commands in one generation, none twice, none without an answer."""
     for seed in range(100 * seeds, 100 * seeds + 100):
-        chance = Random(seed)
-        agent, journal, force = Desired(), b"", []
-        todo = [command(f"{who}{at}", chance.randrange(6), who) for who in ("ada", "bob") for at in range(6)]
-        wire, answers, writing = list(todo), {}, []
-        while wire or writing:
-            dice = chance.random()
-            acts = []
-            if dice < 0.1:  # the agent is killed; what it was writing may be there, or in part, or not
-                for entry in writing:
-                    data = line(entry)
-                    journal += data[: chance.choice([0, chance.randrange(len(data)), len(data)])]
-                writing = []
-                entries, whole = read(journal)
-                journal, agent = journal[:whole], Desired(tuple(entries))
-                assert [entry.id for entry in entries][: len(force)] == force, (
-                    "in force, and then not any more"
-                )
-                force = [entry.id for entry in entries]
-            elif dice < 0.4 and writing:
-                entry = writing.pop(0)
-                if chance.random() < 0.1:
-                    acts = agent.step(NotAppended(entry.generation, "no space left"))
-                else:
-                    journal += line(entry)
-                    acts = agent.step(Appended(entry.generation))
-            elif wire:
-                one = wire.pop(chance.randrange(len(wire)))
-                if chance.random() < 0.2:
-                    wire.append(one)  # doubled
-                acts = agent.step(Asked(one, seed))
-            for act in acts:
-                if type(act) is Append:
-                    writing.append(act.entry)
-                elif type(act) is InForce:
-                    force.append(act.entry.id)
-                else:
-                    answers[act.id] = act
-            if not wire and not writing:  # operators ask again for what they have no answer to
-                wire = [one for one in todo if one.id not in answers]
-        assert len(force) == len(set(force)) and set(answers) == {one.id for one in todo}
-        entries, _ = read(journal)
+        played = Interleaving(seed)
+        played.run()
+        assert len(played.in_force) == len(set(played.in_force))
+        assert set(played.results) == {one.command_id for one in played.commands}
+        entries, _ = decode_journal(played.journal)
         assert [entry.generation for entry in entries] == list(range(1, len(entries) + 1))
-        won = {id_ for id_, answer in answers.items() if answer.won}
-        assert won <= set(force)
+        accepted = {command_id for command_id, result in played.results.items() if result.accepted}
+        assert accepted <= set(played.in_force)
 
 
-# Children
+# Supervision
 
 
 def entry(generation, **spec):
     return Entry(generation, "x", "ada", "", 0, tuple(spec.items()))
 
 
-def test_a_new_configuration_drains_then_starts():
-    one = Children()
-    assert one.step(0, Told(entry(1, n0="a", n1="a"))) == [Start("n0", "a"), Start("n1", "a")]
-    one.step(10, Up("n0", 7))
-    one.step(10, Up("n1", 8))
-    assert one.step(20, Told(entry(2, n0="b", n1="a"))) == [Drain("n0")]
-    assert one.step(21, Tick()) == [] and one.step(30, Ended("n0", 7, 0)) == [Start("n0", "b")]
-    assert one.step(40, Told(entry(1, n0="a"))) == [], "a word of an earlier generation"
-    assert one.step(50, Told(entry(3, n0="b"))) == [Drain("n1")]
-    one.step(60, Ended("n1", 8, 0))
-    assert one.plain() == {"n0": "starting"}
-
-
-def test_one_that_ignores_its_drain_is_ended_by_force():
-    one = Children()
-    one.step(0, Told(entry(1, n0="a")))
-    one.step(1, Up("n0", 7))
-    assert one.step(2, Told(entry(2))) == [Drain("n0")]
-    assert one.step(2 + DRAIN - 1, Tick()) == [] and one.step(2 + DRAIN, Tick()) == [Kill("n0")]
-    assert one.step(3 + DRAIN, Ended("n0", 7, -9)) == [] and not one.children
-
-
-def test_one_that_crashes_is_started_later_and_later_until_it_is_broken():
-    one, now, waits = Children(), 0, []
-    one.step(0, Told(entry(1, n0="a")))
-    for _ in range(MOST - 1):
-        assert one.step(now, Ended("n0", 7, 1)) == []
-        began = now
-        while not (acts := one.step(now, Tick())):
+@pytest.fixture
+def supervisor():
+    return Supervisor()
+
+
+def test_a_new_configuration_drains_then_starts(supervisor):
+    assert supervisor.handle(0, GenerationActivated(entry(1, n0="a", n1="a"))) == [
+        StartChild("n0", "a"),
+        StartChild("n1", "a"),
+    ]
+    supervisor.handle(10, ChildStarted("n0", 7))
+    supervisor.handle(10, ChildStarted("n1", 8))
+    assert supervisor.handle(20, GenerationActivated(entry(2, n0="b", n1="a"))) == [DrainChild("n0")]
+    assert supervisor.handle(21, TimePassed()) == []
+    assert supervisor.handle(30, ChildExited("n0", 7, 0)) == [StartChild("n0", "b")]
+    assert supervisor.handle(40, GenerationActivated(entry(1, n0="a"))) == [], "an earlier generation"
+    assert supervisor.handle(50, GenerationActivated(entry(3, n0="b"))) == [DrainChild("n1")]
+    supervisor.handle(60, ChildExited("n1", 8, 0))
+    assert supervisor.states() == {"n0": "starting"}
+
+
+def test_a_director_that_ignores_its_drain_is_killed(supervisor):
+    supervisor.handle(0, GenerationActivated(entry(1, n0="a")))
+    supervisor.handle(1, ChildStarted("n0", 7))
+    assert supervisor.handle(2, GenerationActivated(entry(2))) == [DrainChild("n0")]
+    assert supervisor.handle(2 + DRAIN_TIMEOUT - 1, TimePassed()) == []
+    assert supervisor.handle(2 + DRAIN_TIMEOUT, TimePassed()) == [KillChild("n0")]
+    assert supervisor.handle(3 + DRAIN_TIMEOUT, ChildExited("n0", 7, -9)) == []
+    assert not supervisor.children
+
+
+def test_a_crashing_director_is_restarted_with_backoff_until_it_has_failed(supervisor):
+    now, backoffs = 0, []
+    supervisor.handle(0, GenerationActivated(entry(1, n0="a")))
+    for _ in range(MAX_CRASHES - 1):
+        assert supervisor.handle(now, ChildExited("n0", 7, 1)) == []
+        crashed_at = now
+        while not (actions := supervisor.handle(now, TimePassed())):
             now += 100
-        assert acts == [Start("n0", "a")]
-        waits.append(now - began)
-    assert waits == sorted(waits) and waits[-1] >= 4 * BACK_OFF
-    one.step(now, Ended("n0", 7, 1))
-    assert one.plain() == {"n0": "broken"} and one.step(now + 10**7, Tick()) == []
-    assert one.step(now, Told(entry(2, n0="b"))) == [Start("n0", "b")]
+        assert actions == [StartChild("n0", "a")]
+        backoffs.append(now - crashed_at)
+    assert backoffs == sorted(backoffs)
+    assert backoffs[-1] >= 4 * INITIAL_BACKOFF
+    supervisor.handle(now, ChildExited("n0", 7, 1))
+    assert supervisor.states() == {"n0": "broken"}
+    assert supervisor.handle(now + 10**7, TimePassed()) == []
+    assert supervisor.handle(now, GenerationActivated(entry(2, n0="b"))) == [StartChild("n0", "b")]
 
 
-def test_one_that_never_gets_ready_is_ended():
-    one = Children()
-    one.step(0, Told(entry(1, n0="a")))
-    assert one.step(READY, Tick()) == [Kill("n0")]
+def test_a_director_that_is_never_ready_is_killed(supervisor):
+    supervisor.handle(0, GenerationActivated(entry(1, n0="a")))
+    assert supervisor.handle(READY_TIMEOUT, TimePassed()) == [KillChild("n0")]
 
 
 # Rollouts
@@ -210,131 +277,162 @@
 
 def members(count=12, branches=4):
     return tuple(
-        Member(f"m{at:02}", f"b{at % branches}", 3, (("n", "old"),), (("n", "new"),)) for at in range(count)
+        Member(f"m{number:02}", f"b{number % branches}", 3, (("n", "old"),), (("n", "new"),))
+        for number in range(count)
     )
 
 
 def test_waves_grow_and_leave_each_branch_its_capacity():
-    waves = plan(members(), {"b0": 2})
+    waves = plan_waves(members(), {"b0": 2})
     assert [len(wave) for wave in waves] == [1, 2, 4, 3, 2]
-    branch = {member.name: member.branch for member in members()}
+    branches = {member.name: member.branch for member in members()}
     for wave in waves:
-        for name in branch.values():
-            assert sum(branch[each] == name for each in wave) <= (2 if name == "b0" else 1)
-    assert sorted(sum(waves, [])) == [member.name for member in members()]
+        for branch in branches.values():
+            limit = 2 if branch == "b0" else 1
+            assert sum(branches[name] == branch for name in wave) <= limit
+    assert sorted(name for wave in waves for name in wave) == [member.name for member in members()]
 
 
 class Fleet:
-    """Members as desired states, over a network that loses; some of them cut off, or badly off with the new
-    one."""
+    """Members as desired states, over a network that loses messages.
+
+    Some members may be unreachable, or miss their latency objective with the new specification.
+    """
 
-    def __init__(self, seed, bad=(), cut=(), lost=0.2):
-        self.chance, self.bad, self.cut, self.lost = Random(seed), set(bad), set(cut), lost
+    def __init__(self, seed, degraded=(), unreachable=(), loss=0.2):
+        self.random, self.loss = Random(seed), loss
+        self.degraded, self.unreachable = set(degraded), set(unreachable)
         self.agents = {}
         for member in members():
-            self.agents[member.name] = Desired()
-            for at in range(3):
-                win(self.agents[member.name], f"before{at}", at, spec=(("n", "old"),))
-        self.crashes = dict.fromkeys(self.agents, 0)
-
-    def health(self, name):
-        new = dict(self.agents[name].stands.spec)["n"] == "new"
-        worse = 0.3 if new and name in self.bad else 0.0
-        stands = self.agents[name].stands
-        return Health(name, stands.generation, stands.id, stands.who, True, 0.95 - worse, self.crashes[name])
-
-    def play(self, tools, now=0, until=40 * SOAK):
-        """Any number of tools with the same plan; how each ended."""
+            self.agents[member.name] = DesiredState()
+            for generation in range(3):
+                accept(self.agents[member.name], f"before{generation}", generation, spec=(("n", "old"),))
+        self.crash_counts = dict.fromkeys(self.agents, 0)
+
+    def status(self, name):
+        current = self.agents[name].current
+        on_new = current.configs()["n"] == "new"
+        ratio = 0.95 - (0.3 if on_new and name in self.degraded else 0.0)
+        return MemberStatus(
+            name,
+            current.generation,
+            current.command_id,
+            current.author,
+            True,
+            ratio,
+            self.crash_counts[name],
+        )
+
+    def play(self, rollouts, now=0, until=40 * SOAK_TIME):
+        """Any number of tools with the same plan; returns how each ended, and when."""
         ends = {}
-        while now < until and len(ends) < len(tools):
-            now += SOAK // 10
-            for place, tool in enumerate(tools):
-                events = [RollTick()]
-                events += [self.health(name) for name in self.agents if self._through(name)]
+        while now < until and len(ends) < len(rollouts):
+            now += RESEND_INTERVAL
+            for index, rollout in enumerate(rollouts):
+                events = [RolloutTimePassed()]
+                events += [self.status(name) for name in self.agents if self.is_delivered(name)]
                 for event in events:
-                    for act in tool.step(now, event):
-                        self.carry_out(now, tool, act, ends, place)
-        return [ends.get(place) for place in range(len(tools))], now
-
-    def _through(self, name):
-        return name not in self.cut and self.chance.random() > self.lost
-
-    def carry_out(self, now, tool, act, ends, place):
-        if type(act) is Over:
-            ends[place] = act
-        elif self._through(act.name):
-            assert type(act) is Send
-            agent = self.agents[act.name]
-            acts = agent.step(Asked(act.command, now))
-            if acts and type(acts[0]) is Append:
-                acts = agent.step(Appended(acts[0].entry.generation))
-            answer = acts[-1]
-            if self._through(act.name):
-                for more in tool.step(now, Answered(act.name, answer)):
-                    self.carry_out(now, tool, more, ends, place)
+                    for action in rollout.handle(now, event):
+                        self.perform(now, rollout, action, ends, index)
+        return [ends.get(index) for index in range(len(rollouts))], now
+
+    def is_delivered(self, name):
+        return name not in self.unreachable and self.random.random() > self.loss
+
+    def perform(self, now, rollout, action, ends, index):
+        if type(action) is RolloutFinished:
+            ends[index] = action
+        elif self.is_delivered(action.name):
+            assert type(action) is SendCommand
+            agent = self.agents[action.name]
+            results = agent.handle(PendingCommand(action.command, now))
+            if results and type(results[0]) is AppendEntry:
+                results = agent.handle(EntryPersisted(results[0].entry.generation))
+            if self.is_delivered(action.name):
+                for more in rollout.handle(now, CommandAnswered(action.name, results[-1])):
+                    self.perform(now, rollout, more, ends, index)
 
     def on_new(self):
-        return sorted(name for name, one in self.agents.items() if dict(one.stands.spec)["n"] == "new")
+        return sorted(name for name, agent in self.agents.items() if agent.current.configs()["n"] == "new")
+
+    def generations(self):
+        return {agent.current.generation for agent in self.agents.values()}
 
 
-def rollout(name="r1", now=0):
-    return Rollout(name, "ada", "a reason", members(), {}, now)
+def new_rollout(name="r1", author="ada", reason="a reason", now=0):
+    return Rollout(RolloutPlan(name, author, reason, members(), {}), now)
 
 
-def test_a_good_change_reaches_all_over_a_network_that_loses():
+def test_a_good_change_reaches_all_members_over_a_lossy_network():
     fleet = Fleet(1)
-    (end,), _ = fleet.play([rollout()])
-    assert end.how == "done" and len(fleet.on_new()) == 12
-    assert {one.stands.generation for one in fleet.agents.values()} == {4}, "sent again, done once"
+    (end,), _ = fleet.play([new_rollout()])
+    assert end.outcome is RolloutOutcome.COMPLETED
+    assert len(fleet.on_new()) == 12
+    assert fleet.generations() == {4}, "sent again, done once"
 
 
-def test_a_bad_change_is_stopped_at_the_canary_and_undone_by_itself():
-    fleet = Fleet(2, bad={member.name for member in members()})
-    (end,), _ = fleet.play([rollout()])
-    assert end.how == "undone" and "in target" in end.why and fleet.on_new() == []
-    assert sum(one.stands.generation > 3 for one in fleet.agents.values()) == 1
+def test_a_bad_change_is_stopped_at_the_canary_and_rolled_back():
+    fleet = Fleet(2, degraded={member.name for member in members()})
+    (end,), _ = fleet.play([new_rollout()])
+    assert end.outcome is RolloutOutcome.ROLLED_BACK
+    assert "in target" in end.reason
+    assert fleet.on_new() == []
+    assert sum(agent.current.generation > 3 for agent in fleet.agents.values()) == 1
 
 
-def test_a_crash_in_a_later_wave_takes_all_back():
-    fleet, tool = Fleet(3), rollout()
+def test_a_crash_in_a_later_wave_rolls_all_members_back():
+    fleet, rollout = Fleet(3), new_rollout()
     now = 0
-    while tool.wave < 2:
-        _, now = fleet.play([tool], now, now + SOAK)
+    while rollout.current_wave < 2:
+        _, now = fleet.play([rollout], now, now + SOAK_TIME)
     name = fleet.on_new()[-1]
-    fleet.crashes[name] += 1
-    (end,), _ = fleet.play([tool], now)
-    assert end.how == "undone" and "crashed" in end.why and fleet.on_new() == []
-
-
-def test_a_member_that_is_cut_off_holds_the_rollout_and_a_pause_too():
-    fleet, tool = Fleet(4, cut={"m01"}), rollout()
-    _, now = fleet.play([tool], 0, 3 * LOST_FOR)
-    assert tool.state == "holding" and tool.verdict == "no word from m01" and len(fleet.on_new()) <= 3
-    fleet.cut = set()
-    tool.step(now, Pause(True))
-    (end,), now = fleet.play([tool], now, now + 5 * SOAK)
-    assert end is None and tool.verdict == "paused"
-    tool.step(now, Pause(False))
-    (end,), _ = fleet.play([tool], now)
-    assert end.how == "done"
-
-
-def test_another_tool_takes_a_rollout_up_where_the_first_died():
-    fleet, first = Fleet(5), rollout()
+    fleet.crash_counts[name] += 1
+    (end,), _ = fleet.play([rollout], now)
+    assert end.outcome is RolloutOutcome.ROLLED_BACK
+    assert "crashed" in end.reason
+    assert fleet.on_new() == []
+
+
+def test_an_unreachable_member_holds_the_rollout_and_a_pause_too():
+    fleet, rollout = Fleet(4, unreachable={"m01"}), new_rollout()
+    _, now = fleet.play([rollout], 0, 3 * CONTACT_TIMEOUT)
+    assert rollout.state is RolloutState.HOLDING
+    assert rollout.status == "no word from m01"
+    assert len(fleet.on_new()) <= 3
+    fleet.unreachable = set()
+    rollout.handle(now, SetPaused(True))
+    (end,), now = fleet.play([rollout], now, now + 5 * SOAK_TIME)
+    assert end is None
+    assert rollout.status == "paused"
+    rollout.handle(now, SetPaused(False))
+    (end,), _ = fleet.play([rollout], now)
+    assert end.outcome is RolloutOutcome.COMPLETED
+
+
+def test_another_tool_carries_a_rollout_on_where_the_first_died():
+    fleet, first = Fleet(5), new_rollout()
     now = 0
-    while first.wave < 1:
-        _, now = fleet.play([first], now, now + SOAK)
-    second = rollout(now=now)
+    while first.current_wave < 1:
+        _, now = fleet.play([first], now, now + SOAK_TIME)
+    second = new_rollout(now=now)
     (end,), _ = fleet.play([second], now)
-    assert end.how == "done" and {one.stands.generation for one in fleet.agents.values()} == {4}
-    both = Fleet(6)
-    ends, _ = both.play([rollout(), rollout()])  # and two at once do nothing twice
-    assert {end.how for end in ends} == {"done"}
-    assert {one.stands.generation for one in both.agents.values()} == {4}
+    assert end.outcome is RolloutOutcome.COMPLETED
+    assert fleet.generations() == {4}
+
+
+def test_two_tools_at_once_change_each_member_once():
+    fleet = Fleet(6)
+    ends, _ = fleet.play([new_rollout(), new_rollout()])
+    assert {end.outcome for end in ends} == {RolloutOutcome.COMPLETED}
+    assert fleet.generations() == {4}
 
 
 def test_of_two_operators_rollouts_one_ends_in_a_conflict_that_names_the_other():
     fleet = Fleet(7)
-    ends, _ = fleet.play([rollout("r1"), Rollout("r2", "bob", "mine", members(), {}, 0)])
-    assert sorted(end.how for end in ends if end) == ["conflict", "done"]
-    assert any("of ada" in end.why or "of bob" in end.why for end in ends if end.how == "conflict")
+    ends, _ = fleet.play([new_rollout("r1"), new_rollout("r2", "bob", "mine")])
+    assert sorted(end.outcome for end in ends if end) == [RolloutOutcome.CONFLICT, RolloutOutcome.COMPLETED]
+    assert any(
+        "of ada" in end.reason or "of bob" in end.reason
+        for end in ends
+        if end.outcome is RolloutOutcome.CONFLICT
+    )
--- a/tests/test_fleet_stored_form.py
+++ b/tests/test_fleet_stored_form.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ironhinge.fleet.desired import Answer, Asked, Command, Desired, Entry
-from ironhinge.fleet.journal import line, read
+from ironhinge.fleet.desired_state import Command, CommandResult, DesiredState, Entry, PendingCommand
+from ironhinge.fleet.journal import decode_journal, encode_entry
 
 STORED = Path(__file__).parent / "data" / "fleet_journal.bin"
 ENTRIES = [
@@ -44,19 +44,19 @@
 
 
 def test_a_stored_journal_is_decoded_to_the_same_entries(stored):
-    assert read(stored) == (ENTRIES, len(stored))
+    assert decode_journal(stored) == (ENTRIES, len(stored))
 
 
 def test_the_same_entries_are_encoded_to_the_same_bytes(stored):
-    assert b"".join(line(entry) for entry in ENTRIES) == stored
+    assert b"".join(encode_entry(entry) for entry in ENTRIES) == stored
 
 
 def test_an_agent_restored_from_a_stored_journal_has_the_same_state(stored):
-    entries, _ = read(stored)
-    agent = Desired(tuple(entries))
-    assert agent.stands == ENTRIES[-1]
+    entries, _ = decode_journal(stored)
+    agent = DesiredState(entries)
+    assert agent.current == ENTRIES[-1]
     assert list(agent.history)[1:] == ENTRIES
-    assert agent.before(3) == ENTRIES[1]
+    assert agent.entry_before(3) == ENTRIES[1]
     for entry in ENTRIES:
-        again = Command(entry.id, entry.generation - 1, entry.who, entry.why, entry.spec)
-        assert agent.step(Asked(again, 1)) == [Answer(entry.id, True, entry)]
+        again = Command(entry.command_id, entry.generation - 1, entry.author, entry.reason, entry.spec)
+        assert agent.handle(PendingCommand(again, 1)) == [CommandResult(entry.command_id, True, entry)]
