--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -81,11 +81,12 @@
     """The operators' records, or none without files; ValueError says what is wrong with them."""
     if not operations:
         return None
-    from .settings.apart import Refused, read
+    from .settings.errors import IsolatedReadError
+    from .settings.isolated import load_isolated
 
     try:
-        return read(operations, config)
-    except Refused as fault:
+        return load_isolated(operations, config)
+    except IsolatedReadError as fault:
         raise ValueError(str(fault)) from None
 
 
--- a/ironhinge/settings/__init__.py
+++ b/ironhinge/settings/__init__.py
@@ -1,6 +1,9 @@
-"""Owns the operators' settings: a small language of typed records after CUE, what may stand in them, and the
-frozen records that other packages read.
+"""Operators' settings: a small language of typed records after CUE, its schema, and the records it gives.
 
-It must never decide anything, hold a tuned value of the module, or act on a name: it says what was written,
-where, and whether that is allowed. It does no I/O except in `load.py`, which reads the files it is given.
+A text is parsed (`grammar`, `parser`) into a syntax tree (`syntax`), which is evaluated (`evaluation`) and
+unified (`unification`) with the schema (`schema.cue`) to values (`values`). `export` turns these into plain
+objects, `validation` checks what the schema can't, and `records` holds the result for other packages.
+
+The package must never decide anything or act on a name: it reports what was written, where, and whether that
+is allowed. It does no I/O except in `load`, `isolated` and `cli`, which read the files that they are given.
 """
--- a/ironhinge/settings/cli.py
+++ b/ironhinge/settings/cli.py
@@ -1,13 +1,20 @@
-"""Owns the commands on settings. It must never change a file."""
+"""The commands `ironhinge settings`. They change no file."""
 
 from __future__ import annotations
 
 import json
 import sys
-from typing import Any
+from collections.abc import Sequence
+from typing import TYPE_CHECKING, Any, NoReturn
 
 import click
 
+if TYPE_CHECKING:  # the parser is loaded only by commands that need it
+    from .errors import Diagnostic
+    from .load import LoadedSettings
+
+EXIT_INVALID = 2
+
 
 @click.group()
 def settings() -> None:
@@ -23,39 +30,30 @@
 json_option = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of text.")
 
 
-def loaded(files: tuple[str, ...], as_json: bool = False, config: str | None = None) -> Any:
-    """The settings of these files; what is wrong with them ends the program with code 2, all of it told."""
-    from .load import Wrong, against, load
+def load_or_exit(files: Sequence[str], as_json: bool = False, config: str | None = None) -> LoadedSettings:
+    """Loads settings, or prints all that is wrong with them and ends the program.
+
+    Args:
+        files: The files' names.
+        as_json: Whether diagnostics are printed as a JSON object.
+        config: The name of a director's configuration whose zones and vhosts are the ones allowed.
+    """
+    from .errors import InvalidSettingsError
+    from .load import load
 
     try:
-        found = load(files)
+        loaded_settings = load(files)
         if config is not None:
-            from ..facts import Malformed, assignment
-
-            try:
-                with open(config, encoding="utf-8") as file:
-                    names = assignment(json.load(file)).names
-            except (ValueError, Malformed) as malformed:
-                click.echo(f"ironhinge: {config}: {malformed}", err=True)
-                sys.exit(2)
-            faults = against(found, names.zones, names.vhosts)
-            if faults:
-                raise Wrong(faults)
-        return found
-    except Wrong as wrong:
-        if as_json:
-            rows = [
-                {**fault.at._asdict(), "path": fault.path, "found": fault.found, "expected": fault.expected}
-                for fault in wrong.faults
-            ]
-            click.echo(json.dumps({"good": False, "faults": rows}))
-        else:
-            for fault in wrong.faults:
-                click.echo(str(fault), err=True)
-        sys.exit(2)
-    except OSError as fault:
-        click.echo(f"ironhinge: {fault.filename}: {fault.strerror}", err=True)
-        sys.exit(2)
+            _check_against_config(loaded_settings, config)
+    except InvalidSettingsError as error:
+        _print_diagnostics(error.diagnostics, as_json)
+        sys.exit(EXIT_INVALID)
+    except OSError as error:
+        _exit_invalid(f"{error.filename}: {error.strerror}")
+    return loaded_settings
+
+
+loaded = load_or_exit  # the earlier name, for the commands on traffic
 
 
 @settings.command()
@@ -64,13 +62,13 @@
 @json_option
 def check(files: tuple[str, ...], config: str | None, as_json: bool) -> None:
     """Say all that is wrong with FILES taken together; code 0 if nothing is."""
-    traffic = loaded(files, as_json, config).operations.traffic
+    traffic = load_or_exit(files, as_json, config).operations.traffic
     count = len(traffic.budgets) if traffic else 0
     if as_json:
         click.echo(json.dumps({"good": True, "traffic": traffic is not None, "budgets": count}))
     else:
-        about = f"account of traffic, {count} budgets" if traffic else "nothing turned on"
-        click.echo(f"{', '.join(files)}: good; {about}")
+        summary = f"account of traffic, {count} budgets" if traffic else "nothing turned on"
+        click.echo(f"{', '.join(files)}: good; {summary}")
 
 
 @settings.command()
@@ -79,10 +77,10 @@
 @json_option
 def show(files: tuple[str, ...], config: str | None, as_json: bool) -> None:
     """Print what FILES come to, unified and with all defaults."""
-    from .load import write
+    from .printer import print_settings
 
-    plain = loaded(files, False, config).plain
-    click.echo(json.dumps(plain) if as_json else write(plain), nl=as_json)
+    plain = load_or_exit(files, False, config).plain
+    click.echo(json.dumps(plain) if as_json else print_settings(plain), nl=as_json)
 
 
 @settings.command()
@@ -91,3 +89,45 @@
     from .load import schema_text
 
     click.echo(schema_text(), nl=False)
+
+
+def _check_against_config(loaded_settings: LoadedSettings, config: str) -> None:
+    from ..facts import Malformed, assignment
+    from .errors import InvalidSettingsError
+    from .validation import check_names
+
+    try:
+        # A Path would normalise the name in the message of an error.
+        with open(config, encoding="utf-8") as file:  # noqa: PTH123 - see above
+            names = assignment(json.load(file)).names
+    except (ValueError, Malformed) as error:
+        _exit_invalid(f"{config}: {error}")
+    diagnostics = check_names(
+        loaded_settings.operations, loaded_settings.locations, names.zones, names.vhosts
+    )
+    if diagnostics:
+        raise InvalidSettingsError(diagnostics)
+
+
+def _print_diagnostics(diagnostics: Sequence[Diagnostic], as_json: bool) -> None:
+    if as_json:
+        click.echo(json.dumps({"good": False, "faults": [_to_json(each) for each in diagnostics]}))
+        return
+    for diagnostic in diagnostics:
+        click.echo(str(diagnostic), err=True)
+
+
+def _to_json(diagnostic: Diagnostic) -> dict[str, Any]:
+    return {
+        "file": diagnostic.location.file,
+        "line": diagnostic.location.line,
+        "column": diagnostic.location.column,
+        "path": diagnostic.path,
+        "found": diagnostic.found,
+        "expected": diagnostic.expected,
+    }
+
+
+def _exit_invalid(message: str) -> NoReturn:
+    click.echo(f"ironhinge: {message}", err=True)
+    sys.exit(EXIT_INVALID)
--- /dev/null
+++ b/ironhinge/settings/constraints.py
@@ -0,0 +1,94 @@
+"""Type constraints: which scalars meet one, and what two of them allow together."""
+
+from __future__ import annotations
+
+import operator
+import re
+from collections.abc import Callable
+from typing import Any
+
+from .description import describe
+from .errors import Diagnostic
+from .syntax import BoundOperator, ScalarValue
+from .units import parse_quantity
+from .values import Bound, Conflict, Kind, TypeConstraint
+
+_PYTHON_TYPES: dict[Kind, tuple[type, ...]] = {
+    Kind.INT: (int,),
+    Kind.NUMBER: (int, float),
+    Kind.STRING: (str,),
+    Kind.BOOL: (bool,),
+    Kind.NULL: (type(None),),
+}
+_COMPARISONS: dict[BoundOperator, Callable[[Any, Any], bool]] = {
+    BoundOperator.LESS: operator.lt,
+    BoundOperator.LESS_OR_EQUAL: operator.le,
+    BoundOperator.GREATER: operator.gt,
+    BoundOperator.GREATER_OR_EQUAL: operator.ge,
+    BoundOperator.NOT_EQUAL: operator.ne,
+}
+
+
+def satisfies(value: ScalarValue, constraint: TypeConstraint) -> bool:
+    """Returns whether a scalar meets a constraint."""
+    if constraint.kind is not None and not _is_of_kind(value, constraint.kind):
+        return False
+    figure = value
+    if constraint.unit is not None:
+        figure = parse_quantity(constraint.unit, value) if isinstance(value, str) else None
+        if figure is None:
+            return False
+    return all(_meets_bound(value, figure, bound, constraint.unit) for bound in constraint.bounds)
+
+
+def intersect(first: TypeConstraint, second: TypeConstraint, path: str) -> TypeConstraint | Conflict:
+    """Returns the constraint that allows what both allow."""
+    kinds = {first.kind, second.kind} - {None}
+    if kinds == {Kind.INT, Kind.NUMBER}:
+        kinds = {Kind.INT}
+    if len(kinds) > 1 or (first.unit and second.unit and first.unit != second.unit):
+        return Conflict(Diagnostic(first.location, path, describe(first), describe(second)))
+    bounds = tuple(sorted(set(first.bounds) | set(second.bounds), key=_bound_order))
+    return TypeConstraint(next(iter(kinds), None), first.unit or second.unit, bounds, first.location)
+
+
+def is_narrower(constraint: TypeConstraint, wider: TypeConstraint) -> bool:
+    """Returns whether a constraint allows nothing that another, different one does not."""
+    if is_same_constraint(constraint, wider):
+        return False
+    return (
+        _includes_kind(wider.kind, constraint.kind)
+        and wider.unit in (None, constraint.unit)
+        and set(wider.bounds) <= set(constraint.bounds)
+    )
+
+
+def is_same_constraint(first: TypeConstraint, second: TypeConstraint) -> bool:
+    """Returns whether two constraints are the same, wherever they are written."""
+    same_type = (first.kind, first.unit) == (second.kind, second.unit)
+    return same_type and set(first.bounds) == set(second.bounds)
+
+
+def _includes_kind(wider: Kind | None, kind: Kind | None) -> bool:
+    return wider in (None, kind) or (wider, kind) == (Kind.NUMBER, Kind.INT)
+
+
+def _is_of_kind(value: ScalarValue, kind: Kind) -> bool:
+    # A bool is an int in Python, but no number in the language.
+    return isinstance(value, _PYTHON_TYPES[kind]) and isinstance(value, bool) is (kind is Kind.BOOL)
+
+
+def _meets_bound(value: ScalarValue, figure: ScalarValue, bound: Bound, unit: str | None) -> bool:
+    """Returns whether a scalar meets a bound; `figure` is its quantity where it has a unit."""
+    if bound.operator is BoundOperator.MATCHES:
+        return isinstance(value, str) and re.search(str(bound.operand), value) is not None
+    operand = bound.operand
+    if unit and isinstance(operand, str):
+        operand = parse_quantity(unit, operand)
+    if isinstance(figure, str) is not isinstance(operand, str) or isinstance(figure, bool):
+        return bound.operator is BoundOperator.NOT_EQUAL
+    return _COMPARISONS[bound.operator](figure, operand)
+
+
+def _bound_order(bound: Bound) -> str:
+    return repr((bound.operator.value, bound.operand))
--- /dev/null
+++ b/ironhinge/settings/parser.py
@@ -0,0 +1,217 @@
+"""Parses the text of settings to a syntax tree. It does not judge what it reads."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any, Protocol
+
+from lark import Token, Transformer, UnexpectedInput, v_args
+from lark.exceptions import VisitError
+
+from .errors import ConfigSyntaxError, SourceLocation
+from .grammar import TOKEN_DESCRIPTIONS, parser
+from .literals import unquote
+from .syntax import (
+    AlternativeExpr,
+    BoundExpr,
+    BoundOperator,
+    ConjunctionExpr,
+    DisjunctionExpr,
+    Expression,
+    FieldDeclaration,
+    ListExpr,
+    LiteralExpr,
+    RecordExpr,
+    ReferenceExpr,
+)
+
+MAX_OPEN_BRACKETS = 60  # guards the stack against a file of nothing but opening brackets
+MAX_NUMBER_LENGTH = 40  # characters
+MAX_EXPECTED_TOKENS = 6  # named in one diagnostic
+END_TOKEN = "$END"  # the name of the end of the input
+OPENING_BRACKETS, CLOSING_BRACKETS = "{[(", "}])"
+PATTERN_NAME = "string"
+
+
+class _Meta(Protocol):
+    """The position of a rule's match; both fields lack where it is empty."""
+
+    line: int
+    column: int
+
+
+@v_args(meta=True)
+class TreeBuilder(Transformer[Token, RecordExpr]):
+    """Builds the syntax tree of one file; each method stands for the grammar's rule of its name."""
+
+    def __init__(self, file: str) -> None:
+        super().__init__()
+        self._file = file
+
+    def _location(self, meta: _Meta) -> SourceLocation:
+        return SourceLocation(self._file, getattr(meta, "line", 1), getattr(meta, "column", 1))
+
+    def start(self, _meta: _Meta, children: list[RecordExpr]) -> RecordExpr:
+        """The whole file."""
+        return children[0]
+
+    def body(self, meta: _Meta, children: list[FieldDeclaration | Expression | None]) -> RecordExpr:
+        """The declarations of a record; None stands for the mark that it is open."""
+        fields = tuple(child for child in children if isinstance(child, FieldDeclaration))
+        patterns = [
+            child for child in children if child is not None and not isinstance(child, FieldDeclaration)
+        ]
+        if len(patterns) > 1:
+            raise ConfigSyntaxError(
+                patterns[1].location, "a second pattern", "at most one '[string]: ...' in a record"
+            )
+        pattern = patterns[0] if patterns else None
+        return RecordExpr(fields, pattern, None in children, self._location(meta))
+
+    def label(self, _meta: _Meta, children: list[Token]) -> tuple[str, SourceLocation]:
+        """The name of a field."""
+        token = children[0]
+        name = unquote(token) if token.type == "STRING" else str(token)
+        return name, SourceLocation(self._file, token.line or 1, token.column or 1)
+
+    def field(self, _meta: _Meta, children: list[Any]) -> FieldDeclaration:
+        """A field that is required."""
+        (name, location), expression = children
+        return FieldDeclaration(name, False, expression, location)
+
+    def optional_field(self, _meta: _Meta, children: list[Any]) -> FieldDeclaration:
+        """A field that may be missing."""
+        (name, location), expression = children
+        return FieldDeclaration(name, True, expression, location)
+
+    def nested_field(self, _meta: _Meta, children: list[Any]) -> FieldDeclaration:
+        """A field that holds a record of one field, written without braces."""
+        (name, location), inner = children
+        record = RecordExpr((inner,), None, False, inner.location)
+        return FieldDeclaration(name, False, record, location)
+
+    def pattern(self, meta: _Meta, children: list[Any]) -> Expression:
+        """What all fields hold that are not named."""
+        name, expression = children
+        if name != PATTERN_NAME:
+            raise ConfigSyntaxError(self._location(meta), f"[{name}]", f"[{PATTERN_NAME}]")
+        result: Expression = expression
+        return result
+
+    def open_marker(self, _meta: _Meta, _children: list[Any]) -> None:
+        """The mark that a record allows further fields."""
+
+    def plain_alternative(self, _meta: _Meta, children: list[Expression]) -> AlternativeExpr:
+        """An alternative that is not the default."""
+        return AlternativeExpr(children[0], False)
+
+    def default_alternative(self, _meta: _Meta, children: list[Expression]) -> AlternativeExpr:
+        """An alternative that is marked as the default."""
+        return AlternativeExpr(children[0], True)
+
+    def disjunction(self, meta: _Meta, children: list[AlternativeExpr]) -> Expression:
+        """Alternatives; a single one without a mark stands for itself."""
+        if len(children) == 1 and not children[0].is_default:
+            return children[0].expression
+        return DisjunctionExpr(tuple(children), self._location(meta))
+
+    def conjunction(self, meta: _Meta, children: list[Expression]) -> Expression:
+        """Expressions that all hold; a single one stands for itself."""
+        if len(children) == 1:
+            return children[0]
+        return ConjunctionExpr(tuple(children), self._location(meta))
+
+    def bound(self, meta: _Meta, children: list[Any]) -> BoundExpr:
+        """An operator with its operand."""
+        operator, operand = children
+        return BoundExpr(BoundOperator(str(operator)), operand, self._location(meta))
+
+    def number(self, meta: _Meta, children: list[Token]) -> LiteralExpr:
+        """A number; it is a float where it is written with a point or an exponent."""
+        text = str(children[0])
+        if len(text) > MAX_NUMBER_LENGTH:
+            raise ConfigSyntaxError(
+                self._location(meta), f"a number of {len(text)} digits", f"at most {MAX_NUMBER_LENGTH}"
+            )
+        is_integer = not set(text) & set(".eE")
+        return LiteralExpr(int(text) if is_integer else float(text), self._location(meta))
+
+    def string(self, meta: _Meta, children: list[Token]) -> LiteralExpr:
+        """A string in quotes."""
+        return LiteralExpr(unquote(children[0]), self._location(meta))
+
+    def reference(self, meta: _Meta, children: list[Token]) -> ReferenceExpr:
+        """A name, with the names of fields behind it."""
+        return ReferenceExpr(tuple(map(str, children)), self._location(meta))
+
+    def record(self, meta: _Meta, children: list[RecordExpr]) -> RecordExpr:
+        """A record in braces."""
+        body = children[0]
+        return RecordExpr(body.fields, body.pattern, body.is_open, self._location(meta))
+
+    def closed_list(self, meta: _Meta, children: list[Expression | None]) -> ListExpr:
+        """A list of its elements."""
+        elements = tuple(child for child in children if child is not None)
+        return ListExpr(elements, None, self._location(meta))
+
+    def open_list(self, meta: _Meta, children: list[Expression]) -> ListExpr:
+        """A list of any number of elements that are alike."""
+        return ListExpr((), children[0], self._location(meta))
+
+    def group(self, _meta: _Meta, children: list[Expression]) -> Expression:
+        """An expression in parentheses."""
+        return children[0]
+
+
+def parse(text: str, file: str) -> RecordExpr:
+    """Parses a text of settings.
+
+    Args:
+        text: The text.
+        file: Its file's name, for source locations.
+
+    Raises:
+        ConfigSyntaxError: The text is not of the language.
+    """
+    _check_nesting(text, file)
+    try:
+        return TreeBuilder(file).transform(parser().parse(text))
+    except VisitError as error:
+        raise error.orig_exc from None
+    except UnexpectedInput as error:
+        raise _syntax_error(error, text, file) from None
+
+
+def _check_nesting(text: str, file: str) -> None:
+    depth = 0
+    for number, line in enumerate(text.split("\n"), 1):
+        depth += _count(line, OPENING_BRACKETS)
+        depth -= _count(line, CLOSING_BRACKETS)
+        if depth > MAX_OPEN_BRACKETS:
+            location = SourceLocation(file, number, 1)
+            raise ConfigSyntaxError(location, f"more than {MAX_OPEN_BRACKETS} open braces", "fewer")
+
+
+def _count(line: str, brackets: str) -> int:
+    return sum(map(line.count, brackets))
+
+
+def _syntax_error(error: UnexpectedInput, text: str, file: str) -> ConfigSyntaxError:
+    expected = _describe_expected(error)
+    token = getattr(error, "token", None)
+    if token is not None and token.type == END_TOKEN:
+        lines = text.rstrip("\n").split("\n")
+        location = SourceLocation(file, len(lines), len(lines[-1]) + 1)
+        return ConfigSyntaxError(location, TOKEN_DESCRIPTIONS[END_TOKEN], expected)
+    found = repr(str(token)) if token is not None else repr(getattr(error, "char", "?"))
+    location = SourceLocation(file, max(1, error.line), max(1, error.column))
+    return ConfigSyntaxError(location, found, expected or "something else")
+
+
+def _describe_expected(error: UnexpectedInput) -> str:
+    # The kinds of the parser's exceptions differ in the attribute that holds the tokens.
+    tokens: Iterable[str] = ()
+    for attribute in ("accepts", "expected", "allowed"):
+        tokens = tokens or getattr(error, attribute, None) or ()
+    descriptions = {TOKEN_DESCRIPTIONS.get(token, f"'{token}'") for token in tokens}
+    return " or ".join(sorted(descriptions)[:MAX_EXPECTED_TOKENS])
--- a/ironhinge/settings/records.py
+++ b/ironhinge/settings/records.py
@@ -1,7 +1,7 @@
-"""Owns the frozen records that other packages read; their fields stand in `schema.cue` with bounds and
-defaults.
+"""The records of settings that other packages read.
 
-They must never hold more than what an operator wrote or the schema gives.
+Their fields are those of `schema.cue`, which has their bounds and defaults; they hold what an operator wrote
+or the schema gives. Sizes are bytes, rates bytes a second, spans ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -10,11 +10,12 @@
 
 import msgspec
 
-from . import units
-from .units import Rate, Size, Span
+from .units import Rate, Size, Span, parse_quantity, unit_name_of
 
 
 class Emergency(msgspec.Struct, frozen=True):
+    """What forced transfers may draw besides, once a budget is spent."""
+
     rate: Rate
     remember: Span
     burst: Size | None = None
@@ -22,12 +23,16 @@
 
 
 class Streams(msgspec.Struct, frozen=True):
+    """How streams of parts that were begun are preferred to all else."""
+
     part: float
     idle: Span
     interval: Span
 
 
 class Budget(msgspec.Struct, frozen=True):
+    """A budget of the fills that match all it names; it has a rate, a sum, or both."""
+
     ways: tuple[str, ...]
     scope: str
     ahead: float
@@ -44,6 +49,8 @@
 
 
 class Price(msgspec.Struct, frozen=True):
+    """What a gigabyte of the fills costs that match all it names."""
+
     ways: tuple[str, ...]
     per_gb: float
     into: str | None = None
@@ -51,21 +58,29 @@
 
 
 class Keep(msgspec.Struct, frozen=True):
+    """Where and how often the account of traffic is stored."""
+
     folder: str
     every: Span
 
 
 class Metrics(msgspec.Struct, frozen=True):
+    """Where the account of traffic is served to a metrics system."""
+
     port: int
     host: str
 
 
 class Share(msgspec.Struct, frozen=True):
+    """How directors share budgets among them."""
+
     every: Span
     give: float
 
 
 class Traffic(msgspec.Struct, frozen=True):
+    """The account of bytes that fills carry, and the budgets that they are held to."""
+
     period: Span
     most_streams: int
     distributions: bool
@@ -77,6 +92,8 @@
 
 
 class Disk(msgspec.Struct, frozen=True):
+    """The tier of copies on disk."""
+
     folder: str
     room: Size
     segment: Size
@@ -89,15 +106,16 @@
 
 
 class Operations(msgspec.Struct, frozen=True):
+    """All that operators set; what is None is turned off."""
+
     traffic: Traffic | None = None
     disk: Disk | None = None
 
 
-def _decode(kind: type, value: Any) -> Any:
-    name, _ = units.of(kind)
-    return units.parse(name, value)
+def to_operations(plain: Any) -> Operations:
+    """Returns the records of plain objects that the schema allows."""
+    return msgspec.convert(plain, Operations, dec_hook=_decode_quantity)
 
 
-def from_plain(plain: Any) -> Operations:
-    """The records of a plain value that the schema allows."""
-    return msgspec.convert(plain, Operations, dec_hook=_decode)
+def _decode_quantity(quantity_type: type, text: Any) -> Any:
+    return parse_quantity(unit_name_of(quantity_type), text)
--- a/ironhinge/settings/units.py
+++ b/ironhinge/settings/units.py
@@ -1,18 +1,19 @@
-"""Owns texts with units: sizes, rates, spans and money. It must never round what was written but to whole
-units.
+"""Quantities with units: sizes, rates, spans and money.
 
-Sizes are bytes (KB is 1,000, KiB 1,024), rates bytes a second, spans tenths of a millisecond.
+Sizes are bytes (KB is 1,000, KiB 1,024), rates bytes a second, spans ticks of a tenth of a millisecond. A
+quantity is rounded down to whole ones of these.
 """
 
 from __future__ import annotations
 
 import re
-from typing import NamedTuple
+from typing import NamedTuple, TypeAlias
 
-SIZES = {"B": 1, "KB": 10**3, "MB": 10**6, "GB": 10**9, "TB": 10**12, "PB": 10**15}
-SIZES.update({"KiB": 2**10, "MiB": 2**20, "GiB": 2**30, "TiB": 2**40})
-SPANS = {"ms": 10, "s": 10_000, "m": 600_000, "h": 36_000_000, "d": 864_000_000}
-NUMBER = r"[0-9]+(?:\.[0-9]+)?"
+SIZE_SYMBOLS = {"B": 1, "KB": 10**3, "MB": 10**6, "GB": 10**9, "TB": 10**12, "PB": 10**15}
+SIZE_SYMBOLS.update({"KiB": 2**10, "MiB": 2**20, "GiB": 2**30, "TiB": 2**40})
+SPAN_SYMBOLS = {"ms": 10, "s": 10_000, "m": 600_000, "h": 36_000_000, "d": 864_000_000}
+NUMBER_PATTERN = r"[0-9]+(?:\.[0-9]+)?"
+MAX_QUANTITY_LENGTH = 40  # characters
 
 
 class Size(int):
@@ -24,45 +25,64 @@
 
 
 class Span(int):
-    """Tenths of a millisecond."""
+    """Ticks of a tenth of a millisecond."""
+
+
+Quantity: TypeAlias = Size | Rate | Span
 
 
 class Unit(NamedTuple):
-    kind: type
-    words: dict[str, int]
-    per: str  # what stands behind the word
+    """A kind of quantity.
+
+    Attributes:
+        quantity_type: The type of its figures.
+        symbols: The figure of one of each symbol.
+        suffix: What follows the symbol.
+        example: A quantity as it is written in settings.
+    """
+
+    quantity_type: type[Quantity]
+    symbols: dict[str, int]
+    suffix: str
     example: str
 
 
 UNITS: dict[str, Unit] = {
-    "Size": Unit(Size, SIZES, "", '"2TB"'),
-    "Rate": Unit(Rate, SIZES, "/s", '"40MB/s"'),
-    "Span": Unit(Span, SPANS, "", '"30d"'),
+    "Size": Unit(Size, SIZE_SYMBOLS, "", '"2TB"'),
+    "Rate": Unit(Rate, SIZE_SYMBOLS, "/s", '"40MB/s"'),
+    "Span": Unit(Span, SPAN_SYMBOLS, "", '"30d"'),
 }
 
 
-def parse(name: str, text: str) -> int | None:
-    """The figure of a text of that unit; None where it is not one."""
-    unit = UNITS[name]
-    found = re.fullmatch(rf"({NUMBER})\s*([A-Za-z]+){unit.per}", text)
-    if not found or found.group(2) not in unit.words or len(text) > 40:
+def parse_quantity(unit_name: str, text: str) -> Quantity | None:
+    """Returns the quantity that a text stands for, or None where it is none of that unit."""
+    unit = UNITS[unit_name]
+    match = re.fullmatch(rf"({NUMBER_PATTERN})\s*([A-Za-z]+){unit.suffix}", text)
+    if not match or match.group(2) not in unit.symbols or len(text) > MAX_QUANTITY_LENGTH:
         return None
-    whole, _, part = found.group(1).partition(".")
-    scale = unit.words[found.group(2)]
-    return unit.kind(int(whole) * scale + (int(part) * scale // 10 ** len(part) if part else 0))
-
-
-def write(name: str, figure: int) -> str:
-    """The shortest text that `parse` reads as that figure."""
-    unit = UNITS[name]
-    fits = [(word, scale) for word, scale in unit.words.items() if figure % scale == 0 and figure >= scale]
-    if not fits:  # 0, or parts of the smallest unit, which is a power of ten
-        word, scale = min(unit.words.items(), key=lambda each: each[1])
-        part = f".{figure % scale:0{len(str(scale)) - 1}d}" if figure % scale else ""
-        return f"{figure // scale}{part}{word}{unit.per}"
-    word, scale = max(fits, key=lambda each: each[1])
-    return f"{figure // scale}{word}{unit.per}"
-
-
-def of(kind: type) -> tuple[str, Unit]:
-    return next((name, unit) for name, unit in UNITS.items() if unit.kind is kind)
+    whole, _, fraction = match.group(1).partition(".")
+    scale = unit.symbols[match.group(2)]
+    # Integers throughout, as a float would lose digits.
+    fraction_figure = int(fraction) * scale // 10 ** len(fraction) if fraction else 0
+    return unit.quantity_type(int(whole) * scale + fraction_figure)
+
+
+def format_quantity(unit_name: str, figure: int) -> str:
+    """Returns the shortest text that `parse_quantity` reads as that figure."""
+    unit = UNITS[unit_name]
+    divisors = [
+        (scale, symbol) for symbol, scale in unit.symbols.items() if figure % scale == 0 and figure >= scale
+    ]
+    if divisors:
+        scale, symbol = max(divisors, key=lambda divisor: divisor[0])
+        return f"{figure // scale}{symbol}{unit.suffix}"
+    # Zero, or a fraction of the smallest symbol, whose scale is a power of ten.
+    symbol, scale = min(unit.symbols.items(), key=lambda item: item[1])
+    digits = len(str(scale)) - 1
+    fraction = f".{figure % scale:0{digits}d}" if figure % scale else ""
+    return f"{figure // scale}{fraction}{symbol}{unit.suffix}"
+
+
+def unit_name_of(quantity_type: type) -> str:
+    """Returns the name of the unit whose figures are of that type."""
+    return next(name for name, unit in UNITS.items() if unit.quantity_type is quantity_type)
--- /dev/null
+++ b/ironhinge/settings/validation.py
@@ -0,0 +1,86 @@
+"""Checks that the schema can't express: relations between records, and names of a deployment.
+
+Diagnostics bear the source location of the field that they concern.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping, Sequence
+
+from .errors import Diagnostic, SourceLocation
+from .literals import quote
+from .records import Budget, Operations, Traffic
+
+Locations = Mapping[str, SourceLocation]
+
+
+def check_relations(operations: Operations, locations: Locations) -> Iterator[Diagnostic]:
+    """Yields what is not allowed between the fields of budgets, and between budgets."""
+    traffic = operations.traffic
+    if traffic is None:
+        return
+    for name, budget in traffic.budgets.items():
+        path = f"traffic.budgets.{name}"
+        yield from _check_limits(budget, path, locations)
+        yield from _check_enclosing_budgets(traffic, name, f"{path}.within", locations)
+
+
+def check_names(
+    operations: Operations, locations: Locations, zones: Sequence[str], vhosts: Sequence[str]
+) -> list[Diagnostic]:
+    """Returns the names that a deployment with these zones and vhosts lacks."""
+    if operations.traffic is None:
+        return []
+    return [
+        Diagnostic(locations[path], path, quote(name), "one of " + ", ".join(known_names))
+        for path, name, known_names in _names_in_use(operations.traffic, zones, vhosts)
+        if name is not None and name not in known_names
+    ]
+
+
+def _check_limits(budget: Budget, path: str, locations: Locations) -> Iterator[Diagnostic]:
+    if budget.rate is not None:
+        return
+    if budget.sum is None:
+        yield Diagnostic(locations[path], path, "neither a rate nor a sum", "one of them, or both")
+    if budget.burst is not None:
+        burst_path = f"{path}.burst"
+        yield Diagnostic(locations[burst_path], burst_path, "a burst without a rate", "a rate beside it")
+    if budget.streams is not None:
+        streams_path = f"{path}.streams"
+        expected = "a rate that they can be promised"
+        yield Diagnostic(locations[streams_path], streams_path, "streams without a rate", expected)
+
+
+def _check_enclosing_budgets(
+    traffic: Traffic, name: str, path: str, locations: Locations
+) -> Iterator[Diagnostic]:
+    """Follows the budgets that enclose one, to its end, an unknown name or a cycle."""
+    visited = {name}
+    enclosing = traffic.budgets[name].within
+    while enclosing is not None:
+        if enclosing not in traffic.budgets:
+            known_names = ", ".join(sorted(traffic.budgets))
+            yield Diagnostic(locations[path], path, f'"{enclosing}"', f"one of {known_names}")
+            return
+        if enclosing in visited:
+            yield Diagnostic(locations[path], path, "a circle", "a budget further up")
+            return
+        visited.add(enclosing)
+        enclosing = traffic.budgets[enclosing].within
+
+
+def _names_in_use(
+    traffic: Traffic, zones: Sequence[str], vhosts: Sequence[str]
+) -> Iterator[tuple[str, str | None, Sequence[str]]]:
+    """Yields the path and the value of each field that holds a name, with the names that it may hold."""
+    for budget_name, budget in traffic.budgets.items():
+        path = f"traffic.budgets.{budget_name}"
+        yield f"{path}.into", budget.into, zones
+        yield f"{path}.out_of", budget.out_of, zones
+        for index, vhost in enumerate(budget.vhosts or ()):
+            yield f"{path}.vhosts[{index}]", vhost, vhosts
+    for index, price in enumerate(traffic.prices):
+        path = f"traffic.prices[{index}]"
+        yield f"{path}.into", price.into, zones
+        yield f"{path}.out_of", price.out_of, zones
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,60 +1,94 @@
-"""The settings language: what it means, what it refuses and where it says so."""
+"""The settings language: what it means, what it refuses and which locations it reports."""
 
 import json
 import subprocess
 import sys
+from pathlib import Path
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from ironhinge.settings import units
-from ironhinge.settings.grammar import Unreadable, Where, parse
-from ironhinge.settings.load import Wrong, against, load_texts, schema_text, write
-from ironhinge.settings.unify import Bottom, Choice, Env, Rows, Scalar, Struct, Text, Top, Wanted, unify
+from ironhinge.settings.errors import (
+    ConfigSyntaxError,
+    Diagnostic,
+    InvalidSettingsError,
+    IsolatedReadError,
+    SettingsError,
+    SourceLocation,
+)
+from ironhinge.settings.isolated import load_isolated
+from ironhinge.settings.load import load_texts, schema_text
+from ironhinge.settings.parser import parse
+from ironhinge.settings.printer import print_settings
+from ironhinge.settings.unification import unify
+from ironhinge.settings.validation import check_names
+from ironhinge.settings.values import (
+    Conflict,
+    Disjunction,
+    ListValue,
+    RecordSource,
+    Scalar,
+    Scope,
+    Struct,
+    Top,
+    TypeConstraint,
+)
 
 FEW = settings(max_examples=60)
 
 
-def faults(text):
-    with pytest.raises(Wrong) as wrong:
-        load_texts([("f", text)])
-    return [str(fault) for fault in wrong.value.faults]
+def load_text(text):
+    return load_texts([("f", text)])
+
+
+def diagnostics(text):
+    with pytest.raises(InvalidSettingsError) as raised:
+        load_text(text)
+    return [str(diagnostic) for diagnostic in raised.value.diagnostics]
 
 
 def test_an_empty_file_turns_nothing_on():
-    assert load_texts([("f", "")]).operations.traffic is None
+    assert load_text("").operations.traffic is None
 
 
 def test_defaults_units_and_references():
-    told = load_texts(
-        [("f", 'traffic: budgets: a: {rate: "1.5MB/s", burst: traffic.budgets.a.sum, sum: "2GiB"}')]
+    traffic = load_text(
+        'traffic: budgets: a: {rate: "1.5MB/s", burst: traffic.budgets.a.sum, sum: "2GiB"}'
     ).operations.traffic
-    budget = told.budgets["a"]
+    budget = traffic.budgets["a"]
     assert (budget.rate, budget.burst, budget.ahead) == (1_500_000, 2 * 2**30, 0.02)
-    assert budget.ways == ("other-hub",) and told.period == 30 * 864_000_000
+    assert budget.ways == ("other-hub",)
+    assert traffic.period == 30 * 864_000_000
+
+
+BASE = ("base", 'traffic: {period: "1d", budgets: {a: {rate: "1MB/s"}}}')
+SITE = ("site", 'traffic: {budgets: {a: {burst: "2MB"}, b: {sum: "1TB"}}}')
+
+
+def test_a_base_and_a_sites_file_are_unified_in_any_order():
+    loaded = load_texts([BASE, SITE])
+    assert loaded.operations.traffic.budgets["a"].burst == 2_000_000
+    assert loaded.operations.traffic.budgets["b"].sum == 10**12
+    assert loaded.plain == load_texts([SITE, BASE]).plain
 
 
-def test_a_base_and_a_sites_file_are_one():
-    base = ("base", 'traffic: {period: "1d", budgets: {a: {rate: "1MB/s"}}}')
-    site = ("site", 'traffic: {budgets: {a: {burst: "2MB"}, b: {sum: "1TB"}}}')
-    told = load_texts([base, site]).operations.traffic
-    assert told.budgets["a"].burst == 2_000_000 and told.budgets["b"].sum == 10**12
-    assert load_texts([base, site]).plain == load_texts([site, base]).plain
-    with pytest.raises(Wrong) as wrong:
-        load_texts([base, ("site", 'traffic: period: "2d"')])
-    assert "base:1:19" in str(wrong.value) or "site:1:18" in str(wrong.value)
+def test_a_conflict_between_files_has_the_location_of_one_of_them():
+    with pytest.raises(InvalidSettingsError, match=r"base:1:19|site:1:18"):
+        load_texts([BASE, ("site", 'traffic: period: "2d"')])
 
 
 def test_an_operators_own_definition_is_a_template():
     text = '#Hub: {rate: "1MB/s", emergency: {rate: "10KB/s"}}\n'
     text += 'traffic: budgets: {a: #Hub, b: #Hub & {sum: "1TB"}}'
-    told = load_texts([("f", text)]).operations.traffic
-    assert told.budgets["b"].sum == 10**12 and told.budgets["a"].emergency.rate == 10_000
+    budgets = load_text(text).operations.traffic.budgets
+    assert budgets["b"].sum == 10**12
+    assert budgets["a"].emergency.rate == 10_000
 
 
-def test_all_errors_come_at_once_with_their_places():
-    found = faults(
+def test_all_diagnostics_come_at_once_with_their_locations():
+    found = diagnostics(
         'traffic: {\n  budgets: {a: {rate: 4, brust: "1MB"}\n    b: {rate: "1MB/s", ways: ["hub"]}}\n'
         "  most_streams: -1\n}\n"
     )
@@ -66,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    ("text", "expected"),
     [
         ("traffic: {", "f:1:11"),
         ("traffic: ]", "f:1:10: the file: found ']'"),
@@ -85,20 +119,25 @@
         ("{" * 70, "open braces"),
     ],
 )
-def test_what_is_wrong_is_said(text, said):
-    assert any(said in one for one in faults(text)), faults(text)
+def test_what_is_not_allowed_is_reported(text, expected):
+    found = diagnostics(text)
+    assert any(expected in one for one in found), found
 
 
-def test_names_that_the_deployment_lacks():
-    loaded = load_texts([("f", 'traffic: budgets: a: {rate: "1MB/s", into: "east", vhosts: ["film"]}')])
-    assert [fault.path for fault in against(loaded, ["west"], ["film"])] == ["traffic.budgets.a.into"]
-    assert not against(loaded, ["east"], ["film"])
+@pytest.mark.parametrize(
+    ("zones", "missing"),
+    [(["west"], [("traffic.budgets.a.into", '"east"', "one of west")]), (["east"], [])],
+)
+def test_names_that_the_deployment_lacks_are_reported(zones, missing):
+    loaded = load_text('traffic: budgets: a: {rate: "1MB/s", into: "east", vhosts: ["film"]}')
+    found = check_names(loaded.operations, loaded.locations, zones, ["film"])
+    assert [(one.path, one.found, one.expected) for one in found] == missing
 
 
 @FEW
 @given(st.sampled_from(["Size", "Rate", "Span"]), st.integers(0, 10**15))
-def test_figures_are_read_back(name, figure):
-    assert units.parse(name, units.write(name, figure)) == figure
+def test_printed_quantities_are_parsed_to_the_same_figure(name, figure):
+    assert units.parse_quantity(name, units.format_quantity(name, figure)) == figure
 
 
 RATES = st.integers(1, 10**9).map(lambda n: f"{n}KB/s")
@@ -133,31 +172,49 @@
 
 @FEW
 @given(PLAIN)
-def test_printing_and_reading_back_gives_the_same(plain):
-    loaded = load_texts([("f", write(plain))])
-    again = load_texts([("g", write(loaded.plain))])
-    assert again.plain == loaded.plain and again.operations == loaded.operations
+def test_printed_settings_are_loaded_to_the_same_records(plain):
+    loaded = load_text(print_settings(plain))
+    again = load_text(print_settings(loaded.plain))
+    assert again.plain == loaded.plain
+    assert again.operations == loaded.operations
 
 
 @FEW
 @given(PLAIN, st.randoms())
-def test_texts_unify_in_any_order_and_twice(plain, chance):
-    def part(value):
+def test_texts_unify_in_any_order_and_twice(plain, random):
+    def subset(value):
         if isinstance(value, dict):
-            return {key: part(each) for key, each in value.items() if chance.random() < 0.7}
+            return {key: subset(each) for key, each in value.items() if random.random() < 0.7}
         return value
 
-    whole, some = write(plain), write(part(plain))
-    first = load_texts([("a", whole), ("b", some)]).plain
-    assert load_texts([("b", some), ("a", whole)]).plain == first
-    assert load_texts([("a", whole), ("a2", whole), ("b", some)]).plain == first
+    whole, part = print_settings(plain), print_settings(subset(plain))
+    expected = load_texts([("a", whole), ("b", part)]).plain
+    assert load_texts([("b", part), ("a", whole)]).plain == expected
+    assert load_texts([("a", whole), ("a2", whole), ("b", part)]).plain == expected
 
 
 ATOMS = st.sampled_from(
-    ["1", "2", "2.0", '"a"', '"b"', "int", "number", "string", "bool", "true", ">1", "<=2", '=~"a"', "!=1"]
-    + ['"1MB"', "Size", "null"]
+    [
+        "1",
+        "2",
+        "2.0",
+        '"a"',
+        '"b"',
+        "int",
+        "number",
+        "string",
+        "bool",
+        "true",
+        "null",
+        "Size",
+        '"1MB"',
+        ">1",
+        "<=2",
+        '=~"a"',
+        "!=1",
+    ]
 )
-CHOICES = st.recursive(
+DISJUNCTIONS = st.recursive(
     ATOMS,
     lambda inner: st.one_of(
         st.tuples(inner, inner).map(lambda two: f"({two[0]} | {two[1]})"),
@@ -166,83 +223,131 @@
     ),
     max_leaves=4,
 )
-EXPRS = st.recursive(
-    st.one_of(CHOICES, st.sampled_from(["[1, 2]", "[...int]", "[int, number]"])),
+EXPRESSIONS = st.recursive(
+    st.one_of(DISJUNCTIONS, st.sampled_from(["[1, 2]", "[...int]", "[int, number]"])),
     lambda inner: st.one_of(
         st.tuples(inner, inner).map(lambda two: f"({two[0]} & {two[1]})"),
-        inner.map(lambda one: "{x: %s}" % one),
-        inner.map(lambda one: "{x?: %s, y: 1}" % one),
-        st.tuples(inner, inner).map(lambda two: "{x: %s, y: %s}" % two),
+        inner.map(lambda one: f"{{x: {one}}}"),
+        inner.map(lambda one: f"{{x?: {one}, y: 1}}"),
+        st.tuples(inner, inner).map(lambda two: f"{{x: {two[0]}, y: {two[1]}}}"),
     ),
     max_leaves=4,
 )
 
 
-def canon(value):
-    if isinstance(value, Struct):
-        live = {name: canon(value.value(name)) for name in value.fields if value.needed[name]}
-        if "bottom" in live.values():
-            return "bottom"
-        return frozenset(live.items())
-    if isinstance(value, Choice):
-        return frozenset((canon(part), mark) for part, mark in value.parts)
-    if isinstance(value, Scalar):
-        return float(value.value) if type(value.value) in (int, float) else (value.value,)
-    if isinstance(value, Wanted):
-        return value.kind, value.unit, frozenset(value.bounds)
-    if isinstance(value, Rows):
-        parts = None if value.parts is None else tuple(map(canon, value.parts))
-        return "bottom" if parts and "bottom" in parts else ("rows", parts)
-    return {Bottom: "bottom", Top: "top"}[type(value)]
+def canonical(value):
+    """A form of a value that is equal for values that allow the same."""
+    match value:
+        case Struct():
+            fields = {name: canonical(value.value(name)) for name in value.fields if value.required[name]}
+            return "conflict" if "conflict" in fields.values() else frozenset(fields.items())
+        case Disjunction():
+            return frozenset((canonical(part), is_default) for part, is_default in value.alternatives)
+        case Scalar():
+            return float(value.value) if type(value.value) in (int, float) else (value.value,)
+        case TypeConstraint():
+            return value.kind, value.unit, frozenset(value.bounds)
+        case ListValue():
+            elements = None if value.elements is None else tuple(map(canonical, value.elements))
+            return "conflict" if elements and "conflict" in elements else ("list", elements)
+    return {Conflict: "conflict", Top: "top"}[type(value)]
 
 
 def value_of(text):
     record = parse(f"v: {text}", "f")
-    return Struct([Text(record, Env(None, None), False)], "").value("v")
+    return Struct([RecordSource(record, Scope(None, None), False)], "").value("v")
 
 
 @settings(max_examples=200)
-@given(EXPRS, EXPRS)
+@given(EXPRESSIONS, EXPRESSIONS)
 def test_unification_is_commutative_and_idempotent(one, other):
     a, b = value_of(one), value_of(other)
-    assert canon(unify(a, b, "")) == canon(unify(b, a, ""))
-    assert canon(unify(a, a, "")) == canon(a)
+    assert canonical(unify(a, b, "")) == canonical(unify(b, a, ""))
+    assert canonical(unify(a, a, "")) == canonical(a)
 
 
 @FEW
 @given(st.text('{}[]()"#:?*|&<>=~!., \n/abAB019\\-_', max_size=60))
-def test_any_text_is_read_or_refused_with_a_place(text):
+def test_any_text_is_loaded_or_refused_with_a_location(text):
     try:
-        load_texts([("f", text)])
-    except Wrong as wrong:
-        assert all(fault.at.file in ("f", "schema.cue") and fault.at.line >= 1 for fault in wrong.faults)
+        load_text(text)
+    except InvalidSettingsError as error:
+        locations = [diagnostic.location for diagnostic in error.diagnostics]
+        assert {location.file for location in locations} <= {"f", "schema.cue"}
+        assert all(location.line >= 1 for location in locations)
 
 
-def test_command_line(tmp_path):
-    good, bad = tmp_path / "good.cue", tmp_path / "bad.cue"
-    good.write_text('traffic: budgets: a: rate: "1MB/s"')
-    bad.write_text("traffic: budgets: a: rate: 3")
+def run_command(*args):
+    command = [sys.executable, "-m", "ironhinge", "settings", *args]
+    return subprocess.run(command, capture_output=True, text=True, check=False)
 
-    def run(*args):
-        return subprocess.run(
-            [sys.executable, "-m", "ironhinge", "settings", *args], capture_output=True, text=True
-        )
 
-    assert run("check", str(good)).returncode == 0
-    shown = run("show", str(good), "--json")
+@pytest.fixture
+def valid_file(tmp_path):
+    path = tmp_path / "good.cue"
+    path.write_text('traffic: budgets: a: rate: "1MB/s"')
+    return str(path)
+
+
+@pytest.fixture
+def invalid_file(tmp_path):
+    path = tmp_path / "bad.cue"
+    path.write_text("traffic: budgets: a: rate: 3")
+    return str(path)
+
+
+def test_the_command_check_accepts_valid_settings(valid_file):
+    assert run_command("check", valid_file).returncode == 0
+
+
+def test_the_command_show_prints_defaults(valid_file):
+    shown = run_command("show", valid_file, "--json")
     assert json.loads(shown.stdout)["traffic"]["budgets"]["a"]["scope"] == "branch"
-    refused = run("check", str(bad), "--json")
-    assert refused.returncode == 2 and json.loads(refused.stdout)["faults"][0]["line"] == 1
-    assert run("check", str(tmp_path / "none.cue")).returncode == 2
-    assert run("schema").stdout == schema_text()
 
 
-def test_the_shipped_file_is_good_and_turns_nothing_on():
-    with open("deploy/operations.cue", encoding="utf-8") as file:
-        assert load_texts([("operations.cue", file.read())]).operations.traffic is None
+def test_the_command_check_prints_diagnostics_as_json(invalid_file):
+    refused = run_command("check", invalid_file, "--json")
+    assert refused.returncode == 2
+    result = json.loads(refused.stdout)
+    assert not result["good"]
+    (row,) = result["faults"]
+    assert list(row) == ["file", "line", "column", "path", "found", "expected"]
+    assert (row["file"], row["line"], row["column"]) == (invalid_file, 1, 28)
+    assert (row["path"], row["found"]) == ("traffic.budgets.a.rate", "3")
+
+
+def test_the_command_check_refuses_a_missing_file(tmp_path):
+    missing = f"{tmp_path}/./none.cue"
+    refused = run_command("check", missing)
+    assert refused.returncode == 2
+    assert refused.stderr == f"ironhinge: {missing}: No such file or directory\n"
+
+
+def test_the_command_schema_prints_the_schema():
+    assert run_command("schema").stdout == schema_text()
+
 
+def test_an_isolated_process_reports_what_is_not_allowed(invalid_file):
+    with pytest.raises(IsolatedReadError, match=r"bad\.cue:1:28: traffic\.budgets\.a\.rate: found 3"):
+        load_isolated([invalid_file], "config.json")
 
-def test_places_are_of_the_first_character():
-    with pytest.raises(Unreadable) as fault:
+
+@pytest.mark.parametrize("error", [ConfigSyntaxError, InvalidSettingsError, IsolatedReadError])
+def test_all_errors_share_a_base_class(error):
+    assert issubclass(error, SettingsError)
+
+
+def test_the_shipped_file_is_valid_and_turns_nothing_on():
+    text = Path("deploy/operations.cue").read_text(encoding="utf-8")
+    assert load_texts([("operations.cue", text)]).operations.traffic is None
+
+
+def test_a_syntax_error_has_the_location_of_the_first_character():
+    with pytest.raises(ConfigSyntaxError, match=r"^f:2:5: found '2', expected ") as raised:
         parse("a: 1\n  b 2", "f")
-    assert fault.value.at == Where("f", 2, 5)
+    assert raised.value.location == SourceLocation("f", 2, 5)
+
+
+def test_a_diagnostic_names_the_location_the_path_and_both_sides():
+    diagnostic = Diagnostic(SourceLocation("f", 2, 5), "traffic.period", "3", "a span")
+    assert str(diagnostic) == "f:2:5: traffic.period: found 3, expected a span"
