--- a/ironhinge/settings/validation.py
+++ b/ironhinge/settings/validation.py
@@ -6,12 +6,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping, Sequence
+from typing import TypeAlias
 
 from .errors import Diagnostic, SourceLocation
 from .literals import quote
 from .records import Budget, Operations, Traffic
 
-Locations = Mapping[str, SourceLocation]
+Locations: TypeAlias = Mapping[str, SourceLocation]
 
 
 def check_relations(operations: Operations, locations: Locations) -> Iterator[Diagnostic]:
