--- /dev/null
+++ b/tests/test_jobs.py
@@ -0,0 +1,166 @@
+"""Background work in its order: classes, weights, budgets, deadlines and how jobs end."""
+
+import json
+
+import anyio
+import pytest
+from click.testing import CliRunner
+
+from ironhinge.jobs.cli import jobs
+from ironhinge.jobs.messages import (
+    TICKS_PER_SECOND,
+    Budgets,
+    CancelRequested,
+    DiscardJob,
+    Job,
+    JobSubmitted,
+    LatencyReported,
+    RunSlice,
+    SetTimer,
+    SliceFinished,
+    TimePassed,
+)
+from ironhinge.jobs.runner import Runner
+from ironhinge.jobs.scheduler import JobScheduler
+
+
+def started(commands):
+    """The names of the jobs whose next slices are to run."""
+    return [command.name for command in commands if type(command) is RunSlice]
+
+
+@pytest.fixture
+def scheduler(request):
+    return JobScheduler(getattr(request, "param", Budgets()), 0)
+
+
+def with_budgets(disk_bytes_per_second):
+    budgets = Budgets(disk_bytes_per_second=disk_bytes_per_second, cpu_cores=1.0)
+    return pytest.mark.parametrize("scheduler", [budgets], indirect=True)
+
+
+@with_budgets(1e6)
+def test_a_higher_class_goes_first_and_a_class_shares_by_weight(scheduler):
+    scheduler.handle(0, JobSubmitted(Job("low")))
+    assert started(scheduler.handle(0, JobSubmitted(Job("high", 2)))) == [], "a slice is not cut"
+    assert started(scheduler.handle(0, SliceFinished("low", 10, 1, False))) == ["high"]
+    assert started(scheduler.handle(0, SliceFinished("high", 10, 1, True))) == ["low"]
+    scheduler.handle(0, SliceFinished("low", 10, 1, True))
+    slices = {"one": 0, "two": 0}
+    (running,) = started(scheduler.handle(0, JobSubmitted(Job("one", 1, 1.0))))
+    scheduler.handle(0, JobSubmitted(Job("two", 1, 3.0)))
+    for at in range(1, 400):
+        slices[running] += 1
+        (running,) = started(scheduler.handle(at * 1000, SliceFinished(running, 1000, 1, False)))
+    assert 2.5 < slices["two"] / slices["one"] < 3.5
+
+
+@with_budgets(1000.0)
+def test_budgets_go_into_debt_by_one_slice_and_repay_it(scheduler):
+    assert started(scheduler.handle(0, JobSubmitted(Job("a"))))
+    commands = scheduler.handle(0, SliceFinished("a", 3000, 1, False))
+    assert commands == [SetTimer(2 * TICKS_PER_SECOND + 1)]
+    assert scheduler.status_of("a") == "waits for the disk budget"
+    assert started(scheduler.handle(2 * TICKS_PER_SECOND, TimePassed())) == []
+    assert started(scheduler.handle(2 * TICKS_PER_SECOND + 20, TimePassed())) == ["a"]
+
+
+@with_budgets(1000.0)
+def test_late_requests_shrink_background_work_and_it_grows_back(scheduler):
+    for _ in range(10):
+        scheduler.handle(0, LatencyReported(True))
+    assert scheduler.share == 1 / 16
+    for _ in range(100):
+        scheduler.handle(0, LatencyReported(False))
+    assert scheduler.share == 1.0
+
+
+def test_deadlines_and_aging_overtake_classes(scheduler):
+    scheduler.handle(0, JobSubmitted(Job("busy", 5)))
+    scheduler.handle(0, JobSubmitted(Job("late", 0, deadline=TICKS_PER_SECOND)))
+    scheduler.handle(0, JobSubmitted(Job("old", 4)))
+    assert started(scheduler.handle(0, SliceFinished("busy", 1, 1, False))) == ["busy"]
+    assert started(scheduler.handle(2 * TICKS_PER_SECOND, SliceFinished("busy", 1, 1, False))) == ["late"]
+    scheduler.handle(2 * TICKS_PER_SECOND, SliceFinished("late", 1, 1, True))
+    commands = scheduler.handle(70 * TICKS_PER_SECOND, SliceFinished("busy", 1, 1, False))
+    assert started(commands) == ["old"], "it has waited long"
+
+
+def test_jobs_end_once_and_by_name(scheduler):
+    scheduler.handle(0, JobSubmitted(Job("a")))
+    scheduler.handle(0, JobSubmitted(Job("a")))
+    scheduler.handle(0, JobSubmitted(Job("b")))
+    assert scheduler.handle(0, CancelRequested("b"))[0] == DiscardJob("b")
+    assert scheduler.handle(0, CancelRequested("a")) == []
+    assert DiscardJob("a") in scheduler.handle(0, SliceFinished("a", 1, 1, False))
+    scheduler.handle(0, JobSubmitted(Job("c")))
+    scheduler.handle(0, SliceFinished("c", 0, 0, False, "it broke"))
+    assert scheduler.ended == {"b": "cancelled", "a": "cancelled", "c": "failed: it broke"}
+    assert not scheduler.jobs
+
+
+def test_the_runner_runs_slices_and_a_failing_job_ends_alone():
+    ran = []
+
+    def good():
+        for number in range(3):
+            ran.append(number)
+            yield 10
+
+    def failing():
+        yield 1
+        raise OSError("the disk is full")
+
+    async def play():
+        runner = Runner(Budgets(), lambda: 0)
+        runner.submit(Job("failing", 1), failing)
+        runner.submit(Job("good"), good)
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(runner.run)
+            with anyio.fail_after(10):
+                while len(runner.plan.ended) < 2:  # noqa: ASYNC110 - the runner signals no end of a job
+                    await anyio.sleep(0.01)
+            tasks.cancel_scope.cancel()
+        return runner.plan.ended
+
+    assert anyio.run(play) == {"failing": "failed: the disk is full", "good": "done"}
+    assert ran == [0, 1, 2]
+
+
+@pytest.fixture
+def status(scheduler):
+    scheduler.handle(0, JobSubmitted(Job("compact", 2)))
+    scheduler.handle(0, JobSubmitted(Job("scrub")))
+    scheduler.handle(0, SliceFinished("compact", 100, 10, True))
+    return scheduler.plain(10)
+
+
+def test_the_status_has_its_published_form(status):
+    assert status == {
+        "share": 1.0,
+        "disk": 7999900,
+        "cpu": 0.099,
+        "jobs": {
+            "scrub": {
+                "why": "running",
+                "priority": 0,
+                "slices": 0,
+                "disk": 0,
+                "cpu_ms": 0.0,
+                "waits_ms": 1.0,
+            }
+        },
+        "ended": {"compact": "done"},
+    }
+
+
+def test_the_command_shows_what_a_director_wrote(tmp_path, status):
+    (tmp_path / "status.json").write_text(json.dumps({"jobs": status}))
+    shown = CliRunner().invoke(jobs, [str(tmp_path), "--json"])
+    assert json.loads(shown.output) == status
+    table = CliRunner().invoke(jobs, [str(tmp_path)])
+    assert table.output.splitlines() == [
+        "has 100% of its budgets; 7999900 bytes of disk to spend now",
+        "scrub          running                      class 0  0 slices, 0 bytes",
+        "compact        done",
+    ]
