--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -1,12 +1,14 @@
-"""The command line: reads what a director is told and starts it. Nothing is decided here."""
+"""The command line: reads a director's configuration and starts it. Nothing is decided here."""
 
 from __future__ import annotations
 
 import json
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from importlib import import_module
-from typing import Any
+from pathlib import Path
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import click
 from loguru import logger
@@ -20,9 +22,18 @@
     read_director_config,
 )
 
-LEVELS = ("debug", "info", "warning", "error")
-GROUPS = ("disk", "jobs", "lab", "settings", "traffic")  # packages that bring commands of their own
-LINE = "{time:HH:mm:ss.SSS} {level} {message}"
+if TYPE_CHECKING:
+    from .net.clock import Clock
+    from .net.service import Extensions
+
+LOG_LEVELS = ("debug", "info", "warning", "error")
+LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
+COMMAND_PACKAGES = ("disk", "jobs", "lab", "settings", "traffic")  # packages that bring commands of their own
+
+EXIT_FAILED = 1
+EXIT_WRONG_CALL = 2
+
+CommandFunction = TypeVar("CommandFunction", bound=Callable[..., Any])
 
 config_option = click.option(
     "--config", envvar="PROXY_CONFIG", required=True, help="The configuration, a JSON file [PROXY_CONFIG]."
@@ -35,8 +46,6 @@
     envvar="PROXY_LISTEN",
     help="Where clients connect, address:port, instead of the configuration's [PROXY_LISTEN].",
 )
-
-
 operations_option = click.option(
     "--operations",
     multiple=True,
@@ -45,66 +54,84 @@
 )
 
 
-def what_is_told(command: Callable[..., None]) -> Callable[..., None]:
+def config_options(command: CommandFunction) -> CommandFunction:
+    """Adds the options that name a director's configuration."""
     return config_option(name_option(listen_option(command)))
 
 
-def read(config: str, name: str | None, listen: str | None) -> DirectorConfig:
-    with open(config, encoding="utf-8") as file:
-        told = read_director_config(json.load(file))
-    if listen:
-        told = told._replace(listen=parse_address(listen, "option 'listen'"))
-    return told._replace(name=name or told.name)
+class OperationsError(ValueError):
+    """Operations files that can't be used; the text says what is wrong with them."""
 
 
-def read_or_end(config: str, name: str | None, listen: str | None) -> DirectorConfig:
-    """The configuration; what is wrong with it ends the program with one line and exit code 2."""
-    try:
-        return read(config, name, listen)
-    except (OSError, ValueError, MalformedMessageError) as fault:
-        click.echo(f"ironhinge: {config}: {fault}", err=True)
-        sys.exit(2)
+@dataclass(slots=True, frozen=True)
+class ConfigSource:
+    """Where a director's configuration comes from; options stand above the file."""
+
+    path: str
+    name: str | None
+    listen: str | None
 
+    def read(self) -> DirectorConfig:
+        """Reads the configuration.
 
-class Commands(click.Group):
+        Raises `OSError`, `ValueError` or `MalformedMessageError` where it can't be used.
+        """
+        config = read_director_config(json.loads(Path(self.path).read_text(encoding="utf-8")))
+        if self.listen:
+            config = config._replace(listen=parse_address(self.listen, "option 'listen'"))
+        return config._replace(name=self.name or config.name)
+
+    def read_or_exit(self) -> DirectorConfig:
+        """Reads the configuration; what is wrong with it ends the program with one line and exit code 2."""
+        try:
+            return self.read()
+        except (OSError, ValueError, MalformedMessageError) as error:
+            click.echo(f"ironhinge: {self.path}: {error}", err=True)
+            sys.exit(EXIT_WRONG_CALL)
+
+
+class LazyCommands(click.Group):
     """Imports a package's commands when they are called: `serve` starts with nothing that is not on."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *GROUPS])
+        """The names of all commands."""
+        return sorted([*super().list_commands(ctx), *COMMAND_PACKAGES])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name in GROUPS:
-            return getattr(import_module(f".{cmd_name}.cli", __package__), cmd_name)
+        """The command of a name, None where there is none."""
+        if cmd_name in COMMAND_PACKAGES:
+            command: click.Command = getattr(import_module(f".{cmd_name}.cli", __package__), cmd_name)
+            return command
         return super().get_command(ctx, cmd_name)
 
 
-@click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyCommands, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
     """A router before tiers of caches with one origin behind them."""
 
 
 def read_operations(config: str, operations: tuple[str, ...]) -> Any:
-    """The operators' records, or none without files; ValueError says what is wrong with them."""
+    """The operators' records, None without files; `OperationsError` says what is wrong with them."""
     if not operations:
         return None
     from .settings.apart import Refused, read
 
     try:
         return read(operations, config)
-    except Refused as fault:
-        raise ValueError(str(fault)) from None
+    except Refused as error:
+        raise OperationsError(str(error)) from None
 
 
-def operations_or_end(config: str, operations: tuple[str, ...]) -> Any:
+def read_operations_or_exit(config: str, operations: tuple[str, ...]) -> Any:
     """The same; what is wrong ends the program with code 2."""
     try:
         return read_operations(config, operations)
-    except ValueError as fault:
-        click.echo(str(fault), err=True)
-        sys.exit(2)
+    except OperationsError as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_WRONG_CALL)
 
 
-def open_runner(operations: Any, clock: Any) -> Any:
+def open_runner(operations: Any, clock: Clock) -> Any:
     """What runs background work, where the operations bring any."""
     if operations is None or (operations.traffic is None and operations.disk is None):
         return None
@@ -115,20 +142,22 @@
     return Runner(budgets, clock.now)
 
 
-def open_books(told: DirectorConfig, operations: Any, runner: Any, clock: Any) -> Any:
-    """What keeps the account, where the operations turn it on."""
+def open_traffic_account(config: DirectorConfig, operations: Any, runner: Any, clock: Clock) -> Any:
+    """The account of traffic between zones, where the operations turn it on."""
     if operations is None or operations.traffic is None:
         return None
     from .traffic.keeper import Keeper, Origin
 
-    me = told.gossip_peers.index(told.gossip_listen) if told.gossip_listen in told.gossip_peers else 0
-    who = Origin(told.name, told.names.zones, told.names.request_classes, me)
-    return Keeper(operations.traffic, told.deployment, who, clock.now, clock.unix_ms, runner)
+    peers = config.gossip_peers
+    peer_index = peers.index(config.gossip_listen) if config.gossip_listen in peers else 0
+    identity = Origin(config.name, config.names.zones, config.names.request_classes, peer_index)
+    return Keeper(operations.traffic, config.deployment, identity, clock.now, clock.unix_ms, runner)
+
 
+def open_local_store(config: DirectorConfig, operations: Any, runner: Any, clock: Clock) -> Any:
+    """The director's own copies on disk, where the operations turn them on.
 
-def open_shelf(told: DirectorConfig, operations: Any, runner: Any, clock: Any) -> Any:
-    """The tier of copies on disk, where the operations turn it on; a folder that can't be had ends the
-    program.
+    A folder that can't be had ends the program with code 1.
     """
     if operations is None or operations.disk is None:
         return None
@@ -137,57 +166,74 @@
     from .disk.tier import Tier
 
     try:
-        return Tier(operations.disk, told.deployment, told.name, clock.now, clock.unix_ms, runner)
-    except (OSError, Locked, Foreign) as fault:
-        click.echo(f"ironhinge: {operations.disk.folder}: {fault}", err=True)
-        sys.exit(1)
+        return Tier(operations.disk, config.deployment, config.name, clock.now, clock.unix_ms, runner)
+    except (OSError, Locked, Foreign) as error:
+        click.echo(f"ironhinge: {operations.disk.folder}: {error}", err=True)
+        sys.exit(EXIT_FAILED)
+
+
+def open_extensions(
+    config: DirectorConfig, config_path: str, files: tuple[str, ...], clock: Clock
+) -> Extensions:
+    """What the operators' files turn on beside the director."""
+    from .net.service import Extensions
+
+    operations = read_operations_or_exit(config_path, files)
+    runner = open_runner(operations, clock)
+    account = open_traffic_account(config, operations, runner, clock)
+    store = open_local_store(config, operations, runner, clock)
+    if account is not None:
+        account.reread = lambda: read_operations(config_path, files)
+    return Extensions(account, store, runner)
 
 
 @main.command()
-@what_is_told
+@config_options
 @operations_option
-@click.option("--log-level", type=click.Choice(LEVELS), default="info", show_default=True)
+@click.option("--log-level", type=click.Choice(LOG_LEVELS), default="info", show_default=True)
 def serve(
     config: str, name: str | None, listen: str | None, operations: tuple[str, ...], log_level: str
 ) -> None:
-    """Serve clients until SIGTERM, then answer what was taken and end with code 0. At SIGHUP the
-    configuration and the operations files are read again: the coordinator is followed to its new address, and
-    new settings take effect whole, or not at all where something is wrong with them.
+    """Serve clients until SIGTERM, then answer what was taken and end with code 0.
+
+    At SIGHUP the configuration and the operations files are read again: the discovery service is followed to
+    its new address, and new settings take effect whole, or not at all where something is wrong with them.
     """
     from .net.clock import Clock
-    from .net.service import hold_signals, run
+    from .net.service import Service, hold_signals, run
 
     hold_signals()
 
     logger.remove()
-    logger.add(sys.stderr, level=log_level.upper(), format=LINE, diagnose=False, backtrace=False)
-    told = read_or_end(config, name, listen)
-    wanted = operations_or_end(config, operations)
+    logger.add(sys.stderr, level=log_level.upper(), format=LOG_FORMAT, diagnose=False, backtrace=False)
+    source = ConfigSource(config, name, listen)
+    director_config = source.read_or_exit()
     clock = Clock()
-    runner = open_runner(wanted, clock)
-    books, shelf = open_books(told, wanted, runner, clock), open_shelf(told, wanted, runner, clock)
-    if books is not None:
-        books.reread = lambda: read_operations(config, operations)
+    extensions = open_extensions(director_config, config, operations, clock)
     try:
-        run(told, lambda: read(config, name, listen), books, shelf, runner, clock)
-    except* OSError as faults:  # the address is taken or not ours
-        click.echo(f"ironhinge: {told.listen.host}:{told.listen.port}: {faults.exceptions[0]}", err=True)
-        sys.exit(1)
+        run(Service(director_config, source.read, extensions, clock))
+    except* OSError as errors:  # the address is taken or not ours
+        host, port = director_config.listen
+        click.echo(f"ironhinge: {host}:{port}: {errors.exceptions[0]}", err=True)
+        sys.exit(EXIT_FAILED)
 
 
 @main.command()
-@what_is_told
+@config_options
 @operations_option
 def check(config: str, name: str | None, listen: str | None, operations: tuple[str, ...]) -> None:
     """Say what is wrong with a configuration and its operations files, or what they would start."""
-    told = read_or_end(config, name, listen)
-    operations_or_end(config, operations)
-    lists = [update for update in told.known if isinstance(update, EndpointListUpdate)]
+    director_config = ConfigSource(config, name, listen).read_or_exit()
+    read_operations_or_exit(config, operations)
+    lists = [update for update in director_config.known if isinstance(update, EndpointListUpdate)]
     nodes = {record.endpoint.id for update in lists for record in update.records}
+    host, port = director_config.listen
+    limits = director_config.limits
     click.echo(
-        f"{told.name or 'a director'} on {told.listen.host}:{told.listen.port}: "
-        f"{len(told.names.request_classes)} vhosts, {len(nodes)} node{'s' * (len(nodes) != 1)} known, "
-        f"{told.limits.descriptors} descriptors, {told.limits.memory_mb} MB"
+        f"{director_config.name or 'a director'} on {host}:{port}: "
+        f"{len(director_config.names.request_classes)} vhosts, "
+        f"{len(nodes)} node{'s' * (len(nodes) != 1)} known, "
+        f"{limits.descriptors} descriptors, {limits.memory_mb} MB"
     )
 
 
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -133,7 +133,7 @@
         self.runner.late(copy is None)
         return copy
 
-    def keep(self, came: interface.RequestReceived, tag: str, dated: int, body: bytes) -> None:
+    def store_copy(self, came: interface.RequestReceived, tag: str, dated: int, body: bytes) -> None:
         if came.size:
             self.kb = min(self.kb + came.size, 1e6)
             self.per_kb += (len(body) / came.size - self.per_kb) * came.size / self.kb
@@ -150,11 +150,11 @@
             self.kept_bytes += len(body)
             self.news.set()
 
-    def purge(self, obj: int | None, group: int, unix_ms: int) -> None:
+    def on_purge(self, obj: int | None, group: int, unix_ms: int) -> None:
         self.store.purge(obj, group, unix_ms)
         self.news.set()
 
-    def hears(self, unix_ms: int) -> None:
+    def on_discovery_progress(self, unix_ms: int) -> None:
         """The coordinator lives: all purges of before are known."""
         if unix_ms >= self.heard_at + HEARD_EVERY:
             self.heard_at = unix_ms
--- a/ironhinge/lab/run.py
+++ b/ironhinge/lab/run.py
@@ -115,7 +115,7 @@
         until = time.monotonic() + UP
         while time.monotonic() < until and self.process is not None and self.process.returncode is None:
             # its own word for it: whoever answers on that port may be another run's
-            if self.log().count(f"serves on 127.0.0.1:{self.port}") > self.lives:
+            if self.log().count(f"listen=127.0.0.1:{self.port}") > self.lives:
                 self.lives += 1
                 return True
             await asyncio.sleep(0.03)
--- /dev/null
+++ b/ironhinge/net/attempts.py
@@ -0,0 +1,294 @@
+"""Attempts and health checks, from the decisions' command to their one end.
+
+No upstream, time or answer is chosen here: an attempt does what its command says, and how it ended is
+reported.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from ..config import DirectorConfig, load_report_in_order
+from ..interface import (
+    AttemptFinished,
+    CancelAttempt,
+    Event,
+    FillNote,
+    HealthCheckFinished,
+    RequestReceived,
+    SendAttempt,
+    SendAttemptWithFill,
+    SendHealthCheck,
+)
+from . import client_wire, upstream_wire
+from .attempt_end import RESULTS, AttemptEnd
+from .clock import MILLISECOND, SECOND, Clock
+from .diagnostics import Diagnostics
+from .event_log import EventKind
+from .extensions import LocalCopyStore, TrafficAccount
+from .loop_monitor import ALLOWED_LATENESS, LoopMonitor
+from .open_request import Attempt, OpenRequest
+from .timers import Timers
+from .upstream import UpstreamOperation
+from .upstream_command import command_fields, max_copy_age_ms, set_time_left
+from .upstream_pool import UpstreamPool
+
+MAX_UNREAD = 30 * MILLISECOND  # an attempt may begin until 0.1 s after its client has left
+LATE_ANSWER_TIMEOUT = SECOND  # within which a second answer to an attempt may still come
+DELIVERED = (AttemptEnd.SERVED, AttemptEnd.NOT_MODIFIED)  # nothing follows these
+ATTEMPTS_STARTED = "attempts_started"  # counter
+NOT_MODIFIED_FIELDS = {"same": "1"}  # of an answer that says: the copy that the client holds is the one
+
+RecentAnswer = tuple[RequestReceived, upstream_wire.UpstreamAnswer]
+
+
+class RequestOwner(Protocol):
+    """The director, as attempts see it."""
+
+    requests: dict[str, OpenRequest]
+
+    def report(self, event: Event) -> None:
+        """Hands an event to the decisions."""
+
+    def send_final_answer(
+        self, request_id: str, code: int, fields: dict[str, str], body: bytes = b""
+    ) -> None:
+        """Answers a request that is still open."""
+
+    def forget_if_done(self, request: OpenRequest) -> None:
+        """Forgets a request that is answered and has no attempt in flight."""
+
+
+class Attempts:
+    """The operations of one director."""
+
+    def __init__(
+        self,
+        config: DirectorConfig,
+        clock: Clock,
+        monitor: LoopMonitor,
+        diagnostics: Diagnostics,
+        owner: RequestOwner,
+    ):
+        self.pool: UpstreamPool
+        self.timers: Timers
+        self.traffic_account: TrafficAccount | None = None
+        self.local_store: LocalCopyStore | None = None
+        # answers that came just now, while they may be kept as copies
+        self.recent_answers: dict[str, RecentAnswer] = {}
+        self._config = config
+        self._clock = clock
+        self._monitor = monitor
+        self._diagnostics = diagnostics
+        self._owner = owner
+        self._health_check_count = 0
+
+    def send(self, command: SendAttempt | SendAttemptWithFill) -> None:
+        """Carries out a command to send a request to an upstream."""
+        request = self._owner.requests.get(command.request_id)
+        if request is None:
+            return
+        now = self._clock.now()
+        source = None
+        if isinstance(command, SendAttemptWithFill):
+            source = self.pool.upstreams.get(command.source_id)
+        attempt = Attempt(request, self.pool.upstreams[command.endpoint_id], source, now)
+        attempt.oldest_copy_unix_ms = self._oldest_copy(command)
+        request.attempt = attempt
+        request.attempt_count += 1
+        self._diagnostics.counters[ATTEMPTS_STARTED] += 1
+        if self.traffic_account is not None:
+            source_id = source.id if source is not None else ""
+            self.traffic_account.on_attempt_started(now, request.received, command, source_id)
+        if request.is_closed or command.deadline <= now:
+            self.finish_operation(attempt, AttemptEnd.NOT_SENT)
+            return
+        fields = command_fields(request.passed, command)
+        self._start(attempt, command.deadline, lambda: self._render_command(attempt, fields))
+        if command.start_deadline:
+            attempt.start_deadline = command.start_deadline
+            self.timers.schedule(command.start_deadline, attempt)
+
+    def _oldest_copy(self, command: SendAttempt | SendAttemptWithFill) -> int:
+        """The Unix millisecond before which no copy will do; 0 where any will."""
+        max_age_ms = max_copy_age_ms(command)
+        if not max_age_ms:
+            return 0
+        return self._clock.unix_ms() - max_age_ms - ALLOWED_LATENESS // MILLISECOND
+
+    def send_health_check(self, command: SendHealthCheck) -> None:
+        """Carries out a command to check an upstream's health."""
+        self._health_check_count += 1
+        upstream = self.pool.upstreams[command.endpoint_id]
+        check = UpstreamOperation(f"probe-{self._health_check_count}", upstream, self._clock.now())
+        frame = (upstream_wire.busy(check.operation_id),)
+        self._start(check, check.started_at + self._config.transport.connect_timeout, lambda: frame)
+
+    def _start(
+        self, operation: UpstreamOperation, deadline: int, render: Callable[[], tuple[bytes, ...]]
+    ) -> None:
+        operation.deadline = deadline
+        connection = self.pool.connection_for(operation.upstream, operation.operation_id)
+        operation.connection = connection
+        connection.operations[operation.operation_id] = operation
+        operation.frame = connection.connection.write((), render=render)
+        self.timers.schedule(deadline, operation)
+
+    def _render_command(self, attempt: Attempt, fields: dict[str, str]) -> tuple[bytes, ...]:
+        """An attempt's command, made when it begins to be written.
+
+        It may have waited for its connection, and its client may have left meanwhile, unread.
+        """
+        now = self._clock.now()
+        client = attempt.request.client.connection
+        last_read = int(self._monitor.selector.unread_since() * SECOND)
+        if client.unread_since is not None or now > last_read + MAX_UNREAD:
+            client.read_now()  # else what it has not read came within the time in which an attempt may begin
+        if not attempt.is_finished and (attempt.request.is_closed or now >= attempt.deadline):
+            was_withdrawn = attempt.withdraw()
+            self.finish_operation(attempt, AttemptEnd.NOT_SENT if was_withdrawn else AttemptEnd.TIMED_OUT)
+        if attempt.is_finished:
+            return ()
+        set_time_left(fields, attempt.deadline - now)
+        return (upstream_wire.want(attempt.operation_id, fields, attempt.request.body),)
+
+    def finish_operation(
+        self,
+        operation: UpstreamOperation,
+        end: AttemptEnd,
+        answer: upstream_wire.UpstreamAnswer | None = None,
+    ) -> None:
+        """The one end of an attempt or a health check."""
+        if operation.is_finished:
+            return
+        operation.is_finished = True
+        if operation.frame is not None:
+            operation.frame.render = None  # holds the operation: nothing here may wait for a collection
+        now = self._clock.now()
+        self._release_connection(operation, end, answer, now)
+        if isinstance(operation, Attempt):
+            self._finish_attempt(operation, end, answer, now)
+            return
+        duration = now - operation.started_at
+        report = self._load_report(answer)
+        self._owner.report(HealthCheckFinished(operation.upstream.id, RESULTS[end], duration, report))
+
+    def _load_report(self, answer: upstream_wire.UpstreamAnswer | None) -> tuple[float, ...] | None:
+        if answer is None or not answer.load_report:
+            return None
+        return load_report_in_order(answer.load_report, self._config.deployment)
+
+    @staticmethod
+    def _release_connection(
+        operation: UpstreamOperation, end: AttemptEnd, answer: upstream_wire.UpstreamAnswer | None, now: int
+    ) -> None:
+        connection = operation.connection
+        if connection is None:
+            return
+        connection.operations.pop(operation.operation_id, None)
+        connection.idle_since = now
+        connection.retire_if_out_of_step()
+        if answer is not None and end not in DELIVERED:
+            # a second answer to this attempt must not pass for one to the request's next: that takes another
+            # way
+            connection.retired_ids[operation.operation_id] = now + LATE_ANSWER_TIMEOUT
+
+    def _finish_attempt(
+        self,
+        attempt: Attempt,
+        end: AttemptEnd,
+        answer: upstream_wire.UpstreamAnswer | None,
+        now: int,
+    ) -> None:
+        request = attempt.request
+        body_size = len(answer.body) if answer is not None and end is AttemptEnd.SERVED else None
+        end = self._checked_end(attempt, end, answer)
+        self._diagnostics.counters[end.name] += 1
+        if end not in DELIVERED:
+            self._diagnostics.event_log.record(
+                EventKind.ATTEMPT_ENDED, request.request_id, end.name, attempt.upstream.id
+            )
+        request.attempt = None
+        if end is AttemptEnd.SERVED and answer is not None:
+            self._owner.send_final_answer(request.request_id, client_wire.DONE, {}, answer.body)
+        elif end is AttemptEnd.NOT_MODIFIED:
+            self._owner.send_final_answer(request.request_id, client_wire.DONE, NOT_MODIFIED_FIELDS)
+        self._owner.forget_if_done(request)
+        if self.local_store is not None and body_size and answer is not None:
+            self.recent_answers[request.request_id] = request.received, answer
+        event = AttemptFinished(
+            request_id=request.request_id,
+            attempt_number=attempt.attempt_number,
+            endpoint_id=attempt.upstream.id,
+            result=RESULTS[end],
+            duration=now - attempt.started_at,
+            request_closed=request.is_closed,
+            fill_note=answer.fill_note if answer is not None else FillNote.NONE,
+            time_to_first_byte=0,
+            load_report=self._load_report(answer),
+        )
+        if self.traffic_account is not None:
+            self.traffic_account.on_attempt_finished(now, event, body_size, request.client_left)
+        self._owner.report(event)
+
+    @staticmethod
+    def _checked_end(
+        attempt: Attempt, end: AttemptEnd, answer: upstream_wire.UpstreamAnswer | None
+    ) -> AttemptEnd:
+        """How an attempt ended; an answer that must not be passed on is an error."""
+        held_tag = attempt.request.passed.held_tag
+        if end is AttemptEnd.NOT_MODIFIED and (answer is None or not held_tag or answer.tag != held_tag):
+            return AttemptEnd.ERROR  # only the copy that the upstream has named is the same
+        if answer is not None and 0 < answer.produced_unix_ms < attempt.oldest_copy_unix_ms:
+            return AttemptEnd.ERROR  # an upstream that forgets purges
+        return end
+
+    def abandon(self, operation: UpstreamOperation, end: AttemptEnd) -> None:
+        """Ends what has no answer: what was not begun is never sent, and the upstream is told of the rest."""
+        if operation.is_finished:
+            return
+        connection = operation.connection
+        is_cancelled = True  # at the upstream, or there is nothing to cancel
+        if operation.withdraw():
+            end = AttemptEnd.NOT_SENT
+        elif isinstance(operation, Attempt) and connection is not None:
+            is_cancelled = connection.cancel(operation) or operation.request.is_closed
+            last_received_at = connection.connection.last_received_at * SECOND
+            if end is AttemptEnd.TIMED_OUT and last_received_at < operation.started_at:
+                # the connection is silent and may be dead: a new one shows whether the upstream lives
+                is_cancelled = False
+        self.finish_operation(operation, end)
+        if not is_cancelled and connection is not None:
+            # gives up all that is on it, before anything else is written
+            connection.connection.close(AttemptEnd.CONNECTION_SHARED_FAILURE)
+
+    def cancel(self, command: CancelAttempt) -> None:
+        """Carries out a command to give up an attempt."""
+        request = self._owner.requests.get(command.request_id)
+        if request is None or request.attempt is None:
+            return
+        if request.attempt.attempt_number == command.attempt_number:
+            self.abandon(request.attempt, AttemptEnd.CANCELLED)
+
+    def withdraw_unsent(self, is_affected: Callable[[Attempt], bool]) -> None:
+        """Withdraws attempts that were waiting for a connection when the news came.
+
+        Drains and purges count a send from its first byte.
+        """
+        for request in list(self._owner.requests.values()):
+            attempt = request.attempt
+            if attempt is not None and is_affected(attempt) and attempt.withdraw():
+                self.finish_operation(attempt, AttemptEnd.NOT_SENT)
+
+    def on_operation_due(self, operation: UpstreamOperation, due: int, now: int) -> None:
+        """A deadline of an operation is due; it may have ended already."""
+        if operation.is_finished:
+            return
+        if due == operation.start_deadline:
+            # repeats are dropped for a while only: what still waits for its connection then would run again
+            if operation.withdraw():
+                self.finish_operation(operation, AttemptEnd.NOT_SENT)
+        else:
+            self._monitor.on_late_timer(now - due)
+            self.abandon(operation, AttemptEnd.TIMED_OUT)
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -1,42 +1,41 @@
-"""Owns what is known of one client's connection: its open streams, and the one way in which it ends.
+"""One client's connection: its open streams, and the one way in which it ends.
 
 A connection ends in steps (`Phase`): the client is told to bring no new request; for a while longer all that
 comes is answered; then our side ends; what still comes is dropped until the client has ended its side; then
-it is closed. Whatever ends it (`CloseCause`) takes these steps. It must never talk to the decision module or
-choose an answer.
+it is closed. Whatever ends it (`CloseCause`) takes these steps. No answer is chosen here.
 """
 
 from __future__ import annotations
 
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from . import client_wire
 from .attempt_end import AttemptEnd
-from .clock import MILLISECOND
+from .clock import MILLISECOND, Clock
 from .connection import Connection
-from .event_log import EventKind
-
-if TYPE_CHECKING:
-    from .director import Director
-    from .open_request import OpenRequest
-
-STREAMS = 32  # open requests that a client's connection carries, says the protocol
-STALLED = 1200 * MILLISECOND  # a client that has sent no frame, or no more of one that it began, never will:
-# usual ones write at once, and the protocol's users count 3 s until we must have said so
-HURRIED_STALLED = 400 * MILLISECOND  # the same for a frame begun, where no descriptor and no idle one is left
-FRAME_TIME = 2400 * MILLISECOND  # for all of a frame, however slowly it comes
-IDLE = 4500 * MILLISECOND  # clients close their idle connections after 4 s
-NOTICE = (
-    700 * MILLISECOND
-)  # for answering what comes after the announcement: a path may hold each way for 0.3 s
-SILENT_NOTICE = 400 * MILLISECOND  # the same for one that never asked: the users count 3 s, and it may have
-# waited in the backlog
-HURRIED_NOTICE = 250 * MILLISECOND  # the same where descriptors are short
-PRESSING_NOTICE = 60 * MILLISECOND  # and where none is left: crowds come faster than a longer one lets go
-UNASKED_NOTICE = 100 * MILLISECOND  # for one that has never asked anything, at the end of the program
+from .event_log import EventKind, EventLog
+from .open_request import OpenRequest
+
+MAX_OPEN_REQUESTS = 32  # on one connection, says the protocol
+# A client that has sent no frame, or no more of one that it began, never will: usual ones write at once, and
+# the protocol's users count 3 s until we must have said so.
+STALLED_TIMEOUT = 1200 * MILLISECOND
+STALLED_TIMEOUT_WHEN_FULL = (
+    400 * MILLISECOND
+)  # for a frame begun, where no descriptor and no idle one is left
+FRAME_TIMEOUT = 2400 * MILLISECOND  # for all of a frame, however slowly it comes
+IDLE_TIMEOUT = 4500 * MILLISECOND  # clients close their idle connections after 4 s
+
+# How long a connection must have been quiet after the announcement until our side ends.
+NOTICE = 700 * MILLISECOND  # a path may hold what was sent each way for 0.3 s
+NEVER_USED_NOTICE = 400 * MILLISECOND  # the users count 3 s, and it may have waited in the backlog
+SHORT_OF_DESCRIPTORS_NOTICE = 250 * MILLISECOND
+FULL_NOTICE = 60 * MILLISECOND  # no descriptor is left: crowds come faster than a longer notice lets go
+UNUSED_SHUTDOWN_NOTICE = 100 * MILLISECOND  # for one that never sent anything, at the end of the program
+
 LINGER = 500 * MILLISECOND  # for the client to end its side; it is closed then, read or not
-HURRIED_LINGER = 100 * MILLISECOND  # the same where descriptors are short
+LINGER_WHEN_SHORT = 100 * MILLISECOND  # the same where descriptors are short
 
 
 class Phase(Enum):
@@ -56,69 +55,115 @@
 
 
 class CloseCause(Enum):
-    """Why a connection is ended by us."""
+    """Why a connection is closed by us."""
 
     IDLE = "idle"
-    NEVER_USED = "silent"  # it never asked anything
-    CAPACITY = "room"  # descriptors are short
+    NEVER_USED = "never_used"
+    CAPACITY = "capacity"  # descriptors are short
     SHUTDOWN = "shutdown"
-    PROTOCOL_VIOLATION = "breach"  # the client broke the protocol
+    PROTOCOL_VIOLATION = "protocol_violation"
+
+
+class ClientHost(Protocol):
+    """What a client's connection needs of the director."""
+
+    clock: Clock
+
+    @property
+    def event_log(self) -> EventLog:
+        """The latest events."""
+
+    def next_client_number(self) -> int:
+        """The number of a connection that was just accepted."""
+
+    def is_shutting_down(self) -> bool:
+        """Whether new requests go elsewhere."""
+
+    def is_short_of_descriptors(self) -> bool:
+        """Whether connections have to end for new ones."""
+
+    def on_client_connected(self, client: ClientConnection) -> None:
+        """The connection was accepted."""
+
+    def on_client_waiting(self, client: ClientConnection) -> None:
+        """The connection begins to wait for its client anew."""
+
+    def on_client_closed(self, client: ClientConnection) -> None:
+        """The connection is closed."""
+
+    def admit(
+        self, client: ClientConnection, message: client_wire.RequestFrame | client_wire.MalformedRequest
+    ) -> None:
+        """A request came, to be answered with its stream."""
+
+    def on_client_left(self, request: OpenRequest) -> None:
+        """Nobody waits for a request's answer any more."""
+
+    def fail(self, request: OpenRequest) -> None:
+        """Answers a request whose connection has to end."""
+
+    def warn(self, kind: str, text: str) -> None:
+        """Logs something that clients can cause in any number."""
 
 
 class ClientConnection:
     """One client's connection."""
 
-    def __init__(self, director: Director):
-        self.director = director
-        director.clients_accepted += 1
-        self.number = director.clients_accepted
+    def __init__(self, host: ClientHost):
+        self.number = host.next_client_number()
         self.wire = client_wire.ClientWire()
         self.open_requests: dict[int, OpenRequest] = {}  # by stream
         self.connection: Connection
         self.phase = Phase.OPEN
         self.close_cause: CloseCause | None = None
-        self.close_not_before: int | None = (
-            None  # from when on an announced connection may end; None: not yet known
-        )
+        self.close_not_before: int | None = None  # once announced; None: not yet known
         self.quiet_period = 0  # how long it has to have been quiet by then
         self.usage = Usage.NONE
-        now = director.clock.now()
-        self.waiting_since = now  # it is waited for: its first frame, the rest of one, or the next
-        self.last_received_at = now  # bytes came
+        now = host.clock.now()
+        self.waiting_since = now  # for its first frame, the rest of one, or the next
+        self.last_received_at = now
+        self._host = host
 
-    def on_connected(self, link: Connection) -> None:
+    def on_connected(self, connection: Connection) -> None:
         """The connection was accepted."""
-        self.connection = link
-        self.director.clients[self] = None
-        if self.director.shutdown_deadline is not None:
+        self.connection = connection
+        self._host.on_client_connected(self)
+        if self._host.is_shutting_down():
             self.announce_close(CloseCause.SHUTDOWN, None)
 
-    def on_data(self, link: Connection, data: memoryview) -> None:
+    def on_data(self, connection: Connection, data: memoryview) -> None:
         """Bytes came; whole frames are handed on."""
         if self.phase is Phase.HALF_CLOSED:
             return
-        begun = bool(self.wire.buffered)
-        self.last_received_at = self.director.clock.now()
+        had_partial_frame = bool(self.wire.buffered)
+        self.last_received_at = self._host.clock.now()
         messages = self.wire.feed(data)
-        if messages or not begun:
+        if messages or not had_partial_frame:
             self._restart_wait()
         for message in messages:
             if self.phase is Phase.HALF_CLOSED:
                 return
             self._record_usage(message)
-            if isinstance(message, client_wire.RequestCancelled):
-                self._cancel_request(message.stream)
-            elif isinstance(message, client_wire.ReadinessQuery):
-                link.write(client_wire.ready(message.stream, self.director.shutdown_deadline is None))
-            elif isinstance(message, (client_wire.RequestFrame, client_wire.MalformedRequest)):
-                if not message.stream or message.stream in self.open_requests:
-                    self._close_for_violation(f"stream {message.stream} can't take a req")
-                elif len(self.open_requests) >= STREAMS:
-                    self._close_for_violation(f"more than {STREAMS} open reqs")
-                else:
-                    self.director.admit(self, message)
-            else:
-                self._close_for_violation(message.text)
+            self._on_message(message)
+
+    def _on_message(self, message: client_wire.Message) -> None:
+        if isinstance(message, client_wire.RequestCancelled):
+            self._cancel_request(message.stream)
+        elif isinstance(message, client_wire.ReadinessQuery):
+            is_ready = not self._host.is_shutting_down()
+            self.connection.write(client_wire.ready(message.stream, is_ready))
+        elif isinstance(message, (client_wire.RequestFrame, client_wire.MalformedRequest)):
+            self._on_request(message)
+        else:
+            self._close_for_violation(message.text)
+
+    def _on_request(self, message: client_wire.RequestFrame | client_wire.MalformedRequest) -> None:
+        if not message.stream or message.stream in self.open_requests:
+            self._close_for_violation(f"stream {message.stream} can't take a request")
+        elif len(self.open_requests) >= MAX_OPEN_REQUESTS:
+            self._close_for_violation(f"more than {MAX_OPEN_REQUESTS} open requests")
+        else:
+            self._host.admit(self, message)
 
     def _record_usage(self, message: client_wire.Message) -> None:
         if isinstance(message, client_wire.RequestFrame):
@@ -127,80 +172,84 @@
             self.usage = Usage.READINESS_ONLY
 
     def _cancel_request(self, stream: int) -> None:
-        req = self.open_requests.pop(stream, None)
-        if req is not None:
-            self.director.on_client_left(req)
-        for frame in [each for each in self.connection.pending_frames if each.tag == stream]:
-            self.connection.withdraw(frame)  # an answer that waits to be written
-
-    def send_answer(self, req: OpenRequest, code: int, fields: dict[str, str], body: bytes) -> None:
-        """The final answer of a request."""
-        self.open_requests.pop(req.stream, None)
+        request = self.open_requests.pop(stream, None)
+        if request is not None:
+            self._host.on_client_left(request)
+        unsent_answers = [frame for frame in self.connection.pending_frames if frame.tag == stream]
+        for frame in unsent_answers:
+            self.connection.withdraw(frame)
+
+    def send_answer(self, request: OpenRequest, code: int, fields: dict[str, str], body: bytes = b"") -> None:
+        """Writes the final answer of a request."""
+        self.open_requests.pop(request.stream, None)
         self._restart_wait()
-        self.connection.write(
-            client_wire.answer(req.stream, code, fields, body), req.stream, req.answer_expires_at
-        )
-
-    # The end
+        frame = client_wire.answer(request.stream, code, fields, body)
+        self.connection.write(frame, request.stream, request.answer_expires_at)
 
     def announce_close(self, cause: CloseCause, notice: int | None) -> None:
-        """Tells the client to bring no new request. Once it has been quiet for `notice` our side ends; None:
-        not before it is told another time.
+        """Tells the client to bring no new request.
+
+        Once the connection has been quiet for `notice` (tenths of a millisecond) our side ends; None: not
+        before it is told another time.
         """
         if self.phase is Phase.HALF_CLOSED:
             return
         if self.phase is Phase.OPEN:
-            self.phase, self.close_cause = Phase.ANNOUNCED, cause
+            self.phase = Phase.ANNOUNCED
+            self.close_cause = cause
             self.connection.write(client_wire.no_more())
             self._record(EventKind.CLIENT_ANNOUNCED)
         if notice is None:
             self.close_not_before, self.quiet_period = None, 0
         elif self.close_not_before is None:
             self.close_cause = cause
-            self.close_not_before, self.quiet_period = self.director.clock.now() + notice, notice
+            self.close_not_before = self._host.clock.now() + notice
+            self.quiet_period = notice
 
     def half_close(self) -> None:
-        """Ends our side, after all that is queued. Guards a request that comes in that moment: its client
-        sees an orderly end, not a reset that takes the last answers along.
+        """Ends our side, after all that is queued.
+
+        A client whose request comes in that moment sees an orderly end, not a reset that takes the last
+        answers along.
         """
         if self.phase is Phase.HALF_CLOSED:
             return
-        linger = HURRIED_LINGER if self.director.manager.is_nearly_full() else LINGER
-        self.phase, self.close_not_before = Phase.HALF_CLOSED, self.director.clock.now() + linger
+        linger = LINGER_WHEN_SHORT if self._host.is_short_of_descriptors() else LINGER
+        self.phase = Phase.HALF_CLOSED
+        self.close_not_before = self._host.clock.now() + linger
         self._record(EventKind.CLIENT_HALF_CLOSED)
         self.connection.finish()
 
     def _close_for_violation(self, text: str) -> None:
-        """Tells the client what is wrong, and ends the connection: what is open on it is aborted, since
-        whoever breaks the protocol on a connection can't be trusted with the rest of it. Guards the nodes
-        against crowds of requests: what came with the breach has not been written to them yet.
+        """Tells the client what is wrong, and ends the connection.
+
+        What is open on it fails: whoever breaks the protocol on a connection can't be trusted with the rest
+        of it, and what came with the violation has not been written to upstreams yet.
         """
-        self.director.warn("breaches", f"a client's connection is ended: {text}")
+        self._host.warn("protocol_violations", f"client_protocol_violation error={text!r}")
         self.close_cause = CloseCause.PROTOCOL_VIOLATION
         self.half_close()  # first: nothing that its requests cause is to come before this
-        for req in list(self.open_requests.values()):
-            self.director.fail(req)
-        self.connection.write(
-            client_wire.error(text)
-        )  # our side ends after all that is queued when it is written
+        for request in list(self.open_requests.values()):
+            self._host.fail(request)
+        # our side ends after all that is queued when that is written
+        self.connection.write(client_wire.error(text))
 
     def _restart_wait(self) -> None:
-        """Waiting begins anew."""
-        self.waiting_since = self.director.clock.now()
-        if self in self.director.clients:
-            del self.director.clients[self]
-            self.director.clients[self] = None
+        self.waiting_since = self._host.clock.now()
+        self._host.on_client_waiting(self)
 
     def is_quiet(self) -> bool:
-        """True when nothing is open, nothing waits to be written, and nothing has come of another request."""
-        link = self.connection
-        busy = self.open_requests or self.wire.buffered or link.pending_frames or link.outbound.used
-        return not (busy or link.has_unread())
+        """Whether nothing is open, nothing waits to be written, and nothing has come of another request."""
+        connection = self.connection
+        is_busy = (
+            self.open_requests or self.wire.buffered or connection.pending_frames or connection.outbound.used
+        )
+        return not (is_busy or connection.has_unread())
 
     def is_idle(self) -> bool:
-        """True when it may be chosen to end: nothing has begun to end it, or only the end of the program."""
-        waits = self.phase is Phase.ANNOUNCED and self.close_not_before is None
-        return (self.phase is Phase.OPEN or waits) and self.is_quiet()
+        """Whether it may be chosen to end: nothing has begun to end it, or only the end of the program."""
+        is_waiting = self.phase is Phase.ANNOUNCED and self.close_not_before is None
+        return (self.phase is Phase.OPEN or is_waiting) and self.is_quiet()
 
     def check_timeouts(self, now: int) -> None:
         """Takes the next step of the end if its time has come."""
@@ -208,21 +257,23 @@
             if self.close_not_before is not None and now > self.close_not_before:
                 self.connection.close(AttemptEnd.CLOSED)
         elif self.wire.buffered:
-            if now > self.waiting_since + FRAME_TIME:
-                self.close_if_stalled(now, 0)
-            else:
-                self.close_if_stalled(now, STALLED)
+            is_too_long = now > self.waiting_since + FRAME_TIMEOUT
+            self.close_if_stalled(now, 0 if is_too_long else STALLED_TIMEOUT)
         elif self.phase is Phase.ANNOUNCED:
-            if self.close_not_before is not None and now >= max(
-                self.close_not_before, self.waiting_since + self.quiet_period
-            ):
+            if self.close_not_before is not None and now >= self._quiet_until(self.close_not_before):
                 self._close_if_quiet()
-        elif now > self.waiting_since + (STALLED if self.usage is Usage.NONE else IDLE) and self.is_idle():
+        elif now > self.waiting_since + self._idle_timeout() and self.is_idle():
             if self.usage is Usage.NONE:
-                self.announce_close(CloseCause.NEVER_USED, SILENT_NOTICE)
+                self.announce_close(CloseCause.NEVER_USED, NEVER_USED_NOTICE)
             else:
                 self.announce_close(CloseCause.IDLE, NOTICE)
 
+    def _quiet_until(self, close_not_before: int) -> int:
+        return max(close_not_before, self.waiting_since + self.quiet_period)
+
+    def _idle_timeout(self) -> int:
+        return STALLED_TIMEOUT if self.usage is Usage.NONE else IDLE_TIMEOUT
+
     def _close_if_quiet(self) -> None:
         if not self.is_quiet():
             return
@@ -231,44 +282,50 @@
         else:
             self.half_close()
 
-    def close_if_stalled(self, now: int, limit: int) -> bool:
-        """Refuses a frame that was begun and of which nothing more has come for so long; False if there is
-        none, or if it is we who are late.
+    def close_if_stalled(self, now: int, timeout: int) -> bool:
+        """Closes a connection with a frame begun of which nothing more has come for so long.
+
+        False if there is none, or if it is we who are late.
         """
-        stalled = (
-            self.phase is not Phase.HALF_CLOSED and self.wire.buffered and now > self.last_received_at + limit
+        is_stalled = (
+            self.phase is not Phase.HALF_CLOSED
+            and self.wire.buffered
+            and now > self.last_received_at + timeout
         )
-        if not stalled or self.connection.has_unread():
+        if not is_stalled or self.connection.has_unread():
             return False
         self._close_for_violation("a frame that does not end")
         return True
 
-    def close_for_capacity(self, pressing: bool) -> None:
-        """Ends it as soon as may be, for others. One that never asked ends without notice, and is closed
-        whole where no descriptor is left: crowds of them come faster than anything else lets them go. One
-        that has brought requests may bring more, and has its full notice.
+    def close_for_capacity(self, is_full: bool) -> None:
+        """Ends it as soon as may be, for others.
+
+        One that never sent anything ends without notice, and is closed whole where no descriptor is left:
+        crowds of them come faster than anything else lets them go. One that has brought requests may bring
+        more, and has its full notice.
         """
-        if pressing and self.usage is Usage.NONE:
+        if is_full and self.usage is Usage.NONE:
             self.close_cause = CloseCause.CAPACITY
-            return self.connection.close(AttemptEnd.CLOSED)
+            self.connection.close(AttemptEnd.CLOSED)
+            return
         if self.usage is Usage.REQUESTS:
             self.announce_close(CloseCause.CAPACITY, NOTICE)
         else:
-            self.announce_close(CloseCause.CAPACITY, PRESSING_NOTICE if pressing else HURRIED_NOTICE)
+            self.announce_close(CloseCause.CAPACITY, FULL_NOTICE if is_full else SHORT_OF_DESCRIPTORS_NOTICE)
         if self.usage is Usage.NONE:
             self.half_close()
 
-    def on_closed(self, link: Connection, ending: AttemptEnd) -> None:
-        """The connection is over."""
-        self.director.clients.pop(self, None)
-        self._record(EventKind.CLIENT_CLOSED, ending.name)
-        if link.discarded_bytes:
-            self._record(EventKind.REQUEST_UNREAD, f"{link.discarded_bytes} bytes")
-        for req in list(self.open_requests.values()):
-            self.director.event_log.record(
-                EventKind.REQUEST_UNANSWERED, req.request_id, ending.name, self._name()
+    def on_closed(self, connection: Connection, end: AttemptEnd) -> None:
+        """The connection is closed: nobody waits for what is open on it."""
+        self._host.on_client_closed(self)
+        self._record(EventKind.CLIENT_CLOSED, end.name)
+        if connection.discarded_bytes:
+            self._record(EventKind.REQUEST_UNREAD, f"{connection.discarded_bytes} bytes")
+        for request in list(self.open_requests.values()):
+            self._host.event_log.record(
+                EventKind.REQUEST_UNANSWERED, request.request_id, end.name, self._name()
             )
-            self.director.on_client_left(req)
+            self._host.on_client_left(request)
         self.open_requests.clear()
 
     def _name(self) -> str:
@@ -276,4 +333,4 @@
 
     def _record(self, kind: EventKind, detail: str = "") -> None:
         cause = self.close_cause.value if self.close_cause is not None else "peer"
-        self.director.event_log.record(kind, self._name(), cause, detail)
+        self._host.event_log.record(kind, self._name(), cause, detail)
--- /dev/null
+++ b/ironhinge/net/decision_loop.py
@@ -0,0 +1,60 @@
+"""The one place where events go to the decisions and their commands are carried out.
+
+Events are handled one at a time and in order, also those that a command causes at once. A fault of the
+decisions costs the request at hand, not the program.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from loguru import logger
+
+from ..interface import Event
+from ..routing import Router
+from .clock import Clock
+
+CommandHandlers = Mapping[type, Callable[[Any], None]]
+
+
+class DecisionLoop:
+    """Hands events to a router and its commands to their handlers."""
+
+    def __init__(
+        self,
+        router: Router,
+        clock: Clock,
+        on_fault: Callable[[str], None],
+        on_drained: Callable[[], None],
+    ):
+        self.router = router
+        self.handlers: CommandHandlers = {}
+        self._clock = clock
+        self._on_fault = on_fault  # gets the id of the request at hand, empty where there is none
+        self._on_drained = on_drained  # all events have been handled
+        self._queue: deque[Event] = deque()
+        self._is_handling = False
+
+    def report(self, event: Event) -> None:
+        """Hands an event to the decisions and carries out what they answer."""
+        self._queue.append(event)
+        if self._is_handling:
+            return
+        self._is_handling = True
+        try:
+            while self._queue:
+                self._handle(self._queue.popleft())
+        finally:
+            self._is_handling = False
+            self._on_drained()
+
+    def _handle(self, event: Event) -> None:
+        handlers = self.handlers
+        try:
+            for command in self.router.handle(self._clock.now(), event):
+                handlers[type(command)](command)
+        except Exception:  # noqa: BLE001 - a fault costs the request at hand, not the program
+            logger.exception("decision_failed event={}", type(event).__name__)
+            self._on_fault(getattr(event, "request_id", ""))
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -1,135 +1,192 @@
-"""Follows the coordinator: keeps a connection to it, wherever it is by now, and learns what it tells.
+"""Follows the discovery service: keeps a connection to it, wherever it is by now, and applies what it tells.
 
-Events are numbered; those that are known already are passed over. What each means is told to the decision
-module, and attempts that have not begun and should not go any more are taken back.
+Events are numbered; those that are known already are passed over. What each means is reported to the
+decisions, and attempts that have not begun and should not go any more are withdrawn.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import Protocol
 
 import anyio
 from loguru import logger
 
-from .. import interface
-from ..config import DirectorConfig, EndpointListUpdate, EndpointRecord, PurgeUpdate
+from ..config import (
+    CONFIG_KEYS,
+    DirectorConfig,
+    DiscoveryUpdate,
+    EndpointListUpdate,
+    EndpointRecord,
+    PurgeUpdate,
+)
+from ..interface import Endpoint, EndpointState, EndpointsUpdated, Event, PurgeNotified
 from .attempt_end import AttemptEnd
-from .clock import SECOND
+from .clock import SECOND, Clock
+from .connection_manager import ConnectionManager
+from .discovery_connection import DiscoveryConnection
+from .discovery_wire import Keepalive
+from .extensions import LocalCopyStore, TrafficAccount
+from .open_request import Attempt
 from .system_calls import spread
-from .upstream import Attempt, DiscoveryConnection, Upstream
+from .upstream import Upstream
+from .upstream_pool import UpstreamPool
 
-if TYPE_CHECKING:
-    from .director import Director
+SILENCE_TIMEOUT = (
+    2 * SECOND
+)  # the service writes each second; its events count as told 4 s after it falls silent
+SILENCE_CHECK_INTERVAL = SECOND // 4
+MIN_RECONNECT_PAUSE = 0.05  # seconds
+MAX_RECONNECT_PAUSE = 0.4  # seconds; its events count as told 2 s after a break
+RELOADABLE = "seed", "known", "known_index", "discovery_address"  # what each configuration may say anew
+WRITE_INTERVAL_MS = 1000  # the service writes in order, and that often at least
 
-FEED_SILENCE = 2 * SECOND  # the coordinator writes each second; its news count as told 4 s after a stop
-FEED_LOOK = SECOND // 4  # how often that is looked at
-FEED_AGAIN, FEED_AGAIN_MOST = 0.05, 0.4  # seconds before the coordinator is called again; its news count as
-# told 2 s after a break
-FOLLOWED = "seed", "known", "known_index", "discovery_address"  # what each configuration may say anew
-WRITES_EACH = 1000  # milliseconds: the coordinator writes in order, and each second at least
 
+class DiscoveryListener(Protocol):
+    """What hears of discovery events."""
+
+    def report(self, event: Event) -> None:
+        """Hands an event to the decisions."""
+
+    def withdraw_unsent(self, is_affected: Callable[[Attempt], bool]) -> None:
+        """Withdraws attempts of which nothing has been written."""
 
-class Discovery:
-    """What the coordinator has told, and the connection to it."""
 
-    def __init__(self, director: Director):
-        self.director = director
+class Discovery:
+    """What the discovery service has told, and the connection to it."""
+
+    def __init__(
+        self,
+        config: DirectorConfig,
+        manager: ConnectionManager,
+        pool: UpstreamPool,
+        clock: Clock,
+        listener: DiscoveryListener,
+    ):
         self.last_index = 0  # of the last event
         self.connection: DiscoveryConnection | None = None
-        self.caught_up_at = director.clock.now()  # all that there was to tell by then is known
-
-    def apply(self, news: Any) -> None:
-        """An event of the coordinator; those that are known already are passed over."""
-        director = self.director
-        if director.local_store is not None:
-            director.local_store.hears(director.clock.unix_ms() - WRITES_EACH)
-        if isinstance(news, PurgeUpdate) and news.event_index > self.last_index:
-            self.last_index = news.event_index
-            self._apply_purge(news)
-        elif isinstance(news, EndpointListUpdate) and news.event_index > self.last_index:
-            self.last_index = news.event_index
-            listed = interface.EndpointsUpdated(news.is_full, self._apply_endpoints(news))
-            if director.traffic_account is not None:
-                director.traffic_account.listed(director.clock.now(), listed)
-            director.report(listed)
-            director.withdraw_unsent(Attempt.is_outdated)
-
-    def _apply_purge(self, news: PurgeUpdate) -> None:
-        director = self.director
-        if director.local_store is not None:
-            director.local_store.purge(news.object_id, news.group, news.unix_ms)
-        age = director.clock.age_of_event(news.unix_ms, self.caught_up_at)
-        director.report(interface.PurgeNotified(news.object_id, news.group, age))
-        if news.object_id is None:
-            director.withdraw_unsent(lambda out: out.request.received.group == news.group)
+        self.traffic_account: TrafficAccount | None = None
+        self.local_store: LocalCopyStore | None = None
+        self._config = config
+        self._manager = manager
+        self._pool = pool
+        self._clock = clock
+        self._listener = listener
+        self._caught_up_at = clock.now()  # all that there was to tell by then is known
+
+    def set_caught_up(self, now: int) -> None:
+        """All that there was to tell by now has been told."""
+        self._caught_up_at = now
+
+    def apply_known(self) -> None:
+        """Applies what the configuration holds of the list, before any client is served."""
+        for update in self._config.known:
+            self.apply(update)
+        self.last_index = max(self.last_index, self._config.known_index)
+
+    def apply(self, update: DiscoveryUpdate | Keepalive) -> None:
+        """Takes in one event; those that are known already are passed over."""
+        if self.local_store is not None:
+            self.local_store.on_discovery_progress(self._clock.unix_ms() - WRITE_INTERVAL_MS)
+        if isinstance(update, Keepalive) or update.event_index <= self.last_index:
+            return
+        self.last_index = update.event_index
+        if isinstance(update, PurgeUpdate):
+            self._apply_purge(update)
+        else:
+            self._apply_list(update)
+
+    def _apply_list(self, update: EndpointListUpdate) -> None:
+        event = EndpointsUpdated(update.is_full, self._apply_endpoints(update))
+        if self.traffic_account is not None:
+            self.traffic_account.on_endpoints_updated(self._clock.now(), event)
+        self._listener.report(event)
+        self._listener.withdraw_unsent(Attempt.is_outdated)
+
+    def _apply_purge(self, update: PurgeUpdate) -> None:
+        object_id, group = update.object_id, update.group
+        if self.local_store is not None:
+            self.local_store.on_purge(object_id, group, update.unix_ms)
+        age = self._clock.age_of_event(update.unix_ms, self._caught_up_at)
+        self._listener.report(PurgeNotified(object_id, group, age))
+        if object_id is None:
+            self._listener.withdraw_unsent(lambda attempt: attempt.request.received.group == group)
         else:
-            director.withdraw_unsent(lambda out: out.request.received.object_id == news.object_id)
-
-    def _apply_endpoints(self, news: EndpointListUpdate) -> tuple[interface.Endpoint, ...]:
-        nodes = self.director.upstreams
-        rows = tuple(self._apply_endpoint(listing) for listing in news.records)
-        here = {row.id for row in rows}
-        for node in nodes.values():
-            if news.is_full and node.id not in here:
-                node.state = "gone"
-            if node.state == "gone":
-                node.retire()
-        return rows
-
-    def _apply_endpoint(self, listing: EndpointRecord) -> interface.Endpoint:
-        row, address, started_unix = listing
-        nodes = self.director.upstreams
-        node = nodes.get(row.id)
-        if node is None:
-            node = nodes[row.id] = Upstream(row.id, address)
-        elif node.address != address or started_unix > node.started_unix_ms:
-            node.retire()  # another process listens there now
-        if row.state != node.state:
-            logger.info("node {} is {}", row.id, row.state)
-        node.address, node.state = address, row.state
-        if started_unix > node.started_unix_ms:  # once: told again it must not look like another restart
-            node.started_unix_ms = started_unix
-            node.started_at = self.director.clock.start_instant(started_unix, self.caught_up_at)
-        return row._replace(started_at=node.started_at if started_unix else 0)
+            self._listener.withdraw_unsent(lambda attempt: attempt.request.received.object_id == object_id)
+
+    def _apply_endpoints(self, update: EndpointListUpdate) -> tuple[Endpoint, ...]:
+        endpoints = tuple(self._apply_record(record) for record in update.records)
+        listed = {endpoint.id for endpoint in endpoints}
+        for upstream in self._pool.upstreams.values():
+            if update.is_full and upstream.id not in listed:
+                upstream.state = EndpointState.REMOVED
+            if upstream.state is EndpointState.REMOVED:
+                upstream.retire()
+        return endpoints
+
+    def _apply_record(self, record: EndpointRecord) -> Endpoint:
+        endpoint, address, started_unix_ms = record
+        upstream = self._pool.upstreams.get(endpoint.id)
+        if upstream is None:
+            upstream = self._pool.add(endpoint.id, address)
+        elif upstream.address != address or started_unix_ms > upstream.started_unix_ms:
+            upstream.retire()  # another process listens there now
+        if endpoint.state is not upstream.state:
+            logger.info("upstream_state_changed upstream={} state={}", endpoint.id, endpoint.state)
+        upstream.address = address
+        upstream.state = endpoint.state
+        self._note_start(upstream, started_unix_ms)
+        return endpoint._replace(started_at=upstream.started_at if started_unix_ms else 0)
+
+    def _note_start(self, upstream: Upstream, started_unix_ms: int) -> None:
+        """Turns a start into an instant once: told again it must not look like another restart."""
+        if started_unix_ms > upstream.started_unix_ms:
+            upstream.started_unix_ms = started_unix_ms
+            upstream.started_at = self._clock.start_instant(started_unix_ms, self._caught_up_at)
 
     async def follow(self) -> None:
-        """Keeps a connection to the coordinator, wherever it is by now."""
-        director, again = self.director, FEED_AGAIN
+        """Keeps a connection to the discovery service, wherever it is by now."""
+        pause = MIN_RECONNECT_PAUSE
+        timeout = self._clock.seconds(self._config.transport.connect_timeout)
         while True:
-            at = director.config.discovery_address
-            if at is None:
-                await anyio.sleep(FEED_AGAIN_MOST)
+            address = self._config.discovery_address
+            if address is None:
+                await anyio.sleep(MAX_RECONNECT_PAUSE)
                 continue
-            receiver = self.connection = DiscoveryConnection(director, self)
-            dial = director.clock.seconds(director.config.transport.connect_timeout)
-            receiver.connection = director.manager.connect(receiver, at, dial, needed=True)
-            await self._wait_until_closed(receiver)
-            if director.config.discovery_address == at:
-                logger.warning("coordinator: connection over, calling again")
-                again = FEED_AGAIN if receiver.has_received else min(FEED_AGAIN_MOST, 2 * again)
-                await anyio.sleep(spread(again))
-
-    async def _wait_until_closed(self, receiver: DiscoveryConnection) -> None:
-        """Until a connection is over, or was silent for too long."""
-        clock = self.director.clock
-        while not receiver.closed.is_set():
-            with anyio.move_on_after(clock.seconds(FEED_LOOK)):
-                await receiver.closed.wait()
-            if clock.now() > receiver.last_received_at + FEED_SILENCE:
-                receiver.connection.close(AttemptEnd.TIMED_OUT)
-
-    def apply_config(self, told: DirectorConfig) -> None:
-        """What a new configuration changes while all else lives on: where the coordinator is. It is asked for
-        what follows the last event that we have.
+            current = self.connection = DiscoveryConnection(self, self._clock)
+            current.connection = self._manager.connect(current, address, timeout, needed=True)
+            await self._wait_until_closed(current)
+            if self._config.discovery_address == address:
+                logger.warning("discovery_connection_lost address={}:{}", *address)
+                pause = MIN_RECONNECT_PAUSE if current.has_received else min(MAX_RECONNECT_PAUSE, 2 * pause)
+                await anyio.sleep(spread(pause))
+
+    async def _wait_until_closed(self, current: DiscoveryConnection) -> None:
+        """Until a connection is closed, or was silent for too long."""
+        while not current.closed.is_set():
+            with anyio.move_on_after(self._clock.seconds(SILENCE_CHECK_INTERVAL)):
+                await current.closed.wait()
+            if self._clock.now() > current.last_received_at + SILENCE_TIMEOUT:
+                current.connection.close(AttemptEnd.TIMED_OUT)
+
+    def apply_config(self, config: DirectorConfig) -> None:
+        """What a new configuration changes while all else lives on: where the discovery service is.
+
+        It is asked there for what follows the last event that is known. Other changes are logged: they take a
+        restart.
         """
-        director = self.director
         for name in DirectorConfig._fields:
-            if name not in FOLLOWED and getattr(told, name) != getattr(director.config, name):
-                logger.warning("SIGHUP: '{}' has changed, which takes a restart", name)
-        if told.discovery_address == director.config.discovery_address:
-            return logger.info("SIGHUP: the coordinator is where it was")
-        if told.discovery_address is not None:
-            logger.info("SIGHUP: the coordinator is at {}:{} from now on", *told.discovery_address)
-        director.config = director.config._replace(discovery_address=told.discovery_address)
+            if name not in RELOADABLE and getattr(config, name) != getattr(self._config, name):
+                key = CONFIG_KEYS.get(name, name)
+                logger.warning("config_change_needs_restart key={}", key)
+        address = config.discovery_address
+        if address == self._config.discovery_address:
+            logger.info("config_reloaded discovery=unchanged")
+            return
+        if address is None:
+            logger.info("config_reloaded discovery=none")
+        else:
+            logger.info("config_reloaded discovery={}:{}", *address)
+        self._config = self._config._replace(discovery_address=address)
         if self.connection is not None:
             self.connection.connection.close(AttemptEnd.CLOSED)
--- a/ironhinge/net/extensions.py
+++ b/ironhinge/net/extensions.py
@@ -1,44 +1,89 @@
-"""What operators may turn on beside the director, as the director sees it: an account of crossings between
-zones, and copies of its own on disk.
+"""What operators may turn on beside the director, as the director sees it.
+
+An account of traffic between zones, and copies of the director's own on disk.
 """
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from collections.abc import Callable
+from typing import Protocol
 
 from .. import interface
 
 
+class LocalCopy(Protocol):
+    """A copy read from the local store."""
+
+    @property
+    def tag(self) -> bytes:
+        """Names the version of the object's bytes."""
+
+    @property
+    def body(self) -> bytes:
+        """The object's bytes."""
+
+
+class BackgroundRunner(Protocol):
+    """Runs background work within its budgets."""
+
+    async def run(self) -> None:
+        """Works for as long as the program runs."""
+
+
 class TrafficAccount(interface.FillBudget, Protocol):
-    """Keeps the account of crossings."""
+    """Keeps the account of traffic between zones."""
 
-    def listed(self, now: int, what: interface.EndpointsUpdated) -> None: ...
+    send_gossip: Callable[[bytes], None]
 
-    def sent(
-        self, now: int, came: interface.RequestReceived, node: str, source: str, how: dict[str, str]
-    ) -> None: ...
+    def on_endpoints_updated(self, now: int, event: interface.EndpointsUpdated) -> None:
+        """The endpoint list has changed."""
 
-    def ended(
+    def on_attempt_started(
         self,
         now: int,
-        came: interface.RequestReceived,
-        result: str,
-        note: int,
-        body: int | None,
-        took: int,
-        gone: bool,
-    ) -> None: ...
+        request: interface.RequestReceived,
+        command: interface.SendAttempt | interface.SendAttemptWithFill,
+        source_id: str,
+    ) -> None:
+        """An attempt went out; `source_id` is empty where no fill is named."""
+
+    def on_attempt_finished(
+        self, now: int, event: interface.AttemptFinished, body_size: int | None, client_left: bool
+    ) -> None:
+        """An attempt ended; `body_size` is None where the answer held none of the bytes."""
+
+    def on_gossip(self, now: int, sender: int, data: bytes) -> bool:
+        """True when the datagram was one of the account's."""
+
+    async def run(self) -> None:
+        """Works in the background for as long as the program runs."""
+
+    async def reload(self) -> None:
+        """Reads the operators' files again."""
+
+    def close(self) -> None:
+        """Writes the last snapshot."""
+
 
-    def heard(self, now: int, sender: int, data: bytes) -> bool: ...
+class LocalCopyStore(interface.LocalStore, Protocol):
+    """Holds copies of the director's own."""
 
+    async def read(self, request: interface.RequestReceived) -> LocalCopy | None:
+        """The copy for a request, None if there is none or it can't be read in time."""
 
-class CopyStore(interface.LocalStore, Protocol):
-    """Holds copies of our own."""
+    def store_copy(
+        self, request: interface.RequestReceived, tag: str, produced_unix_ms: int, body: bytes
+    ) -> None:
+        """Keeps a copy; it is written in the background."""
 
-    async def read(self, came: interface.RequestReceived) -> Any: ...
+    def on_purge(self, object_id: int | None, group: int, unix_ms: int) -> None:
+        """Copies made before that time must not be served; None: all of the group."""
 
-    def keep(self, came: interface.RequestReceived, tag: str, dated: int, body: bytes) -> None: ...
+    def on_discovery_progress(self, unix_ms: int) -> None:
+        """All purges made before that time are known."""
 
-    def purge(self, obj: int | None, group: int, unix_ms: int) -> None: ...
+    async def run(self) -> None:
+        """Works in the background for as long as the program runs."""
 
-    def hears(self, unix_ms: int) -> None: ...
+    def close(self) -> None:
+        """Writes what is queued and gives the folder back."""
--- a/ironhinge/net/gossip.py
+++ b/ironhinge/net/gossip.py
@@ -3,68 +3,69 @@
 from __future__ import annotations
 
 import socket
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import anyio
 
-from .. import interface
-from ..config import Address
+from ..config import Address, DirectorConfig
+from ..interface import SendGossip
+from .socket_calls import SocketCalls
 from .system_calls import Backoff, Remedy
 
-if TYPE_CHECKING:
-    from .director import Director
+DATAGRAM_READ_SIZE = 512  # bytes; the protocol has 256 at most
 
-DATAGRAM = 512  # bytes read of one; the protocol has 256 at most
+
+class GossipHandler(Protocol):
+    """What hears of datagrams."""
+
+    def on_datagram(self, sender: int, data: bytes) -> None:
+        """A datagram came from the peer with that index."""
 
 
 class Gossip:
-    """The way to the other directors."""
+    """The socket to the other directors; without one, nothing is sent."""
 
-    def __init__(self, director: Director):
-        self.director = director
+    def __init__(self, config: DirectorConfig, calls: SocketCalls, handler: GossipHandler):
         self.sock: socket.socket | None = None  # none where the configuration has no address for it
+        self._config = config
+        self._calls = calls
+        self._handler = handler
 
-    def send(self, act: interface.SendGossip) -> None:
-        """To one of them, or to all where the platform has an address for that."""
-        told = self.director.config
-        to = told.gossip_broadcast if act.peer is None else told.gossip_peers[act.peer]
-        if self.sock is not None and to is not None:
-            self.director.manager.calls.send_datagram(self.sock, act.data, to)
+    def send(self, command: SendGossip) -> None:
+        """Sends to one peer, or to all where the platform has an address for that."""
+        config = self._config
+        target = config.gossip_broadcast if command.peer is None else config.gossip_peers[command.peer]
+        if self.sock is not None and target is not None:
+            self._calls.send_datagram(self.sock, command.data, target)
 
     def broadcast(self, data: bytes) -> None:
-        """To all of the tier at once, or to each where there is no address for all; nothing where the
-        settings do not allow it.
+        """Sends to all of the tier at once, or to each where there is no address for all.
+
+        Does nothing where the settings do not allow gossip.
         """
-        told = self.director.config
-        if not told.deployment.gossip_allowed:
-            return None
-        if told.gossip_broadcast is not None:
-            return self.send(interface.SendGossip(None, data))
-        for place, peer in enumerate(told.gossip_peers):
-            if peer != told.gossip_listen:
-                self.send(interface.SendGossip(place, data))
+        config = self._config
+        if not config.deployment.gossip_allowed:
+            return
+        if config.gossip_broadcast is not None:
+            self.send(SendGossip(None, data))
+            return
+        for index, peer in enumerate(config.gossip_peers):
+            if peer != config.gossip_listen:
+                self.send(SendGossip(index, data))
 
     async def receive_loop(self) -> None:
         """Hands on the datagrams of other directors."""
-        caller, backoff = self.director.manager.calls, Backoff()
+        backoff = Backoff()
         while self.sock is not None:
-            data, sender, remedy = caller.receive_datagram(self.sock, DATAGRAM)
+            data, sender, remedy = self._calls.receive_datagram(self.sock, DATAGRAM_READ_SIZE)
             if sender is not None:
                 backoff.reset()
                 self._on_datagram(data, sender)
             elif remedy is Remedy.WAIT:
-                await caller.readable(self.sock)
+                await self._calls.readable(self.sock)
             else:
                 await anyio.sleep(backoff.next())
 
     def _on_datagram(self, data: bytes, sender: Address) -> None:
-        director = self.director
-        if sender not in director.config.gossip_peers:
-            return
-        place = director.config.gossip_peers.index(sender)
-        if director.traffic_account is not None and director.traffic_account.heard(
-            director.clock.now(), place, data
-        ):
-            return
-        director.report(interface.GossipReceived(place, data))
-        director.manager.flush()
+        if sender in self._config.gossip_peers:
+            self._handler.on_datagram(self._config.gossip_peers.index(sender), data)
--- /dev/null
+++ b/ironhinge/net/loop_monitor.py
@@ -0,0 +1,39 @@
+"""How late the program runs, and what that takes off the time of the requests that it reads."""
+
+from __future__ import annotations
+
+from .clock import MILLISECOND, SECOND, Clock
+from .connection import Connection
+from .timed_selector import TimedSelector
+
+ALLOWED_LATENESS = 50 * MILLISECOND  # each limit of the protocol is longer by this
+LAG_DECAY_PERCENT = 97  # of the lag seen that still counts with the next pulse
+
+
+class LoopMonitor:
+    """The most that the event loop was late, fading."""
+
+    def __init__(self, clock: Clock, selector: TimedSelector):
+        self.loop_lag = 0
+        self.selector = selector
+        self._clock = clock
+
+    def on_pulse(self, due: int) -> None:
+        """A pulse that was due at that time has come."""
+        self.loop_lag = max(self._clock.now() - due, self.loop_lag * LAG_DECAY_PERCENT // 100)
+
+    def on_late_timer(self, lag: int) -> None:
+        """A timer fired that late."""
+        self.loop_lag = max(self.loop_lag, lag)
+
+    def deadline_margin(self, connection: Connection) -> int:
+        """What comes off the time of a request that was just read.
+
+        What it may have waited, in the backlog too, and what its end may come late by, beyond what the
+        protocol allows. It is 0 on a machine that is not short of CPU or descriptors.
+        """
+        since = self.selector.unread_since()
+        if connection.unread_since is not None:
+            since = min(since, connection.unread_since)
+        waited = self._clock.now() - int(since * SECOND)
+        return max(0, waited + self.loop_lag - ALLOWED_LATENESS)
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -1,6 +1,6 @@
-"""Owns the program's life: start, signals and stop.
+"""The program's life: start, signals and shutdown.
 
-It must never touch a req; it starts the director's tasks, keeps them running, and ends them.
+It starts the director's tasks, keeps them running and ends them; it never touches a request.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import signal
 import socket
 from collections.abc import AsyncIterator, Awaitable, Callable
+from dataclasses import dataclass, field
 from typing import Any
 
 import anyio
@@ -18,108 +19,115 @@
 
 from ..config import Address, DirectorConfig
 from .client_connection import ClientConnection
-from .clock import MILLISECOND, SECOND, Clock
+from .clock import Clock
 from .connection_manager import ConnectionManager
 from .director import Director
+from .extensions import BackgroundRunner, LocalCopyStore, TrafficAccount
+from .shutdown import drain
 from .socket_calls import datagrams, listen
 from .system_calls import Call, Remedy, remedy_for
 from .timed_selector import TimedSelector
 
-STILL_COMING = 0.7  # seconds after SIGTERM in which connections still come: 0.4 says the platform
-LOOK = 0.02  # seconds between looks for clients that have all their answers
-COLLECT = 20_000, 20, 20  # ordinary work leaves no cycles, and a pause grows with the module's tables
-KILLED = (
-    700 * MILLISECOND
-)  # SIGKILL may come the longest client timeout, or LONGEST if that is less, and this
-# long after SIGTERM
-LONGEST = 3 * SECOND
-WRITE_OUT = 200 * MILLISECOND  # kept of that for writing the last answers
-LAST_ACCEPTS = 0.05  # seconds for taking the backlog, however short the client timeouts are
-NOT_KILLED = 500 * MILLISECOND  # after that time the program ends by itself, whoever still holds a connection
-LAST = 200 * MILLISECOND  # for clients to end their side then
-AGAIN = 0.05  # seconds until a task that failed is started again
-LISTEN_FOR = 2.0  # seconds in which an address that is taken may come free
-HEARD = signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1
-
-
-async def _keep(work: Callable[..., Awaitable[None]], *args: Any) -> None:
+GC_THRESHOLDS = 20_000, 20, 20  # ordinary work leaves no cycles, and a pause grows with the decisions' tables
+RESTART_PAUSE = 0.05  # seconds until a task that failed is started again
+LISTEN_TIMEOUT = 2.0  # seconds in which an address that is taken may come free
+LISTEN_RETRY_PAUSE = 0.02  # seconds
+PASSING_FAULTS = Remedy.PAUSE, Remedy.DESCRIPTORS, Remedy.RETRY
+HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1
+
+
+@dataclass(slots=True)
+class Extensions:
+    """What operators have turned on beside the director."""
+
+    traffic_account: TrafficAccount | None = None
+    local_store: LocalCopyStore | None = None
+    runner: BackgroundRunner | None = None
+
+    def close(self) -> None:
+        """Writes what they keep."""
+        for extension in (self.traffic_account, self.local_store):
+            if extension is not None:
+                extension.close()
+
+
+@dataclass(slots=True)
+class Service:
+    """One run of the program."""
+
+    config: DirectorConfig
+    read_config: Callable[[], DirectorConfig]  # reads the file again
+    extensions: Extensions = field(default_factory=Extensions)
+    clock: Clock = field(default_factory=Clock)
+    selector: TimedSelector = field(default_factory=TimedSelector)
+
+
+async def _restart_on_failure(task: Callable[..., Awaitable[None]], *args: Any) -> None:
     """Runs a task of the program for good: a fault in it is logged and must not end the others."""
     while True:
         try:
-            return await work(*args)
-        except Exception:
-            logger.exception("a task of the program failed")
-            await anyio.sleep(AGAIN)
+            return await task(*args)
+        except Exception:  # noqa: BLE001 - it must not end the other tasks
+            logger.exception("task_failed task={}", getattr(task, "__qualname__", task))
+            await anyio.sleep(RESTART_PAUSE)
 
 
 def hold_signals() -> None:
-    """From here on signals wait until they are served: one that comes early must neither end the program nor
-    be missed.
+    """Blocks signals until they are served.
+
+    One that comes early must neither end the program nor be missed.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, HEARD)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def run(
-    told: DirectorConfig,
-    read_again: Callable[[], DirectorConfig],
-    books: Any = None,
-    shelf: Any = None,
-    runner: Any = None,
-    clock: Clock | None = None,
-) -> None:
-    """Serves until SIGTERM; at SIGHUP the configuration is read again, at SIGUSR1 the latest events of
-    connections and requests go to the log.
+def run(service: Service) -> None:
+    """Serves until SIGTERM.
+
+    At SIGHUP the configuration is read again, at SIGUSR1 the latest events of connections and requests go to
+    the log.
     """
-    poll = TimedSelector()
-    options = {"loop_factory": lambda: asyncio.SelectorEventLoop(poll)}
-    anyio.run(_serve, told, read_again, poll, books, shelf, runner, clock or Clock(), backend_options=options)
-
-
-async def _serve(
-    told: DirectorConfig,
-    read_again: Callable[[], DirectorConfig],
-    poll: TimedSelector,
-    books: Any,
-    shelf: Any,
-    runner: Any,
-    clock: Clock,
-) -> None:
-    with anyio.open_signal_receiver(*HEARD) as signals:
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, HEARD)
+    options = {"loop_factory": lambda: asyncio.SelectorEventLoop(service.selector)}
+    anyio.run(_serve, service, backend_options=options)
+
+
+async def _serve(service: Service) -> None:
+    extensions = service.extensions
+    with anyio.open_signal_receiver(*HANDLED_SIGNALS) as signals:
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
         async with anyio.create_task_group() as tasks:
-            director, listener = await _start(told, poll, tasks, books, shelf, clock)
-            if runner is not None:
-                tasks.start_soon(_keep, runner.run)
-            await _until_told_to_leave(signals, director, read_again, books)
-            tasks.start_soon(_hear_signals_while_ending, signals, director)
-            await _leave(director, listener)
-            for each in (books, shelf):
-                if each is not None:
-                    each.close()
+            director, listener = await _start(service, tasks)
+            if extensions.runner is not None:
+                tasks.start_soon(_restart_on_failure, extensions.runner.run)
+            await _handle_signals_until_shutdown(signals, director, service)
+            tasks.start_soon(_handle_signals_while_draining, signals, director)
+            await drain(director, listener)
+            extensions.close()
             tasks.cancel_scope.cancel()
 
 
-async def _until_told_to_leave(
-    signals: AsyncIterator[signal.Signals],
-    director: Director,
-    read_again: Callable[[], DirectorConfig],
-    books: Any,
+async def _handle_signals_until_shutdown(
+    signals: AsyncIterator[signal.Signals], director: Director, service: Service
 ) -> None:
     async for number in signals:
         if number == signal.SIGUSR1:
             director.event_log.dump("SIGUSR1")
-            continue
-        if number != signal.SIGHUP:
+        elif number == signal.SIGHUP:
+            _reload(director, service)
+        else:
             return
-        if books is not None:
-            director.manager.task_group.start_soon(books.follow_files)
-        try:
-            director.discovery.apply_config(read_again())
-        except Exception as fault:  # whatever a file holds, it must not end the program
-            logger.error("SIGHUP: {}; the old configuration holds", fault)
 
 
-async def _hear_signals_while_ending(signals: AsyncIterator[signal.Signals], director: Director) -> None:
+def _reload(director: Director, service: Service) -> None:
+    account = service.extensions.traffic_account
+    if account is not None:
+        director.manager.task_group.start_soon(account.reload)
+    try:
+        director.discovery.apply_config(service.read_config())
+    except Exception as error:  # noqa: BLE001 - whatever a file holds, it must not end the program
+        logger.error("config_reload_failed kept=old error={!r}", str(error))
+
+
+async def _handle_signals_while_draining(signals: AsyncIterator[signal.Signals], director: Director) -> None:
     """It is ending already: a second SIGTERM or a SIGHUP changes nothing."""
     async for number in signals:
         if number == signal.SIGUSR1:
@@ -127,74 +135,48 @@
 
 
 async def _listen(address: Address) -> socket.socket:
-    """A listener; what is in the way for a moment only is waited for, then OSError tells what it is."""
-    passing = Remedy.PAUSE, Remedy.DESCRIPTORS, Remedy.RETRY
-    with anyio.move_on_after(LISTEN_FOR):
+    """A listener; what is in the way for a moment only is waited for, then `OSError` tells what it is."""
+    with anyio.move_on_after(LISTEN_TIMEOUT):
         while True:
             try:
                 return listen(address)
-            except OSError as fault:
-                if remedy_for(Call.LISTEN, fault.errno or 0) not in passing:
+            except OSError as error:
+                if remedy_for(Call.LISTEN, error.errno or 0) not in PASSING_FAULTS:
                     raise
-            await anyio.sleep(LOOK)
+            await anyio.sleep(LISTEN_RETRY_PAUSE)
     return listen(address)
 
 
-async def _start(
-    told: DirectorConfig, poll: TimedSelector, tasks: TaskGroup, books: Any, shelf: Any, clock: Clock
-) -> tuple[Director, socket.socket]:
-    """What is known goes to the module first; then clients may come."""
-    driver = ConnectionManager(tasks, told.limits, poll)
-    director = Director(told, driver, books, shelf, clock)
-    if books is not None:
-        books.tell = director.gossip.broadcast
-        tasks.start_soon(_keep, books.keep)
-    if shelf is not None:
-        tasks.start_soon(_keep, shelf.run)
-    if told.gossip_listen is not None:
-        director.gossip.sock = datagrams(told.gossip_listen)
+async def _start(service: Service, tasks: TaskGroup) -> tuple[Director, socket.socket]:
+    """Reports what is known to the decisions first; then clients may come."""
+    config, extensions = service.config, service.extensions
+    manager = ConnectionManager(tasks, config.limits, service.selector)
+    director = Director(config, manager, extensions.traffic_account, extensions.local_store, service.clock)
+    if extensions.traffic_account is not None:
+        extensions.traffic_account.send_gossip = director.gossip.broadcast
+        tasks.start_soon(_restart_on_failure, extensions.traffic_account.run)
+    if extensions.local_store is not None:
+        tasks.start_soon(_restart_on_failure, extensions.local_store.run)
+    if config.gossip_listen is not None:
+        director.gossip.sock = datagrams(config.gossip_listen)
     director.start()
-    listener = await _listen(told.listen)
-    for work in (
+    listener = await _listen(config.listen)
+    for task in (
         director.run_timers,
         director.run_maintenance,
         director.discovery.follow,
         director.gossip.receive_loop,
     ):
-        tasks.start_soon(_keep, work)
+        tasks.start_soon(_restart_on_failure, task)
     tasks.start_soon(
-        _keep, driver.accept, listener, lambda: ClientConnection(director), director.reclaim_descriptor
+        _restart_on_failure,
+        manager.accept,
+        listener,
+        lambda: ClientConnection(director),
+        director.clients.reclaim_descriptor,
     )
     gc.collect()
     gc.freeze()  # what lives for good is not looked at again
-    gc.set_threshold(*COLLECT)
-    logger.info("{} serves on {}:{}", told.name or "director", *told.listen)
+    gc.set_threshold(*GC_THRESHOLDS)
+    logger.info("director_started name={} listen={}:{}", config.name or "director", *config.listen)
     return director, listener
-
-
-async def _leave(director: Director, listener: socket.socket) -> None:
-    """Takes and answers what still comes, and all before the program may be ended by force. Then the backlog
-    is taken and closed. Connections stay open for as long as their clients hold them, since requests come on
-    them until the end: later ones are refused at once. The program ends when no client is left, or some time
-    after it should have been killed.
-    """
-    clock = director.clock
-    logger.info("leaving: {}", director.summary())
-    killed = min(director.router.longest_client_timeout, LONGEST) + KILLED
-    began = clock.now()
-    director.begin_shutdown(killed - WRITE_OUT)
-    await anyio.sleep(STILL_COMING)
-    left = max(LAST_ACCEPTS, clock.seconds(began + killed - WRITE_OUT - clock.now()))
-    await director.manager.close_listener(
-        listener, lambda: ClientConnection(director), director.reclaim_descriptor, left
-    )
-    director.stop_admitting()
-    director.close_unused_clients()
-    director.manager.flush()
-    while director.clients and clock.now() < began + killed + NOT_KILLED:
-        await anyio.sleep(LOOK)
-    director.close_all_clients()
-    with anyio.move_on_after(clock.seconds(LAST)):
-        while director.clients:
-            await anyio.sleep(LOOK)
-    logger.info("left: {}", director.summary())
--- a/ironhinge/traffic/keeper.py
+++ b/ironhinge/traffic/keeper.py
@@ -85,7 +85,7 @@
         self.told, self.facts, self.who = told, facts, who
         self.now, self.unix_ms = now, unix_ms
         self.life, self.number = unix_ms(), 0
-        self.tell: Callable[[bytes], None] = lambda data: None
+        self.send_gossip: Callable[[bytes], None] = lambda data: None
         self.rows: dict[str, interface.Endpoint] = {}
         self.lock, self.written = threading.Lock(), 0  # of the file, and the newest snapshot in it
         self.asked_at = 0
@@ -115,7 +115,7 @@
         if found is not None:
             self._do(self.ledger.restore(found.plain, self.now()))
 
-    async def follow_files(self) -> None:
+    async def reload(self) -> None:
         """At SIGHUP: reads the operators' files, in a process of its own and so in a thread; no req and no
         other signal waits for it. A bad file changes nothing and is said.
         """
@@ -159,7 +159,7 @@
     def _do(self, acts: list[Doing]) -> None:
         for act in acts:
             if isinstance(act, Tell):
-                self.tell(act.data)
+                self.send_gossip(act.data)
             elif isinstance(act, Note):
                 logger.info("traffic: {}", act.text)
 
@@ -168,7 +168,7 @@
     def wait_time(self, now: int, came: interface.RequestReceived, source: str) -> int:
         return self.ledger.wait_time(now, came, source)
 
-    def listed(self, now: int, what: interface.EndpointsUpdated) -> None:
+    def on_endpoints_updated(self, now: int, what: interface.EndpointsUpdated) -> None:
         if what.is_full:
             self.rows = {}
         for row in what.endpoints:
@@ -177,25 +177,27 @@
                 del self.rows[row.id]
         self._do(self.ledger.step(now, what))
 
-    def sent(
-        self, now: int, came: interface.RequestReceived, node: str, source: str, how: dict[str, str]
-    ) -> None:
-        rank, renew = int(how.get("shelf", "0")), "renew" in how.get("hints", "")
-        self._do(self.ledger.step(now, Sent(came, node, source, rank, renew)))
-
-    def ended(
+    def on_attempt_started(
         self,
         now: int,
-        came: interface.RequestReceived,
-        result: str,
-        note: int,
-        body: int | None,
-        took: int,
-        gone: bool,
+        request: interface.RequestReceived,
+        command: interface.SendAttempt | interface.SendAttemptWithFill,
+        source_id: str,
+    ) -> None:
+        """An attempt went out; `source_id` is empty where no fill is named."""
+        rank, revalidates = 0, False
+        if isinstance(command, interface.SendAttemptWithFill):
+            rank, revalidates = command.admission_rank, command.revalidates
+        self._do(self.ledger.step(now, Sent(request, command.endpoint_id, source_id, rank, revalidates)))
+
+    def on_attempt_finished(
+        self, now: int, event: interface.AttemptFinished, body_size: int | None, client_left: bool
     ) -> None:
-        self._do(self.ledger.step(now, Ended(came.request_id, result, note, body, took, gone)))
+        """An attempt ended; `body_size` is None where the answer held none of the bytes."""
+        ended = Ended(event.request_id, event.result, event.fill_note, body_size, event.duration, client_left)
+        self._do(self.ledger.step(now, ended))
 
-    def heard(self, now: int, sender: int, data: bytes) -> bool:
+    def on_gossip(self, now: int, sender: int, data: bytes) -> bool:
         """True when the datagram was one of the account's."""
         if self.ledger.sharing is None:
             return False
@@ -204,7 +206,7 @@
 
     # In the background
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """Ticks, and writes a snapshot now and then, for as long as the program runs."""
         waited = 0.0
         while True:
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -70,7 +70,9 @@
     async def run():
         async with anyio.create_task_group() as tasks:
             director = Director(told, ConnectionManager(tasks, told.limits, TimedSelector()))
-            director.router = script(told.deployment, told.seed) if isinstance(script, type) else script
+            director.decisions.router = (
+                script(told.deployment, told.seed) if isinstance(script, type) else script
+            )
             director.gossip.sock = datagrams
             director.start()
             for work in (director.run_timers, director.run_maintenance, director.gossip.receive_loop):
@@ -221,7 +223,7 @@
     script = Scripted(RequestReceived=[fetch("s-00000002")])
 
     async def scene(director, client, until):
-        node = director.upstreams["s-00000001"]
+        node = director.pool.upstreams["s-00000001"]
         director.admit(client, came(1, group="17"))
         (waiting,) = node.connections  # not up yet: the event loop had no turn
         if news.startswith("drain"):
@@ -308,12 +310,12 @@
         director.admit(client, came(2, trace=other))
         director.manager.flush()
         await until(lambda: nodes[0].wanted and nodes[1].wanted)
-        first = director.upstreams["s-00000001"].connections[0]
+        first = director.pool.upstreams["s-00000001"].connections[0]
         if stuck:
             first.connection.write_now((b"x" * 2**24,))  # more than the system takes
         for req in list(director.requests.values()):
-            director._abandon(req.attempt, AttemptEnd.TIMED_OUT)
-        links = [each.connection for node in director.upstreams.values() for each in node.connections]
+            director.attempts.abandon(req.attempt, AttemptEnd.TIMED_OUT)
+        links = [each.connection for node in director.pool.upstreams.values() for each in node.connections]
         queued = [b"".join(frame.render()) for link in links for frame in link.pending_frames]
         assert (
             first.connection.is_closed
@@ -383,7 +385,7 @@
     async def scene(director, client, until):
         director.manager.selector.previous_found_at -= 0.2
         director.admit(client, came(1, patience="900"))
-        director.loop_lag = 1000
+        director.monitor.loop_lag = 1000
         director.admit(client, came(2, patience="900", trace=TRACE[::-1]))
 
     first, second = (what.time_remaining for what in play(script, scene).got(interface.RequestReceived))
@@ -431,7 +433,7 @@
                 listed(i + 2, new, endpoint(f"s-{i + 15:08x}", "127.0.0.1:9", status="DELETED"))
             )
             director.close_idle_connections()
-        assert len(director.upstreams) == len(router.nodes) == 3
+        assert len(director.pool.upstreams) == len(router.nodes) == 3
 
     play(router, scene)
 
@@ -444,17 +446,17 @@
     node = FakeNode(lambda told: None)
 
     async def scene(director, client, until):
-        director.connections_per_upstream = 1
+        director.pool.connections_per_upstream = 1
         for i, name in enumerate(names):
             director.admit(client, came(i + 1, trace=name))
-        (carrier,) = director.upstreams["s-00000001"].connections
+        (carrier,) = director.pool.upstreams["s-00000001"].connections
         if written:
             director.manager.flush()
             await until(lambda: len(node.wanted) == 6)
         else:
             carrier.connection.is_connected = True  # and nothing was written yet
         if isinstance(written, str):
-            director._abandon(director.requests[names[0]].attempt, AttemptEnd.TIMED_OUT)
+            director.attempts.abandon(director.requests[names[0]].attempt, AttemptEnd.TIMED_OUT)
         carrier.connection.close(AttemptEnd.RESET)
 
     play(script, scene, (node, node))
@@ -471,7 +473,7 @@
     async def scene(director, client, until):
         director.admit(client, came(1))
         director.manager.flush()
-        (carrier,) = director.upstreams["s-00000001"].connections
+        (carrier,) = director.pool.upstreams["s-00000001"].connections
         await until(lambda: carrier.wire.has_partial_answer())
         carrier.connection.last_received_at -= 1
         carrier.connection.has_unread = lambda: late
@@ -487,7 +489,7 @@
     nodes = FakeNode(), FakeNode()
 
     async def scene(director, client, until):
-        director.connections_per_upstream, links = 3, director.upstreams["s-00000001"].connections
+        director.pool.connections_per_upstream, links = 3, director.pool.upstreams["s-00000001"].connections
         for i in range(4):
             director.admit(client, came(i + 1, trace=f"{i:016x}"))
         assert [len(each.operations) for each in links] == [2, 1, 1]
@@ -507,13 +509,15 @@
 
     async def scene(director, client, until):
         director.admit(client, came(1))
-        seen.extend(weakref.ref(each.connection) for each in director.upstreams["s-00000001"].connections)
-        seen.extend(weakref.ref(each) for each in director.upstreams["s-00000001"].connections)
+        seen.extend(
+            weakref.ref(each.connection) for each in director.pool.upstreams["s-00000001"].connections
+        )
+        seen.extend(weakref.ref(each) for each in director.pool.upstreams["s-00000001"].connections)
         director.manager.flush()
         await until(lambda: client.connection.frames)
         gc.collect()
         gc.disable()
-        director.upstreams["s-00000001"].connections[0].connection.close(AttemptEnd.CLOSED)
+        director.pool.upstreams["s-00000001"].connections[0].connection.close(AttemptEnd.CLOSED)
         await until(lambda: not any(each() for each in seen))
 
     try:
@@ -549,18 +553,18 @@
             one = ClientConnection(director)
             one.connection = Connection(director.manager, one, 0, 0)
             one.waiting_since, one.usage = now - waited, Usage.REQUESTS if asked else Usage.NONE
-            director.clients[one] = None
+            director.clients.add(one)
             clients.append(one)
         director.admit(clients[0], came(1))
 
         def left():
             return [clients.index(one) for one in director.clients if one.phase is Phase.OPEN]
 
-        assert director.reclaim_descriptor(False) and left() == [0, 1, 3, 4]
-        assert not director.reclaim_descriptor(False)
+        assert director.clients.reclaim_descriptor(False) and left() == [0, 1, 3, 4]
+        assert not director.clients.reclaim_descriptor(False)
         director.manager.max_concurrent_closes = lambda: len(clients)  # as many as may be
-        assert director.reclaim_descriptor(True) and left() == [0, 3, 4]
+        assert director.clients.reclaim_descriptor(True) and left() == [0, 3, 4]
         clients[3].on_data(clients[3].connection, memoryview(b"".join(client_wire.frame(9, 1))))
-        assert left() == [0, 4, 3] and not director.reclaim_descriptor(True)
+        assert left() == [0, 4, 3] and not director.clients.reclaim_descriptor(True)
 
     play(script, scene)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -17,7 +17,7 @@
 from ironhinge.net.client_connection import ClientConnection, CloseCause, Phase, Usage
 from ironhinge.net.clock import SECOND
 from ironhinge.net.connection_manager import ConnectionManager
-from ironhinge.net.service import _leave
+from ironhinge.net.shutdown import drain
 from ironhinge.net.socket_calls import listen
 from ironhinge.net.system_calls import Remedy
 from ironhinge.net.timed_selector import TimedSelector
@@ -138,7 +138,7 @@
         director.admit(client, came(1))
         client.on_data(client.connection, memoryview(b"".join(client_wire.frame(9, 1))))
         director.manager.flush()
-        (link,) = director.upstreams["s-00000001"].connections
+        (link,) = director.pool.upstreams["s-00000001"].connections
         await until(lambda: link.connection.is_connected)
         director.admit(client, came(2, trace=TRACE[::-1]))
         director.manager.flush()
@@ -166,7 +166,7 @@
             client.check_timeouts(now + 10**6)
         else:
             client.waiting_since, client.usage = now - 10**6, Usage.REQUESTS
-            assert director.reclaim_descriptor(True)
+            assert director.clients.reclaim_descriptor(True)
         assert client.phase is Phase.ANNOUNCED
         peer.sendall(request(1))
         director.manager.flush()
@@ -201,7 +201,7 @@
         client.announce_close(CloseCause.IDLE, 100)
         for stream in (1, 2, 3):
             peer.sendall(request(stream))
-            await until(lambda: director.counters["denied"] == stream)  # noqa: B023
+            await until(lambda: director.diagnostics.counters["denied"] == stream)  # noqa: B023
             client.check_timeouts(client.waiting_since + client.quiet_period - 1)
             assert client.phase is Phase.ANNOUNCED
 
@@ -253,12 +253,10 @@
     script = Scripted(RequestReceived=[first, ask(name=other)], AttemptFinished=[lambda now: []])
 
     async def scene(director, client, until):
-        director.config = director.config._replace(
-            transport=director.config.transport._replace(connect_timeout=10**6)
-        )
+        director.pool.transport = director.pool.transport._replace(connect_timeout=10**6)
         director.admit(client, came(1))
         director.manager.flush()
-        (link,) = director.upstreams["s-00000001"].connections
+        (link,) = director.pool.upstreams["s-00000001"].connections
         await until(lambda: script.got(interface.AttemptFinished))
         more.set()
         if when == "after it":
@@ -286,7 +284,7 @@
         director.admit(client, came(1))
         director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
-        (link,) = director.upstreams["s-00000001"].connections
+        (link,) = director.pool.upstreams["s-00000001"].connections
         conns[0].shutdown(socket.SHUT_RDWR)
         while not link.connection.peer_has_closed():
             time.sleep(0.001)  # the event loop has no turn
@@ -306,9 +304,9 @@
     program.config.write_text(text)
     program.process.send_signal(signal.SIGHUP)
     until = time.monotonic() + PATIENCE
-    while "the old configuration holds" not in program.text() and time.monotonic() < until:
+    while "config_reload_failed kept=old" not in program.text() and time.monotonic() < until:
         time.sleep(0.01)
-    assert FakeClient(program.port).is_ready() and "the old configuration holds" in program.text()
+    assert FakeClient(program.port).is_ready() and "config_reload_failed kept=old" in program.text()
 
 
 @pytest.mark.parametrize("named", ["digest=aaaa", "res=h"])
@@ -352,7 +350,11 @@
         for stream, trace in enumerate((TRACE, TRACE[::-1])):
             director.admit(client, came(stream + 1, trace=trace))
             director.manager.flush()
-            await until(lambda: len(script.got(interface.AttemptFinished)) == director.counters["reqs"])
+            await until(
+                lambda: (
+                    len(script.got(interface.AttemptFinished)) == director.diagnostics.counters["requests"]
+                )
+            )
 
     play(script, scene, nodes)
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
@@ -412,7 +414,7 @@
         peers = [socket.create_connection(listener.getsockname()) for _ in range(2)]
         director.manager.adopt(listener.accept()[0], ClientConnection(director))
         began = time.monotonic()
-        director.manager.task_group.start_soon(_leave, director, listener)
+        director.manager.task_group.start_soon(drain, director, listener)
         for peer in peers:
             seen.append(await all_of(peer))
         assert time.monotonic() - began < 1.0
@@ -477,7 +479,7 @@
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
         client = ClientConnection(director)
-        director.manager.selector = BusyPoll()
+        director.monitor.selector = director.manager.selector = BusyPoll()
         if where == "backlog":
             peer.sendall(request(1))
             director.manager.backlog_empty_at = time.monotonic() - 0.5
@@ -532,7 +534,7 @@
         late = socket.create_connection(listener.getsockname())
         late.sendall(request(1))
         await director.manager.close_listener(
-            listener, lambda: ClientConnection(director), director.reclaim_descriptor, 3.0
+            listener, lambda: ClientConnection(director), director.clients.reclaim_descriptor, 3.0
         )
         late.setblocking(False)
         with anyio.fail_after(PATIENCE):
@@ -575,7 +577,7 @@
 
     async def scene(director, client, until):
         director.admit(client, came(1))
-        (link,) = director.upstreams["s-00000001"].connections
+        (link,) = director.pool.upstreams["s-00000001"].connections
         pump, link.connection.send_pending = link.connection.send_pending, lambda: None
         await anyio.sleep(0.3)
         link.connection.send_pending = pump
@@ -593,7 +595,7 @@
 
     async def scene(director, client, until):
         director.admit(client, came(1))  # not flushed: the connection is not up before the window ends
-        (link,) = director.upstreams["s-00000001"].connections
+        (link,) = director.pool.upstreams["s-00000001"].connections
         link.connection.send_pending = lambda: None
         await until(lambda: script.got(interface.AttemptFinished))
         assert not link.connection.pending_frames
