--- /dev/null
+++ b/tests/test_disk_stored_form.py
@@ -0,0 +1,145 @@
+"""The bytes of a store on disk: what an earlier version wrote is served, and is written the same anew.
+
+`tests/data/disk_store` was written by `write_store` before the store was split into modules.
+"""
+
+import shutil
+from pathlib import Path
+
+import pytest
+
+from ironhinge.disk.files import Files
+from ironhinge.disk.store import Limits, Store
+
+STORED = Path(__file__).parent / "data" / "disk_store"
+START_MS = 1_764_576_000_000
+IDENTITY = b"director-1"
+LIMITS = Limits(8_000, 1_000, 12, 60_000)
+OBJECTS = range(1, 9)
+PURGED_OBJECT, PURGED_GROUP, DROPPED_OBJECT = 2, 3, 5
+
+
+class Clock:
+    def __init__(self, milliseconds):
+        self.milliseconds = milliseconds
+
+    def __call__(self):
+        return self.milliseconds
+
+
+def group_of(object_id):
+    return object_id % 4
+
+
+def body_of(object_id, version):
+    return b"%d/%d " % (object_id, version) * (20 + object_id)
+
+
+def put(store, clock, object_id, version):
+    clock.milliseconds += 10
+    tag = b"v%d" % version
+    body = body_of(object_id, version)
+    assert store.put(object_id, 0, group_of(object_id), clock.milliseconds, tag, body)
+    store.flush()
+
+
+def write_store(folder):
+    """Puts, replacements, a drop, purges, a compaction, two checkpoints and records after the last."""
+    clock = Clock(START_MS)
+    store = Store(Files(folder), IDENTITY, LIMITS, clock)
+    for object_id in OBJECTS:
+        put(store, clock, object_id, 1)
+    store.checkpoint()
+    put(store, clock, 1, 2)
+    store.drop(DROPPED_OBJECT, 0)
+    store.purge(PURGED_OBJECT, group_of(PURGED_OBJECT), clock.milliseconds)
+    store.flush()
+    for _ in store.compact(1, lambda entry: True):
+        pass
+    store.checkpoint()
+    clock.milliseconds += 10
+    store.purge(None, PURGED_GROUP, clock.milliseconds)
+    put(store, clock, 7, 2)  # of the purged group, and newer than its purge
+    put(store, clock, 8, 2)
+    clock.milliseconds += 1000
+    store.still_hears(clock.milliseconds)
+    store.flush()
+    store.sync()
+    store.files.end()
+    return clock
+
+
+EXPECTED_VERSIONS = {1: 2, 4: 1, 6: 1, 7: 2, 8: 2}
+FINAL_MS = START_MS + 1_120
+
+
+@pytest.fixture
+def stored_folder(tmp_path):
+    """A copy of the stored bytes, so that a start may change it."""
+    return Path(shutil.copytree(STORED, tmp_path / "store"))
+
+
+def open_store(folder, now_ms=FINAL_MS):
+    return Store(Files(folder), IDENTITY, LIMITS, Clock(now_ms))
+
+
+def served_versions(store):
+    found = {}
+    for object_id in OBJECTS:
+        copy = store.get(object_id, 0)
+        if copy is not None:
+            version = int(copy.tag[1:])
+            assert copy.body == body_of(object_id, version)
+            found[object_id] = version
+    return found
+
+
+def files_of(folder):
+    return {path.name: path.read_bytes() for path in folder.iterdir() if path.name != "LOCK"}
+
+
+def test_copies_of_an_earlier_version_are_served_and_its_purges_kept(stored_folder):
+    store = open_store(stored_folder)
+    assert served_versions(store) == EXPECTED_VERSIONS
+    assert store.get(7, 0)[1] == START_MS + 110
+    assert not store.counts
+    store.close()
+
+
+def test_purges_of_an_earlier_version_refuse_copies_from_before_them(stored_folder):
+    store = open_store(stored_folder)
+    assert not store.put(PURGED_OBJECT, 0, group_of(PURGED_OBJECT), START_MS + 90, b"v3", b"late")
+    assert not store.put(11, 0, PURGED_GROUP, START_MS + 100, b"v3", b"late")
+    assert store.put(11, 0, PURGED_GROUP, START_MS + 101, b"v3", b"new")
+    store.close()
+
+
+def test_the_log_of_an_earlier_version_is_served_without_its_checkpoints(stored_folder):
+    for path in stored_folder.glob("checkpoint*"):
+        path.unlink()
+    store = open_store(stored_folder)
+    assert served_versions(store) == EXPECTED_VERSIONS
+    store.close()
+
+
+def test_a_start_long_after_the_last_known_purge_serves_nothing_of_an_earlier_version(stored_folder):
+    store = open_store(stored_folder, FINAL_MS + 60_001)
+    assert served_versions(store) == {}
+    store.close()
+
+
+def test_the_same_operations_write_the_same_bytes(tmp_path):
+    clock = write_store(tmp_path / "anew")
+    assert clock.milliseconds == FINAL_MS
+    anew, before = files_of(tmp_path / "anew"), files_of(STORED)
+    assert sorted(anew) == sorted(before)
+    for name, data in before.items():
+        assert anew[name] == data, name
+
+
+def test_a_start_and_a_close_write_the_same_checkpoint(stored_folder):
+    """What recovery finds in the stored form, and the checkpoint it writes, are of a fixed form too."""
+    open_store(stored_folder).close()
+    recovered = files_of(stored_folder)
+    assert recovered["checkpoint.1"] == files_of(STORED)["checkpoint"]
+    assert recovered["checkpoint"] == (STORED.parent / "disk_store_recovered_checkpoint").read_bytes()
