--- a/ironhinge/disk/checkpoint.py
+++ b/ironhinge/disk/checkpoint.py
@@ -8,6 +8,7 @@
 from .checkpoint_format import Checkpoint, pack_checkpoint, unpack_checkpoint
 from .directory import StoreDirectory
 from .errors import CorruptRecordError, ForeignStoreError, IndexSizeError, is_unwritable
+from .format import identity_name
 from .index import PartIndex
 from .purges import PurgeTable
 from .segments import SegmentTable
@@ -75,7 +76,8 @@
             checkpoint = unpack_checkpoint(memoryview(directory.read(name)))
             if checkpoint.identity != identity:
                 raise ForeignStoreError(
-                    f"{name} is another installation's: found {checkpoint.identity!r}, expected {identity!r}"
+                    f"{name} is another installation's: found '{identity_name(checkpoint.identity)}', "
+                    f"expected '{identity_name(identity)}'"
                 )
             index = PartIndex(state.max_entries, checkpoint.index_block)
         except (CorruptRecordError, IndexSizeError, OSError):
--- a/ironhinge/disk/cli.py
+++ b/ironhinge/disk/cli.py
@@ -78,7 +78,7 @@
 def _stored_name(directory: StoreDirectory) -> str:
     """Returns the director's name as the first sound segment has it, empty where none has one."""
     from .errors import CorruptRecordError
-    from .format import unpack_segment_header
+    from .format import identity_name, unpack_segment_header
 
     names = []
     for segment_name in _segment_names(directory):
@@ -86,7 +86,7 @@
             identity = unpack_segment_header(directory.read(segment_name)).identity
         except CorruptRecordError:
             continue
-        names.append(identity.rstrip(b"\0").decode(errors="replace"))
+        names.append(identity_name(identity))
     return next(filter(None, names), "")
 
 
--- a/ironhinge/disk/format.py
+++ b/ironhinge/disk/format.py
@@ -200,6 +200,11 @@
     return SegmentHeader(*_SEGMENT_FIELDS.unpack_from(data)[1:])
 
 
+def identity_name(identity: bytes) -> str:
+    """Returns the name that an identity was made from, as far as it fits."""
+    return identity.rstrip(b"\0").decode(errors="replace")
+
+
 def segment_file_name(number: int) -> str:
     """Returns the name of the file of a segment."""
     return f"{number:0{_SEGMENT_NAME_DIGITS}x}.{_SEGMENT_EXTENSION}"
--- a/ironhinge/disk/index.py
+++ b/ironhinge/disk/index.py
@@ -17,6 +17,7 @@
 _SLOT = struct.Struct("<QIIIIQQHBB")
 _KEY = struct.Struct("<QI")  # the start of a slot
 SLOT_SIZE = _SLOT.size
+_USED_OFFSET = SLOT_SIZE - 1  # of the byte that says whether a slot is used
 MAX_LOAD = 0.75  # share of slots in use
 _MIN_SLOTS = 16
 _CHUNK_SLOTS = 1024  # slots that a snapshot copies together
@@ -149,7 +150,7 @@
         while True:
             slot = (slot + 1) & self._slot_mask
             start = slot * SLOT_SIZE
-            if not self._is_used(slot):
+            if not self.block[start + _USED_OFFSET]:
                 break
             preferred = self._preferred_slot(PartKey(*_KEY.unpack_from(self.block, start)))
             if (slot - preferred) & self._slot_mask >= (slot - gap) & self._slot_mask:
@@ -161,28 +162,27 @@
     def entries(self) -> Iterator[IndexEntry]:
         """Yields all entries in the order of their slots."""
         for start in range(0, len(self.block), SLOT_SIZE):
-            if self.block[start + SLOT_SIZE - 1]:
+            if self.block[start + _USED_OFFSET]:
                 yield IndexEntry(*_SLOT.unpack_from(self.block, start)[:-1])
 
     def _preferred_slot(self, key: PartKey) -> int:
         """Returns the slot that the hash of a key names."""
-        mixed = (key.object_id * _OBJECT_MULTIPLIER + key.part * _PART_MULTIPLIER) & _MASK_64
+        object_id, part = key
+        mixed = (object_id * _OBJECT_MULTIPLIER + part * _PART_MULTIPLIER) & _MASK_64
         mixed ^= mixed >> 29
         mixed = (mixed * _MIX_MULTIPLIER) & _MASK_64
         return (mixed ^ (mixed >> 32)) & self._slot_mask
 
     def _find_slot(self, key: PartKey) -> tuple[int, bool]:
         """Returns the slot of a key, or the free one where it belongs, and whether the slot is used."""
+        block = self.block
         slot = self._preferred_slot(key)
-        while self._is_used(slot):
-            if _KEY.unpack_from(self.block, slot * SLOT_SIZE) == key:
+        while block[slot * SLOT_SIZE + _USED_OFFSET]:
+            if _KEY.unpack_from(block, slot * SLOT_SIZE) == key:
                 return slot, True
             slot = (slot + 1) & self._slot_mask
         return slot, False
 
-    def _is_used(self, slot: int) -> bool:
-        return bool(self.block[slot * SLOT_SIZE + SLOT_SIZE - 1])
-
     def _overwrite(self, slot: int, data: bytes | bytearray) -> None:
         self._before_change(slot)
         self.block[slot * SLOT_SIZE : (slot + 1) * SLOT_SIZE] = data
--- a/ironhinge/disk/recovery.py
+++ b/ironhinge/disk/recovery.py
@@ -8,6 +8,7 @@
 from .format import (
     FORMAT_VERSION,
     SEGMENT_HEADER_SIZE,
+    identity_name,
     scan_records,
     segment_file_name,
     segment_number,
@@ -107,7 +108,8 @@
         if header.version != FORMAT_VERSION or header.identity != self._identity:
             raise ForeignStoreError(
                 f"{name} is of version {header.version} or of another installation: found "
-                f"{header.identity!r}, expected version {FORMAT_VERSION} and {self._identity!r}"
+                f"'{identity_name(header.identity)}', expected version {FORMAT_VERSION} and "
+                f"'{identity_name(self._identity)}'"
             )
         return True
 
--- a/ironhinge/disk/writer.py
+++ b/ironhinge/disk/writer.py
@@ -30,13 +30,9 @@
     """A packed record that waits to be written."""
 
     pieces: tuple[bytes, ...]
+    size: int  # bytes of the whole record
     entry: IndexEntry | None  # of a copy; None for a tombstone and for discovery progress
 
-    @property
-    def size(self) -> int:
-        """Bytes of the whole record."""
-        return sum(map(len, self.pieces))
-
 
 class LogWriter:
     """Appends records to the log. `lock` is held by whoever writes, compacts or takes a checkpoint."""
@@ -72,9 +68,10 @@
         """Queues a record; the caller holds the lock of the state."""
         if self._directory.read_only:
             return
-        pending = PendingRecord(pack_record(record), entry)
-        self.pending.append(pending)
-        self.pending_bytes += pending.size
+        pieces = pack_record(record)
+        size = sum(map(len, pieces))
+        self.pending.append(PendingRecord(pieces, size, entry))
+        self.pending_bytes += size
 
     def enqueue_object_purge(self, object_id: int, group: int, purged_at: int) -> None:
         """Queues the tombstone of an object; the caller holds the lock of the state."""
@@ -205,7 +202,7 @@
     def _write_run(self, run: list[PendingRecord]) -> int:
         """Writes records to the open segment and indexes their copies; returns how many bytes."""
         pieces = [piece for record in run for piece in record.pieces if piece]
-        written = sum(map(len, pieces))
+        written = sum(record.size for record in run)
         self._directory.write(self._descriptor, pieces, self._offset)
         with self._state.lock:
             offset = self._offset
