--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -432,7 +432,7 @@
     assert store.counters["records_unsound"] == 1
 
 
-def test_a_scrub_finds_what_nobody_asks_for():
+def test_a_scrub_finds_corrupt_copies_that_nobody_requests():
     store, _clock = filled_store()
     entry = store.find(PartKey(5, 0))
     store.directory.flip_bit(segment_file_name(entry.segment), entry.offset + 90)
@@ -459,7 +459,7 @@
     assert again.get(PartKey(6, 0)) is not None
 
 
-def test_checkpoints_that_are_unsound_give_way_to_the_older_and_then_to_the_log():
+def test_corrupt_checkpoints_are_replaced_by_the_older_one_and_then_by_the_log():
     store, clock = filled_store()
     store.checkpoint()
     store.put(PartKey(90, 0), 0, Copy(b"t1", clock.now_ms, b"new"))
@@ -520,7 +520,7 @@
     assert all(again.get(PartKey(object_id, 0)) is None for object_id in range(8))
 
 
-def test_what_is_moved_undoes_no_newer_copy_that_waits():
+def test_a_moved_copy_does_not_undo_a_newer_one_that_is_queued():
     store, clock = filled_store()
     store.writer.start_segment()
     store.put(PartKey(3, 0), 0, Copy(b"t9", clock.now_ms + 1, b"newer"))
--- a/tests/test_disk_format.py
+++ b/tests/test_disk_format.py
@@ -9,7 +9,7 @@
 from ironhinge.disk.format import unpack_record_header
 
 
-def test_no_bytes_are_taken_for_a_record_or_a_checkpoint():
+def test_random_bytes_are_neither_a_record_nor_a_checkpoint():
     random = Random(4)
     for _ in range(500):
         data = memoryview(random.randbytes(random.randrange(200)))
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -9,6 +9,7 @@
 
 import anyio
 import pytest
+from loguru import logger
 
 from ironhinge.disk.directory import StoreDirectory
 from ironhinge.disk.tier import DiskTier, TierContext
@@ -181,6 +182,23 @@
     anyio.run(scenario)
 
 
+def test_opening_the_store_logs_its_figures(tmp_path):
+    settings = f'disk: {{folder: "{tmp_path}", room: "1MB"}}'
+    disk = load_texts([("f", settings)]).operations.disk
+    runner = Runner(Budgets(), lambda: 0)
+    messages = []
+    sink = logger.add(lambda message: messages.append(message.record["message"]))
+    try:
+        DiskTier(disk, TierContext("n0", deployment(), lambda: 0, lambda: NOW_MS, runner)).close()
+    finally:
+        logger.remove(sink)
+    (opened,) = [message for message in messages if message.startswith("store_opened ")]
+    fields = dict(field.split("=") for field in opened.split()[1:])
+    assert fields["segments"] == "0"
+    assert fields["entries"] == "0"
+    assert fields["room"] == "1000000"
+
+
 @pytest.mark.parametrize("damage", ["flip", "gone"])
 def test_a_corrupt_disk_costs_hits_not_responses(tmp_path, damage):
     node = FakeNode(holds_all=True)
