--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -162,13 +162,13 @@
     """
     if operations is None or operations.disk is None:
         return None
-    from .disk.files import Locked
-    from .disk.store import Foreign
-    from .disk.tier import Tier
+    from .disk.errors import DiskError
+    from .disk.tier import DiskTier, TierContext
 
+    context = TierContext(config.name, config.deployment, clock.now, clock.unix_ms, runner)
     try:
-        return Tier(operations.disk, config.deployment, config.name, clock.now, clock.unix_ms, runner)
-    except (OSError, Locked, Foreign) as error:
+        return DiskTier(operations.disk, context)
+    except (OSError, DiskError) as error:
         click.echo(f"ironhinge: {operations.disk.folder}: {error}", err=True)
         sys.exit(EXIT_FAILED)
 
