--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -1,8 +1,8 @@
-"""What the account of crossings costs, how far off it is, and what places for streams are worth.
+"""What the account of traffic costs, how far off it is, and what reservations for streams are worth.
 
     python -m benchmarks.traffic [--quick]
 
-Everything is a ratio within one run: with against without, pair by pair, the two in turn.
+Everything is a ratio within one run: with the account and without, pair by pair, the two in turn.
 """
 
 from __future__ import annotations
@@ -19,99 +19,130 @@
 from ironhinge.lab.run import play
 from ironhinge.lab.scenes import SCENES, scene
 from ironhinge.settings.load import load_texts
-from ironhinge.traffic.ledger import Ledger
-from ironhinge.traffic.types import Ended, Sent, Tick
-
-BUDGETS = """traffic: budgets: {
+from ironhinge.traffic.ledger import TrafficLedger
+from ironhinge.traffic.types import (
+    CLOCK_UNITS_PER_MS,
+    AttemptEnded,
+    AttemptStarted,
+    ClockReading,
+    ClockTick,
+    DirectorIdentity,
+)
+
+SETTINGS = """traffic: budgets: {
     link: {ways: ["own-hub", "other-hub", "origin"], rate: "1GB/s", burst: "1GB", begin: "full", streams: {}}
     far: {within: "link", rate: "1GB/s", burst: "1GB", begin: "full", emergency: {rate: "1MB/s"}}
 }"""
-
-
-def say(text: str) -> None:
+IDENTITY = DirectorIdentity("bench", ("b", "h", "g"), ("card", "film"), 0)
+UNIX_MS = 1_764_576_000_000
+DONE, FILLED = interface.AttemptResult.DONE, interface.FillNote.FILLED_FROM_SOURCE
+PARENTS = 6
+PARENT_KIND, ORIGIN_KIND = 1, 2
+WARM_UP_FILLS = 60_000  # each with a name of its own, within a minute
+FILL_INTERVAL = 10  # clock units
+FILLS_PER_TICK = 100
+LOAD_SCALE = 6.0
+FIRST_SEED = 7
+DIRECTORS = 2
+
+
+def print_progress(text: str) -> None:
+    """Writes a line to stderr; stdout is for the result."""
     print(text, file=sys.stderr, flush=True)
 
 
-def facts() -> interface.Deployment:
-    """Six parents in two hubs, two vhosts of which one has parts."""
-    vhost = interface.RequestClass(
-        4000,
-        1.6,
-        30_000,
-        1.0,
-        0.2,
-        interface.Idempotency.IDEMPOTENT,
-        interface.DedupScope.ALL,
-        0,
-        False,
-        0,
-        0,
-        1.0,
-        False,
+def make_deployment() -> interface.Deployment:
+    """A deployment of six parents in two hubs and two request classes, of which one has segments."""
+    request_class = interface.RequestClass(
+        target=4000,
+        target_stretch=1.6,
+        client_timeout=30_000,
+        priority_weight=1.0,
+        late_value_share=0.2,
+        idempotency=interface.Idempotency.IDEMPOTENT,
+        dedup_scope=interface.DedupScope.ALL,
+        dedup_window=0,
+        is_write=False,
+        freshness_lifetime=0,
+        stale_grace=0,
+        stale_value_share=1.0,
+        is_segmented=False,
     )
-    told: dict[str, Any] = dict.fromkeys(interface.Deployment.__dataclass_fields__, 0)
-    told.update(
-        request_classes=(vhost, vhost._replace(is_segmented=True)),
+    fields: dict[str, Any] = dict.fromkeys(interface.Deployment.__dataclass_fields__, 0)
+    fields.update(
+        request_classes=(request_class, request_class._replace(is_segmented=True)),
         router_count=1,
         local_router_count=1,
         hub_by_zone=(1, 1, 2),
-        parent_kind=1,
-        origin_kind=2,
+        parent_kind=PARENT_KIND,
+        origin_kind=ORIGIN_KIND,
         load_report_fields=(),
         prices=(),
         ingress_bandwidth=(),
     )
-    return interface.Deployment(**told)
+    return interface.Deployment(**fields)
 
 
-def ledger_cost(fills: int) -> dict[str, float]:
-    """Microseconds a fill in the ledger alone, and what 60,000 new names in a minute leave behind."""
-    operations = load_texts([("bench", BUDGETS)]).operations
+def make_ledger() -> TrafficLedger:
+    """A ledger that knows of one cache and the parents."""
+    operations = load_texts([("bench", SETTINGS)]).operations
     assert operations.traffic is not None
-    one = Ledger(operations.traffic, facts(), ("b", "h", "g"), ("card", "film"), 0, 1_764_576_000_000)
-    rows = [interface.Endpoint("c", interface.EndpointState.READY, 0, 0, 0, 20.0, 0)]
-    rows += [
-        interface.Endpoint(f"p{at}", interface.EndpointState.READY, 0, 1 + at % 2, 0, 20.0, 1)
-        for at in range(6)
+    ledger = TrafficLedger(operations.traffic, make_deployment(), IDENTITY, 0, ClockReading(0, UNIX_MS))
+    ready = interface.EndpointState.READY
+    endpoints = [interface.Endpoint("c", ready, 0, 0, 0, 20.0, 0)]
+    endpoints += [
+        interface.Endpoint(f"p{index}", ready, 0, 1 + index % 2, 0, 20.0, PARENT_KIND)
+        for index in range(PARENTS)
     ]
-    one.step(0, interface.EndpointsUpdated(True, tuple(rows)))
+    ledger.handle(0, interface.EndpointsUpdated(True, tuple(endpoints)))
+    return ledger
+
+
+def run_fill(ledger: TrafficLedger, index: int) -> None:
+    """One fill of a new object: the check of its budgets, its attempt and its end."""
+    now, source = index * FILL_INTERVAL, f"p{index % PARENTS}"
+    request = interface.RequestReceived(
+        f"r{index}", index, 0, 0, 100.0, 20_000, index % 2, False, False, connection_id=index
+    )
+    if not ledger.wait_time(now, request, source):
+        ledger.handle(now, AttemptStarted(request, "c", source, 1, False))
+        ledger.handle(now, AttemptEnded(request.request_id, DONE, FILLED, 10_000, 100, False))
+    if index % FILLS_PER_TICK == 0:
+        ledger.handle(now, ClockTick(UNIX_MS + now // CLOCK_UNITS_PER_MS))
+
+
+def measure_ledger(fills: int) -> dict[str, float]:
+    """Microseconds a fill in the ledger alone, and the memory that a minute of new names leaves behind."""
+    ledger = make_ledger()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    for at in range(60_000):
-        fill(one, at, at * 10)
+    for index in range(WARM_UP_FILLS):
+        run_fill(ledger, index)
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    began = time.perf_counter()
-    for at in range(60_000, 60_000 + fills):
-        fill(one, at, at * 10)
+    started = time.perf_counter()
+    for index in range(WARM_UP_FILLS, WARM_UP_FILLS + fills):
+        run_fill(ledger, index)
     return {
-        "ledger_us_a_fill": round(1e6 * (time.perf_counter() - began) / fills, 2),
+        "ledger_us_a_fill": round(1e6 * (time.perf_counter() - started) / fills, 2),
         "ledger_kb_after_60000_names": round(grown / 1000, 1),
     }
 
 
-def fill(one: Ledger, at: int, now: int) -> None:
-    came = interface.RequestReceived(f"r{at}", at, 0, 0, 100.0, 20_000, at % 2, False, False, at)
-    if not one.wait_time(now, came, f"p{at % 6}"):
-        one.step(now, Sent(came, "c", f"p{at % 6}", 1, False))
-        one.step(now, Ended(came.request_id, "done", 2, 10_000, 100, False))
-    if at % 100 == 0:
-        one.step(now, Tick(1_764_576_000_000 + now // 10))
-
-
-def paired(pairs: int, seconds: float, scale: float) -> dict[str, Any]:
-    """CPU and memory of whole directors, account and budgets on against off, in turn."""
+def measure_pairs(pairs: int, seconds: float) -> dict[str, Any]:
+    """CPU and memory of whole directors, with the account and budgets on and off, in turn."""
     ratios: list[float] = []
     memory: list[int] = []
     cpu: dict[bool, list[float]] = {False: [], True: []}
-    for at in range(pairs):
+    for index in range(pairs):
         figures = {}
-        for on in (False, True) if at % 2 else (True, False):
-            figures[on] = play(scene("calm", scale), 7 + at, seconds, 2, account=on)
-            cpu[on].append(figures[on]["cpu_us_a_req"])
+        for is_on in (False, True) if index % 2 else (True, False):
+            scenario = scene("calm", LOAD_SCALE)
+            figures[is_on] = play(scenario, FIRST_SEED + index, seconds, DIRECTORS, account=is_on)
+            cpu[is_on].append(figures[is_on]["cpu_us_a_req"])
         ratios.append(figures[True]["cpu_us_a_req"] / figures[False]["cpu_us_a_req"])
         memory.append(figures[True]["memory_kb"] - figures[False]["memory_kb"])
-        say(f"pair {at + 1} of {pairs}: CPU {ratios[-1]:.3f}, memory {memory[-1]:+} KB")
+        print_progress(f"pair {index + 1} of {pairs}: CPU {ratios[-1]:.3f}, memory {memory[-1]:+} KB")
     return {
         "cpu_us_a_req_off": statistics.median(cpu[False]),
         "cpu_us_a_req_on": statistics.median(cpu[True]),
@@ -121,50 +152,49 @@
     }
 
 
-def off(seeds: int, seconds: float) -> dict[str, Any]:
+def measure_accuracy(seeds: int, seconds: float) -> dict[str, Any]:
     """How far the report is from what hubs carried, and whether budgets held."""
     out: dict[str, Any] = {}
     for name in ("calm", "hub-loss", "stream-budget"):
-        rows = [play(SCENES[name], seed, seconds, 2) for seed in range(1, seeds + 1)]
+        runs = [play(SCENES[name], seed, seconds, DIRECTORS) for seed in range(1, seeds + 1)]
         out[name] = {
-            "off_share_worst": max(row["off_share"] for row in rows),
-            "within_budget": all(row["within_budget"] for row in rows),
+            "off_share_worst": max(run["off_share"] for run in runs),
+            "within_budget": all(run["within_budget"] for run in runs),
             "without_one_answer": sum(
-                abs(row["requests"] - row["final_answers"]) + row["doubled_answers"] for row in rows
+                abs(run["requests"] - run["final_answers"]) + run["doubled_answers"] for run in runs
             ),
-            "crossed_of_budget": [round(row["crossed_bytes"] / row["budget_bytes"], 3) for row in rows],
+            "crossed_of_budget": [round(run["crossed_bytes"] / run["budget_bytes"], 3) for run in runs],
         }
-        say(f"{name}: {out[name]}")
+        print_progress(f"{name}: {out[name]}")
     return out
 
 
-def streams(seeds: int, seconds: float) -> dict[str, Any]:
-    """Streams begun that got all their parts, with places held against without, at half of the demand."""
-    rows = {
-        name: [play(SCENES[name], seed, seconds, 2) for seed in range(1, seeds + 1)]
-        for name in ("stream-budget", "stream-plain")
-    }
+def measure_streams(seeds: int, seconds: float) -> dict[str, Any]:
+    """Streams begun that got all their segments, with reservations and without, at half of the demand."""
     out = {}
-    for name, found in rows.items():
-        begun, whole = (sum(row[key] for row in found) for key in ("streams_begun", "streams_whole"))
+    for name in ("stream-budget", "stream-plain"):
+        runs = [play(SCENES[name], seed, seconds, DIRECTORS) for seed in range(1, seeds + 1)]
+        begun = sum(run["streams_begun"] for run in runs)
+        complete = sum(run["streams_whole"] for run in runs)
         out[name] = {
             "begun": begun,
-            "whole": whole,
-            "share": round(whole / begun, 4),
-            "crossed_bytes": sum(row["crossed_bytes"] for row in found),
+            "whole": complete,
+            "share": round(complete / begun, 4),
+            "crossed_bytes": sum(run["crossed_bytes"] for run in runs),
         }
     return out
 
 
 def main() -> None:
+    """Runs all measurements and prints one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     quick = parser.parse_args().quick
-    out: dict[str, Any] = ledger_cost(20_000 if quick else 100_000)
-    say(str(out))
-    out.update(paired(3 if quick else 8, 8.0 if quick else 15.0, 6.0))
-    out["reports"] = off(1 if quick else 5, 10.0 if quick else 20.0)
-    out["streams"] = streams(1 if quick else 3, 15.0 if quick else 20.0)
+    out: dict[str, Any] = measure_ledger(20_000 if quick else 100_000)
+    print_progress(str(out))
+    out.update(measure_pairs(3 if quick else 8, 8.0 if quick else 15.0))
+    out["reports"] = measure_accuracy(1 if quick else 5, 10.0 if quick else 20.0)
+    out["streams"] = measure_streams(1 if quick else 3, 15.0 if quick else 20.0)
     print(json.dumps(out))
 
 
--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -113,11 +113,13 @@
     """What keeps the account, where the operations turn it on."""
     if operations is None or operations.traffic is None:
         return None
-    from .traffic.keeper import Keeper, Origin
+    from .traffic.service import AccountService, Clocks
+    from .traffic.types import DirectorIdentity
 
     me = told.peers.index(told.peer_listen) if told.peer_listen in told.peers else 0
-    who = Origin(told.name, told.names.zones, told.names.vhosts, me)
-    return Keeper(operations.traffic, told.deployment, who, clock.now, clock.unix_ms, runner)
+    identity = DirectorIdentity(told.name, told.names.zones, told.names.vhosts, me)
+    clocks = Clocks(clock.now, clock.unix_ms)
+    return AccountService(operations.traffic, told.deployment, identity, clocks, runner)
 
 
 def open_shelf(told: Assignment, operations: Any, runner: Any, clock: Any) -> Any:
--- a/ironhinge/lab/run.py
+++ b/ironhinge/lab/run.py
@@ -382,8 +382,8 @@
             out["streams_refused"] = counts["streams_refused"]
             out["streams_whole_share"] = round(counts["streams_whole"] / max(1, counts["streams_begun"]), 4)
         if self.account:
-            from ..traffic.keeper import read_folder
             from ..traffic.report import collect
+            from ..traffic.snapshot_files import read_folder
 
             snapshots, wrong = read_folder(self.kept)
             report = collect(snapshots)
--- a/ironhinge/traffic/__init__.py
+++ b/ironhinge/traffic/__init__.py
@@ -1,7 +1,7 @@
-"""Owns the account of bytes that fills carry across zones, the budgets that they are held to, and what is
-told of both.
+"""The account of the bytes that fills transfer between zones, and the budgets that they are held to.
 
-It must never choose a server, answer a req or send anything: the one module asks whether a source's budget
-has room (`Ledger.wait`), the front tells what was sent and how it ended (`Ledger.step`). Only `keeper`,
-`cli` and `plot` do I/O; all else takes times as they are told and gives the same for the same.
+The router asks whether the budgets have room for a fill from a source (`TrafficLedger.wait_time`), and the
+front reports what was sent and how it ended (`TrafficLedger.handle`). Nothing here chooses an endpoint or
+answers a request. Only `service`, `snapshot_files`, `metrics`, `plot` and `cli` do I/O: all else is told the
+time and gives the same results for the same calls.
 """
--- /dev/null
+++ b/ironhinge/traffic/attempts.py
@@ -0,0 +1,68 @@
+"""Attempts in flight that may transfer bytes, and what becomes of those bytes."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from ..interface import AttemptResult, FillNote, RequestReceived
+from .budget import Allowance
+from .types import AttemptEnded, Outcome, Route, TransferKind
+
+_DONE = AttemptResult.DONE
+_STALE_HIT = FillNote.STALE_HIT
+_FILLED_FROM_ORIGIN = FillNote.FILLED_FROM_ORIGIN
+
+
+@dataclass(slots=True)
+class AttemptInFlight:
+    """An attempt that was sent and has not ended."""
+
+    request: RequestReceived
+    source_id: str
+    route: Route
+    destination_zone: int
+    source_zone: int
+    started_at: int
+    stores_copy: bool
+    revalidates: bool
+    diverted: bool
+    is_repeat: bool  # bytes have been transferred for its request before
+    allowances: Sequence[Allowance] = ()  # that it was charged to
+    charged: float = 0.0  # bytes, to each of them
+
+    def outcome(self, event: AttemptEnded) -> Outcome:
+        """What became of the bytes that it transferred."""
+        is_unread = event.request_closed and event.body_size is None
+        if event.result != _DONE or is_unread or event.fill_note == _STALE_HIT:
+            return Outcome.WASTED
+        if self.is_repeat:
+            return Outcome.REPEATED
+        return Outcome.STORED if self.stores_copy else Outcome.PASSED_THROUGH
+
+    def kind(self, event: AttemptEnded) -> TransferKind:
+        """The kind under which its bytes are accounted."""
+        return TransferKind(
+            self.destination_zone,
+            self.source_zone,
+            self.route,
+            self.outcome(event),
+            self.request.class_index,
+            self.diverted,
+        )
+
+    def origin_bytes(self, event: AttemptEnded, transferred: int) -> int:
+        """The bytes that the hub drew from the origin for it."""
+        from_origin = event.fill_note == _FILLED_FROM_ORIGIN and self.route is not Route.ORIGIN
+        return transferred if from_origin else 0
+
+    def charge(self, allowances: Sequence[Allowance], size: float) -> None:
+        """Charges what it may need at most."""
+        self.allowances, self.charged = allowances, size
+        for allowance in allowances:
+            allowance.charge(size)
+
+    def settle(self, transferred: int) -> None:
+        """Settles what it was charged, wherever that was."""
+        for allowance in self.allowances:
+            allowance.settle(self.charged, transferred)
--- a/ironhinge/traffic/budget.py
+++ b/ironhinge/traffic/budget.py
@@ -1,218 +1,192 @@
-"""Owns what a budget allows now: rates with bursts, sums of a period, what is set aside for streams, and the
-emergency allowance beside them.
+"""What a budget allows now: its buckets, what it reserves for streams, and its emergency allowance.
 
-It must never know a req, a node or a message. A fill is charged when it goes out, with the most that it may
-be, and settled when it ends; so what is out can never spend the same room twice.
+A fill is charged when its attempt is sent, with the most bytes that it may need, and settled when it ends; so
+fills in flight never spend the same bytes twice.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import NamedTuple
 
 from ..settings import records
+from .buckets import PeriodQuota, TokenBucket
+from .calendar import BillingPeriod
+from .reservations import StreamReservations
+from .state import BudgetState, BudgetUsage
 
-SECOND = 10_000
-NEVER = 1 << 40  # a wait that no one waits for
-HALF = 0.5
 
+class Allowance:
+    """Buckets that are charged together, with what was spent from them in this period."""
 
-class RatePot:
-    """A rate with a burst; the level may fall below 0 by what a fill turned out to be larger than charged."""
+    __slots__ = ("buckets", "outstanding", "spent")
 
-    def __init__(self, rate: float, burst: float, now: int, full: bool):
-        self.rate = rate / SECOND  # bytes in a tenth of a millisecond
-        self.cap, self.at = max(1.0, burst), now
-        self.level = self.cap if full else 0.0
+    def __init__(self, buckets: list[TokenBucket]):
+        self.buckets = buckets
+        self.outstanding = 0.0  # charged and not settled
+        self.spent = 0  # bytes of this period
 
-    def fill(self, now: int) -> None:
-        if now > self.at:
-            self.level = min(max(self.cap, self.level), self.level + (now - self.at) * self.rate)
-            self.at = now
+    def charge(self, size: float) -> None:
+        """Charges what a fill may need at most."""
+        self.outstanding += size
+        for bucket in self.buckets:
+            bucket.withdraw(size)
 
-    def wait(self, now: int, need: float, floor: float) -> int:
-        """Time until `need` bytes may go while `floor` stays; an object larger than the pot takes all of
-        it.
-        """
-        self.fill(now)
-        lacks = min(need, max(1.0, self.cap - floor)) + floor - self.level
-        if lacks <= 0:
-            return 0
-        return min(NEVER, int(lacks / self.rate) + 1) if self.rate > 0 else NEVER
-
-    def take(self, count: float) -> None:
-        self.level -= count
-
-    def give(self, count: float) -> None:
-        """Comes back from a charge, or from a peer; what the pot can't hold is gone."""
-        self.level = min(max(self.cap, self.level), self.level + count)
-
-    def spare(self, now: int) -> float:
-        self.fill(now)
-        return max(0.0, self.level - HALF * self.cap)
-
-    def plain(self) -> list[float]:
-        return [self.level]
-
-    def restore(self, plain: list[float], now: int, gap: float) -> None:
-        """From a snapshot; in the `gap` seconds since then all that could be may have been spent: what was in
-        the pot, and what came into it.
-        """
-        self.level, self.at = min(plain[0], self.cap, 0.0 if gap else self.cap), now
-
-
-class SumPot(RatePot):
-    """A sum for a period, paced: what is left goes evenly over what is left of the period."""
-
-    def __init__(self, most: float, ahead: float, now: int, ends: int, left: float, full: bool):
-        super().__init__(0.0, most * ahead, now, full)
-        self.most, self.left, self.ends = most, left, ends  # `left`: what may still be spent
-        if not full:  # guards the sum against a director that came up knowing nothing: see `Ledger`
-            self.left = left
-        self.pace(now)
-
-    def pace(self, now: int) -> None:
-        """Evenly: what is left but not in the pot yet, over the time that is left."""
-        self.rate = max(0.0, self.left - max(0.0, self.level)) / max(1, self.ends - now)
-
-    def fill(self, now: int) -> None:
-        self.pace(now)
-        super().fill(min(now, self.ends))
-        self.level = min(self.level, self.left)
-
-    def take(self, count: float) -> None:
-        super().take(count)
-        self.left -= count
-
-    def give(self, count: float) -> None:
-        self.left += count
-        super().give(count)
-
-    def begin(self, now: int, ends: int, out: float) -> None:
-        """A new period; what is out is charged to it as well, so that settling can't loosen it."""
-        self.left, self.ends, self.at = self.most - out, ends, now
-        self.level = min(0.0, self.level)
-        self.pace(now)
+    def settle(self, charged: float, actual: int) -> None:
+        """Returns what a fill did not need of its charge, or takes what it needed beyond it."""
+        self.outstanding -= charged
+        for bucket in self.buckets:
+            if actual > charged:
+                bucket.withdraw(actual - charged)
+            elif actual < charged:
+                bucket.deposit(charged - actual)
+        self.spent += actual
 
-    def plain(self) -> list[float]:
-        return [self.level, self.left]
+    def begin_period(self, now: int, end: int) -> None:
+        """Opens the quotas of a new billing period."""
+        for bucket in self.buckets:
+            if isinstance(bucket, PeriodQuota):
+                bucket.begin_period(now, end, self.outstanding)
+        self.spent = 0
 
-    def restore(self, plain: list[float], now: int, gap: float) -> None:
-        super().restore(plain, now, gap)
-        self.left = min(plain[1], self.most)
-        self.pace(now)
-        if gap:
-            self.left -= max(0.0, plain[0]) + self.rate * SECOND * gap
-            self.pace(now)
+    def state(self) -> list[list[float]]:
+        """What a snapshot holds of its buckets."""
+        return [bucket.state() for bucket in self.buckets]
 
+    def restore(self, state: list[list[float]], now: int, unaccounted_seconds: float) -> None:
+        """Takes up the buckets of a snapshot, unless the settings have changed which there are."""
+        if len(self.buckets) != len(state):
+            return
+        for bucket, figures in zip(self.buckets, state, strict=True):
+            bucket.restore(figures, now, unaccounted_seconds)
 
-class StreamBook:
-    """What of a budget is promised to streams that were begun: a part of its rate, and the next part of each
-    in hand. Bounded by the setting's part, so that a flood of first parts can't pin all of it.
-    """
 
-    def __init__(self, told: records.Streams, rate: float, burst: float):
-        self.told = told
-        self.most_rate = told.part * rate / SECOND
-        self.most_held = told.part * burst
-        self.promised, self.held, self.open = 0.0, 0.0, 0
+class BudgetCheck(NamedTuple):
+    """What a budget says of a fill."""
 
-    def admits(self, rate: float) -> bool:
-        """One stream is always let in: guards small budgets against refusing all of them for ever."""
-        return not self.open or self.promised + rate <= self.most_rate
+    wait_time: int  # 0: the fill may go now
+    allowance: Allowance  # that it would be charged to
 
-    def add(self, rate: float, part: float, sign: int) -> None:
-        self.open += sign
-        self.promised += sign * rate
-        self.held += sign * part
-        if not self.open:
-            self.promised = self.held = 0.0  # no dust of rounding stays
 
-    def floor(self) -> float:
-        """What others must leave in the pot."""
-        return min(self.held, self.most_held)
+class Budget:
+    """One budget of this director's."""
 
+    def __init__(self, name: str, config: records.Budget, share: float, period: BillingPeriod):
+        """Makes the director's part of a budget.
 
-class Budget:
-    """One budget of this director's; `part` is its share among the directors that have it."""
-
-    def __init__(self, name: str, told: records.Budget, part: float, now: int, ends: int, left: float):
-        self.name, self.told, self.part = name, told, part
-        self.above: Budget | None = None
-        full = told.begin == "full"
-        rate = (told.rate or 0) * part
-        burst = (told.burst if told.burst is not None else told.rate or 0) * part
-        self.pots: list[RatePot] = []
-        if told.rate is not None:
-            self.pots.append(RatePot(rate, burst, now, full))
-        if told.sum is not None:
-            most = told.sum * part
-            self.pots.append(SumPot(most, told.ahead, now, ends, most if full else most * left, full))
-        self.book: StreamBook | None = None
-        if told.streams is not None and told.rate is not None:
-            self.book = StreamBook(told.streams, rate, burst)
-        self.emergency: list[RatePot] = []
-        if told.emergency is not None:
-            more = told.emergency
-            spare = (more.burst if more.burst is not None else more.rate) * part
-            self.emergency.append(RatePot(more.rate * part, spare, now, full))
-            if more.sum is not None:
-                self.emergency.append(
-                    SumPot(more.sum * part, 1.0, now, ends, more.sum * part * (1.0 if full else left), True)
-                )
-        self.spent, self.drawn = 0, 0  # bytes of this period: from the budget, and from the allowance
-        self.refused = 0  # times that it had no room
-        self.out = [0.0, 0.0]  # charged and not settled: to the budget, and to the allowance
-        self.wanted = 0.0  # bytes refused lately, for peers that have too much
-
-    def wait(self, now: int, need: float, begun: bool, forced: bool) -> tuple[int, list[RatePot]]:
-        """The time until there is room, and the pots that would be charged."""
-        floor = self.book.floor() if self.book is not None and not begun else 0.0
-        wait = 0
-        for pot in self.pots:
-            wait = max(wait, pot.wait(now, need, floor if type(pot) is RatePot else 0.0))
-        if wait and forced and self.emergency:
-            if not any(pot.wait(now, need, 0.0) for pot in self.emergency):
-                return 0, self.emergency
-        return wait, self.pots
-
-    def charge(self, pots: list[RatePot], count: float) -> None:
-        self.out[pots is self.emergency] += count
-        for pot in pots:
-            pot.take(count)
-
-    def settle(self, pots: list[RatePot], charged: float, actual: int) -> None:
-        """Gives back what a fill did not need, or takes what it needed more."""
-        self.out[pots is self.emergency] -= charged
-        for pot in pots:
-            if actual > charged:
-                pot.take(actual - charged)
-            elif actual < charged:
-                pot.give(charged - actual)
-        if pots is self.pots:
-            self.spent += actual
-        else:
-            self.drawn += actual
-
-    def begin_period(self, now: int, ends: int) -> None:
-        for pots, out in ((self.pots, self.out[0]), (self.emergency, self.out[1])):
-            for pot in pots:
-                if isinstance(pot, SumPot):
-                    pot.begin(now, ends, out)
-        self.spent = self.drawn = 0
-
-    def plain(self) -> dict[str, Any]:
-        return {
-            "spent": self.spent,
-            "drawn": self.drawn,
-            "pots": [pot.plain() for pot in self.pots],
-            "emergency": [pot.plain() for pot in self.emergency],
-        }
-
-    def restore(self, plain: dict[str, Any], now: int, gap_seconds: float) -> None:
+        Args:
+            name: As in the settings.
+            config: The settings of the budget.
+            share: The director's share, where all directors that have the budget sum up to 1.
+            period: The billing period as it stands.
+        """
+        self.name, self.config, self.share = name, config, share
+        self.parent: Budget | None = None  # a fill needs room there as well
+        rate = (config.rate or 0) * share
+        burst = (config.burst if config.burst is not None else config.rate or 0) * share
+        self.regular = Allowance(self._regular_buckets(rate, burst, period))
+        self.emergency = Allowance(self._emergency_buckets(period))
+        self.reservations: StreamReservations | None = None
+        if config.streams is not None and config.rate is not None:
+            self.reservations = StreamReservations(config.streams, rate, burst)
+        self._passed = BudgetCheck(0, self.regular)
+        self._passed_by_emergency = BudgetCheck(0, self.emergency)
+        self.refusals = 0
+        self.unmet_demand = 0.0  # bytes refused lately, for peers that have a surplus
+
+    def _starts_full(self) -> bool:
+        return self.config.begin == "full"
+
+    def _regular_buckets(self, rate: float, burst: float, period: BillingPeriod) -> list[TokenBucket]:
+        config, starts_full = self.config, self._starts_full()
+        buckets: list[TokenBucket] = []
+        if config.rate is not None:
+            buckets.append(TokenBucket(rate, burst, period.now, starts_full))
+        if config.sum is not None:
+            limit = config.sum * self.share
+            remaining = limit if starts_full else limit * period.remaining_share
+            buckets.append(PeriodQuota(limit, config.ahead, remaining, period, starts_full))
+        return buckets
+
+    def _emergency_buckets(self, period: BillingPeriod) -> list[TokenBucket]:
+        config = self.config.emergency
+        if config is None:
+            return []
+        starts_full = self._starts_full()
+        burst = (config.burst if config.burst is not None else config.rate) * self.share
+        buckets = [TokenBucket(config.rate * self.share, burst, period.now, starts_full)]
+        if config.sum is not None:
+            limit = config.sum * self.share
+            remaining = limit * (1.0 if starts_full else period.remaining_share)
+            buckets.append(PeriodQuota(limit, 1.0, remaining, period, True))
+        return buckets
+
+    def check(self, now: int, size: float, is_open_stream: bool, diverted: bool) -> BudgetCheck:
+        """Whether a fill may go now, and what it would be charged to.
+
+        Args:
+            now: The present instant.
+            size: Bytes that the fill may need.
+            is_open_stream: Whether it is a segment of an open stream, for which bytes are reserved.
+            diverted: Whether it may draw on the emergency allowance.
+        """
+        reserved = 0.0
+        if self.reservations is not None and not is_open_stream:
+            reserved = self.reservations.reserved_bytes()
+        wait_time = 0
+        for bucket in self.regular.buckets:
+            bucket_wait = bucket.wait_time(now, size, reserved if bucket.leaves_reservations else 0.0)
+            if bucket_wait > wait_time:
+                wait_time = bucket_wait
+        if not wait_time:
+            return self._passed
+        if diverted and self._emergency_allows(now, size):
+            return self._passed_by_emergency
+        return BudgetCheck(wait_time, self.regular)
+
+    def _emergency_allows(self, now: int, size: float) -> bool:
+        buckets = self.emergency.buckets
+        return bool(buckets) and not any(bucket.wait_time(now, size, 0.0) for bucket in buckets)
+
+    def record_refusal(self, size: float) -> None:
+        """Counts a fill for which some budget that it falls under had no room."""
+        self.refusals += 1
+        self.unmet_demand += size
+
+    def record_charge(self, size: float) -> None:
+        """Takes a fill that goes out off the unmet demand."""
+        self.unmet_demand = max(0.0, self.unmet_demand - size)
+
+    def begin_period(self, now: int, end: int) -> None:
+        """Opens the quotas of a new billing period."""
+        self.regular.begin_period(now, end)
+        self.emergency.begin_period(now, end)
+
+    def usage(self) -> BudgetUsage:
+        """How much of the director's part is used, for reports and metrics."""
+        config = self.config
+        quotas = (bucket for bucket in self.regular.buckets if isinstance(bucket, PeriodQuota))
+        quota = next(quotas, None)
+        return BudgetUsage(
+            spent=self.regular.spent,
+            emergency_spent=self.emergency.spent,
+            refusals=self.refusals,
+            limit=config.sum * self.share if config.sum is not None else None,
+            rate=config.rate * self.share if config.rate is not None else None,
+            remaining=quota.remaining if quota is not None else None,
+            stream_count=self.reservations.stream_count if self.reservations is not None else None,
+        )
+
+    def state(self) -> BudgetState:
+        """What a snapshot holds of it."""
+        return BudgetState(
+            spent=self.regular.spent,
+            emergency_spent=self.emergency.spent,
+            buckets=self.regular.state(),
+            emergency_buckets=self.emergency.state(),
+        )
+
+    def restore(self, state: BudgetState, now: int, unaccounted_seconds: float) -> None:
         """Takes up a snapshot of the same period; what may have been spent since then counts as spent."""
-        self.spent, self.drawn = plain["spent"], plain["drawn"]
-        for mine, theirs in ((self.pots, plain["pots"]), (self.emergency, plain["emergency"])):
-            if len(mine) != len(theirs):
-                continue  # the settings have changed: it begins as one that knows nothing
-            for pot, figures in zip(mine, theirs, strict=True):
-                pot.restore(figures, now, gap_seconds)
+        self.regular.spent, self.emergency.spent = state.spent, state.emergency_spent
+        self.regular.restore(state.buckets, now, unaccounted_seconds)
+        self.emergency.restore(state.emergency_buckets, now, unaccounted_seconds)
--- a/ironhinge/traffic/cli.py
+++ b/ironhinge/traffic/cli.py
@@ -1,4 +1,4 @@
-"""Owns the commands on the account. It must never write to a folder of a director's."""
+"""The commands on accounts of traffic. They read the folders of directors and never write to them."""
 
 from __future__ import annotations
 
@@ -6,12 +6,23 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
-CUTS = ("way", "use", "vhost", "into", "out_of", "forced", "pair")
+from .labels import CUTS
+
+if TYPE_CHECKING:
+    from ..settings import records
+    from .report import Report
+
+# what reads and reports is imported by the commands that need it: all others start faster
+
 WINDOWS = ("second", "minute", "hour", "period")
+DEFAULT_CUTS = ("way", "use", "vhost", "pair", "forced")
+WATCH_JSON_CUTS = ("way", "forced")
+WATCH_TABLE_CUTS = ("way", "forced", "vhost")
+EXIT_FAILURE = 1
 
 folders_argument = click.argument(
     "folders", nargs=-1, required=True, type=click.Path(exists=True, file_okay=False, path_type=Path)
@@ -29,30 +40,45 @@
     """What crossed between zones, by whom and why, and what budgets have left."""
 
 
-def read(folders: tuple[Path, ...], window: str, start: int | None, all_: bool) -> Any:
-    """The report of all directors that keep their accounts in these folders."""
-    from .keeper import read_folder
+def _load_report(
+    folders: tuple[Path, ...], window: str, start_ms: int | None = None, all_intervals: bool = False
+) -> Report:
+    """The report of all directors that keep their accounts in these folders.
+
+    Files that can't be read are named on stderr; where none is left the program ends.
+    """
     from .report import collect
+    from .snapshot_files import read_folder
 
     snapshots = []
     for folder in folders:
-        found, wrong = read_folder(folder)
+        found, faults = read_folder(folder)
         snapshots += found
-        for line in wrong:
-            click.echo(f"ironhinge: passed over: {line}", err=True)
+        for fault in faults:
+            click.echo(f"ironhinge: passed over: {fault}", err=True)
     if not snapshots:
         click.echo("ironhinge: no account in these folders", err=True)
-        sys.exit(1)
-    return collect(snapshots, window, start, all_)
+        sys.exit(EXIT_FAILURE)
+    return collect(snapshots, window, start_ms, all_intervals)
 
 
-def prices_of(operations: tuple[str, ...]) -> Any:
+def _load_prices(operations: tuple[str, ...]) -> tuple[records.Price, ...]:
     if not operations:
         return ()
     from ..settings.cli import loaded
 
-    found = loaded(operations, False).operations.traffic
-    return found.prices if found is not None else ()
+    settings = loaded(operations, False).operations.traffic
+    return settings.prices if settings is not None else ()
+
+
+def _draw(folders: tuple[Path, ...], window: str, cut: str, path: Path) -> None:
+    try:
+        from .plot import draw_chart
+    except ImportError:
+        click.echo("ironhinge: plots need matplotlib: see README", err=True)
+        sys.exit(EXIT_FAILURE)
+    draw_chart(_load_report(folders, window, all_intervals=True), cut, path)
+    click.echo(f"drawn: {path}", err=True)
 
 
 @traffic.command()
@@ -60,46 +86,43 @@
 @window_option
 @operations_option
 @click.option(
-    "--start", type=int, help="The Unix millisecond at which the stretch begins; default: the newest."
+    "--start",
+    "start_ms",
+    type=int,
+    help="The Unix millisecond at which the stretch begins; default: the newest.",
 )
-@click.option("--all", "all_", is_flag=True, help="All stretches that are kept, not just one.")
+@click.option("--all", "all_intervals", is_flag=True, help="All stretches that are kept, not just one.")
 @click.option("--by", "cuts", multiple=True, type=click.Choice(CUTS), help="Cuts to show; may be repeated.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 @click.option("--csv", "as_csv", is_flag=True, help="Every line, uncut.")
 @click.option(
     "--plot", type=click.Path(dir_okay=False, path_type=Path), help="Draw bytes by time into a PNG."
 )
-def report(
+def report(  # noqa: PLR0913 - one argument for each option
     folders: tuple[Path, ...],
     window: str,
     operations: tuple[str, ...],
-    start: int | None,
-    all_: bool,
+    start_ms: int | None,
+    all_intervals: bool,
     cuts: tuple[str, ...],
     as_json: bool,
     as_csv: bool,
     plot: Path | None,
 ) -> None:
     """Add up the accounts that directors keep in FOLDERS, each director once."""
-    from .report import table
+    from .report_formats import to_csv, to_json, to_table
 
-    found = read(folders, window, start, all_)
-    cuts = cuts or ("way", "use", "vhost", "pair", "forced")
-    prices = prices_of(operations)
+    found = _load_report(folders, window, start_ms, all_intervals)
+    cuts = cuts or DEFAULT_CUTS
+    prices = _load_prices(operations)
     if plot is not None:
-        try:
-            from .plot import draw
-        except ImportError:
-            click.echo("ironhinge: plots need matplotlib: see README", err=True)
-            sys.exit(1)
-        draw(read(folders, window, None, True), cuts[0], plot)
-        click.echo(f"drawn: {plot}", err=True)
+        _draw(folders, window, cuts[0], plot)
     if as_csv:
-        click.echo(found.csv(), nl=False)
+        click.echo(to_csv(found), nl=False)
     elif as_json:
-        click.echo(json.dumps(found.plain(cuts, prices)))
+        click.echo(json.dumps(to_json(found, cuts, prices)))
     else:
-        click.echo(table(found, cuts, prices))
+        click.echo(to_table(found, cuts, prices))
 
 
 @traffic.command()
@@ -110,17 +133,17 @@
 @click.option("--json", "as_json", is_flag=True, help="A JSON object a line.")
 def watch(folders: tuple[Path, ...], window: str, every: float, times: int, as_json: bool) -> None:
     """Show the report anew every few seconds."""
-    from .report import table
+    from .report_formats import to_json, to_table
 
     shown = 0
     try:
         while not times or shown < times:
-            found = read(folders, window, None, False)
+            found = _load_report(folders, window)
             if as_json:
-                click.echo(json.dumps(found.plain(("way", "forced"))))
+                click.echo(json.dumps(to_json(found, WATCH_JSON_CUTS)))
             else:
                 click.clear()
-                click.echo(table(found, ("way", "forced", "vhost")))
+                click.echo(to_table(found, WATCH_TABLE_CUTS))
             shown += 1
             if not times or shown < times:
                 time.sleep(every)
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -1,461 +1,324 @@
-"""The one entry point of the account and its budgets: `step` takes what happened and gives what is to be
-done, `wait` tells the one module whether a source's budgets have room.
-
-How bytes are known. A fill's bytes are those of its answer, where the note says that it was a fill. A hit
-and a joined fill carry none (whoever began the fill has them). An answer that the client's own copy stands
-for, a renewal behind an old copy, and a fill that broke off or outlived its client are guessed: its size
-(told, or the mean of its vhost's answers) times the part of its usual time that it had. Guessed bytes are
-told apart.
+"""The one entry point of the account and its budgets.
+
+`TrafficLedger.handle` takes the events of attempts, endpoints, clocks and peers, and returns what is to be
+done; `TrafficLedger.wait_time` tells the router whether the budgets have room for a fill from a source. The
+same calls in the same order give the same results: nothing here reads a clock or a file.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from .. import interface
-from ..routing.hashing import hash_key, score
 from ..settings import records
-from .account import Account
-from .budget import NEVER, Budget, RatePot
-from .calendar import Calendar
-from .share import Sharing
-from .streams import Streams
-from .types import PLACES, Crossing, Doing, Ended, Heard, Note, Sent, Tick, Told, Use, Way
-
-FILLED = 2, 3  # notes of answers that a fill of their own brought
-BY_ORIGIN = 3
-OLD = 5
-NO_BYTES = 1, 4, 6, 8, 9, 10  # found, joined, and sources that gave nothing
-SURE = "unsent", "cut", "unconnected", "full", "miss"  # ends before which nothing crossed
-SOON = 0.15  # part of a fill's usual time before which none of it has crossed
-HOMES = 4096  # objects whose first hub is remembered
-REMEMBER = 6_000_000  # for how long a hub that went is reckoned with, where no budget says
-LATELY = 0.05  # weight of the newest answer in means
-SECOND = 10_000
-
-
-class Place(NamedTuple):
-    """A node as the account knows it."""
-
-    zone: int
-    kind: int
-    salt: int
-    way: Way
-
-
-class Fill:
-    """A dispatch that is out and may carry bytes across."""
-
-    __slots__ = ("came", "source", "way", "into", "out_of", "kept", "renew", "forced", "guess", "at") + (
-        "charges",
-        "again",
-    )
-
-    def __init__(
-        self, came: interface.RequestReceived, source: str, way: Way, into: int, out_of: int, at: int
-    ):
-        self.came, self.source, self.way = came, source, way
-        self.into, self.out_of, self.at = into, out_of, at
-        self.kept = self.renew = self.forced = self.again = False
-        self.guess = 0.0
-        self.charges: list[tuple[Budget, list[RatePot], float]] = []
-
-
-class Means:
-    """What answers of a vhost were like: bytes, and how long a fill takes a byte, where its source held the
-    object and where that had to ask the origin first.
-    """
-
-    __slots__ = ("behind", "body", "most", "time", "time_behind")
-
-    def __init__(self) -> None:
-        self.body = self.most = self.time = self.time_behind = self.behind = 0.0
-
-    def learn(self, body: int, took: int, behind: bool) -> None:
-        self.body += (body - self.body) * (LATELY if self.body else 1.0)
-        self.most = max(float(body), self.most * (1 - LATELY))
-        self.behind += LATELY * (behind - self.behind)
-        pace = took / body
-        if behind:
-            self.time_behind += (pace - self.time_behind) * (LATELY if self.time_behind else 1.0)
-        else:
-            self.time += (pace - self.time) * (LATELY if self.time else 1.0)
+from .account import Account, TransferAmount
+from .attempts import AttemptInFlight
+from .buckets import NEVER
+from .budget import Allowance, Budget
+from .budget_set import BudgetSet
+from .calendar import BillingCalendar
+from .endpoints import EndpointDirectory, SourceEndpoint
+from .log_events import BILLING_PERIOD_STARTED
+from .quota_exchange import QuotaExchange
+from .size_estimator import TransferEstimator, is_fill
+from .streams import StreamKey, StreamTracker
+from .types import (
+    CLOCK_UNITS_PER_MS,
+    AttemptEnded,
+    AttemptStarted,
+    ClockReading,
+    ClockTick,
+    DatagramReceived,
+    DirectorIdentity,
+    LedgerCommand,
+    LedgerEvent,
+    LogNotice,
+)
+
+DEPARTED_HUB_RETENTION = 6_000_000  # ten minutes, where no budget's settings say how long
+
+_DONE = interface.AttemptResult.DONE
+
+
+class PassedCheck(NamedTuple):
+    """A check that all budgets passed, for the attempt that should follow it at once."""
+
+    now: int
+    request: interface.RequestReceived
+    source_id: str
+    diverted: bool
+    allowances: list[Allowance]  # in the order of the budgets
+
+    def covers(self, now: int, request: interface.RequestReceived, source_id: str) -> bool:
+        """Whether it is the check of that very attempt."""
+        return (self.now, self.request, self.source_id) == (now, request, source_id)
+
+
+def check_budgets(
+    budgets: tuple[Budget, ...], now: int, size: float, is_open_stream: bool, diverted: bool
+) -> tuple[int, list[Allowance]]:
+    """The time until all budgets have room for a fill, and what each of them would charge it to."""
+    wait_time, allowances = 0, []
+    for budget in budgets:
+        check = budget.check(now, size, is_open_stream, diverted)
+        if check.wait_time > wait_time:
+            wait_time = check.wait_time
+        allowances.append(check.allowance)
+    return wait_time, allowances
+
+
+def stream_key(request: interface.RequestReceived) -> StreamKey:
+    """The stream that a request for a segment belongs to."""
+    return request.connection_id, request.object_id
+
+
+def _period_ms(config: records.Traffic) -> int:
+    return max(1, config.period // CLOCK_UNITS_PER_MS)
+
+
+def _departed_retention(config: records.Traffic) -> int:
+    emergencies = (budget.emergency for budget in config.budgets.values())
+    retentions = [emergency.remember for emergency in emergencies if emergency]
+    return max(retentions, default=DEPARTED_HUB_RETENTION)
+
+
+def _stream_tracker(config: records.Traffic) -> StreamTracker | None:
+    settings = [budget.streams for budget in config.budgets.values() if budget.streams is not None]
+    if not settings:
+        return None
+    idle_timeout = max(each.idle for each in settings)
+    return StreamTracker(config.most_streams, idle_timeout, min(each.interval for each in settings))
+
+
+class TrafficLedger:
+    """The account of one director and the budgets that its fills are held to."""
 
-    def part(self, size: float, took: int) -> float:
-        """The part of a fill that should have crossed by then: nothing does while the source asks the origin,
-        and one that takes longer than where the source has it is one of those.
-        """
-        if not size or not (self.time or self.time_behind):
-            return 1.0
-        sends = size * (self.time or self.time_behind)
-        if took < SOON * sends:  # no answer of any source: it was refused, or broke at once
-            return 0.0
-        waits = max(0.0, size * self.time_behind - sends)
-        held = min(1.0, took / sends) if took < sends else 0.0
-        asked = min(1.0, max(0.0, took - waits) / sends)
-        return (1 - self.behind) * held + self.behind * asked if took < sends else asked
-
-
-class Ledger:
     def __init__(
         self,
-        told: records.Traffic,
-        facts: interface.Deployment,
-        zones: Sequence[str],
-        vhosts: Sequence[str],
-        now: int,
-        unix_ms: int,
-        me: int = 0,
-        incarnation: int = 0,
+        config: records.Traffic,
+        deployment: interface.Deployment,
+        identity: DirectorIdentity,
+        incarnation: int,
+        clock: ClockReading,
     ):
-        self.told, self.facts = told, facts
-        self.zones, self.vhosts = tuple(zones), tuple(vhosts)
-        self.calendar = Calendar(max(1, told.period // 10), now, unix_ms)
-        self.account = Account(max(1, told.period // 10))
-        self.nodes: dict[str, Place] = {}
-        self.hubs: dict[
-            str, Place
-        ] = {}  # parents that should be there: listed ones, and those that went lately
-        self.went: dict[str, int] = {}
-        self.fills: dict[str, Fill] = {}
-        self.lively: dict[str, list[int]] = {}  # sources: when one was last asked, and last gave something
-        self.crossed: dict[str, None] = {}  # open reqs for which bytes have crossed already
-        self.means = [Means() for _ in vhosts]
-        self.per_kb, self.kb = 1000.0, 0.0  # bytes on the socket a KB that reqs tell; and over how many KB
-        ends, left = self.calendar.ends(), self.calendar.left()
-        self.budgets: dict[str, Budget] = {}
-        for name, one in told.budgets.items():
-            among = facts.local_router_count if one.scope == "branch" else facts.router_count
-            self.budgets[name] = Budget(name, one, 1.0 / max(1, among), now, ends, left)
-        for name, one in told.budgets.items():
-            self.budgets[name].above = self.budgets[one.within] if one.within else None
-        spans = [one.streams for one in told.budgets.values() if one.streams is not None]
-        self.streams: Streams | None = None
-        if spans:
-            idle, interval = max(one.idle for one in spans), min(one.interval for one in spans)
-            self.streams = Streams(told.most_streams, idle, interval)
-        emergencies = [one.emergency.remember for one in told.budgets.values() if one.emergency]
-        self.remember = max(emergencies, default=REMEMBER)
-        self.sharing = Sharing(told.share, self.budgets, me, incarnation) if told.share else None
-        self.matches: dict[tuple[int, int, Way], tuple[Budget, ...]] = {}
-        self.homes: dict[int, str] = {}  # the first hub of an object, while the hubs are the same
-        self.judged: tuple[Any, ...] | None = (
-            None  # what the last `wait` found, for the dispatch that follows
-        )
-        self.unknown_ms = 0  # of this period: time in which it was not running, and nothing was booked
-        self.shapes: Any | None = None
-        if told.distributions:
-            from .shapes import Shapes
-
-            self.shapes = Shapes(self.vhosts)
-        self.period = self.calendar.start()
-        self.acts: list[Doing] = []
-
-    # What happens
-
-    def step(self, now: int, what: Told) -> list[Doing]:
-        """The entry point."""
-        self.acts = []
-        if isinstance(what, Sent):
-            self._sent(now, what)
-        elif isinstance(what, Ended):
-            self._ended(now, what)
-        elif isinstance(what, interface.EndpointsUpdated):
-            self._listed(now, what)
-        elif isinstance(what, Tick):
-            self._tick(now, what.unix_ms)
-        elif isinstance(what, Heard) and self.sharing is not None:
-            self.sharing.heard(now, what.sender, what.data)
-        return self.acts
-
-    def _tick(self, now: int, unix_ms: int) -> None:
-        self.calendar.read(now, unix_ms)
-        start = self.calendar.start()
-        if start != self.period:
-            self.period, self.unknown_ms = start, 0
-            for budget in self.budgets.values():
-                budget.begin_period(now, self.calendar.ends())
-            self.acts.append(Note(f"a billing period has begun at Unix millisecond {start}"))
+        """Makes a ledger that knows of nothing yet.
+
+        Args:
+            config: The operators' settings.
+            deployment: What the router knows of the deployment.
+            identity: Whose account it is.
+            incarnation: Tells this run of the director from those before it; it must rise.
+            clock: The clocks as they stand.
+        """
+        self.config, self.deployment, self.identity = config, deployment, identity
+        self.calendar = BillingCalendar(_period_ms(config), clock.now, clock.unix_ms)
+        self.account = Account(_period_ms(config))
+        self.directory = EndpointDirectory(deployment, _departed_retention(config))
+        period = self.calendar.current_period()
+        self.budget_set = BudgetSet(config.budgets, deployment, identity, period)
+        self.budgets = self.budget_set.budgets
+        self.streams = _stream_tracker(config)
+        self.exchange: QuotaExchange | None = None
+        if config.share:
+            self.exchange = QuotaExchange(config.share, self.budgets, identity.peer_index, incarnation)
+        self.estimator = TransferEstimator(len(identity.request_classes))
+        self.distributions = None
+        if config.distributions:
+            from .distributions import FillDistributions  # an optional extra
+
+            self.distributions = FillDistributions(identity.request_classes)
+        self.attempts: dict[str, AttemptInFlight] = {}  # by request
+        self.served_requests: dict[str, None] = {}  # open ones for which bytes have been transferred
+        self.period_start = self.calendar.period_start()
+        self.unknown_ms = 0  # of this period: time in which the director did not run
+        self._last_check: PassedCheck | None = None
+
+    def handle(self, now: int, event: LedgerEvent) -> list[LedgerCommand]:
+        """Takes in one event; returns what is to be done, in order."""
+        match event:
+            case AttemptStarted():
+                self._on_attempt_started(now, event)
+            case AttemptEnded():
+                self._on_attempt_ended(now, event)
+            case interface.EndpointsUpdated():
+                self._on_endpoints_updated(now, event)
+            case ClockTick():
+                return self._on_tick(now, event.unix_ms)
+            case DatagramReceived():
+                if self.exchange is not None:
+                    self.exchange.receive(now, event.sender, event.data)
+        return []
+
+    def _on_tick(self, now: int, unix_ms: int) -> list[LedgerCommand]:
+        commands: list[LedgerCommand] = []
+        self.calendar.read_clock(now, unix_ms)
+        start = self.calendar.period_start()
+        if start != self.period_start:
+            self.period_start, self.unknown_ms = start, 0
+            self.budget_set.begin_period(now, self.calendar.period_end())
+            commands.append(LogNotice(BILLING_PERIOD_STARTED, {"unix_ms": start}))
         if self.streams is not None:
-            self.streams.lapse(now)
-        for name in [name for name, at in self.went.items() if now > at + self.remember]:
-            del self.went[name], self.hubs[name]
-            self.homes.clear()
-        if self.sharing is not None:
-            self.acts += self.sharing.tick(now)
-
-    def _listed(self, now: int, what: interface.EndpointsUpdated) -> None:
-        self.homes.clear()
-        self.judged = None
-        if what.is_full:
-            here = {row.id for row in what.endpoints}
-            for name in [name for name in self.nodes if name not in here]:
-                self._gone(now, name)
-        for row in what.endpoints:
-            if row.state == "gone":
-                self._gone(now, row.id)
-                continue
-            way = self._way(row.zone, row.kind)
-            place = self.nodes[row.id] = Place(row.zone, row.kind, hash_key(row.id), way)
-            if row.kind == self.facts.parent_kind:
-                self.hubs[row.id] = place
-                self.went.pop(row.id, None)
-
-    def _gone(self, now: int, name: str) -> None:
-        self.nodes.pop(name, None)
-        self.lively.pop(name, None)
-        if name in self.hubs and name not in self.went:
-            self.went[name] = now
-            while len(self.went) > max(8, 2 * len(self.nodes)):  # guards the memory on days of replacements
-                first = next(iter(self.went))
-                del self.went[first], self.hubs[first]
-
-    # What the module asks
-
-    def wait_time(self, now: int, came: interface.RequestReceived, source: str) -> int:
-        """0 where the budgets of that source have room for this req's fill, else the time until they
-        should.
+            self.streams.expire(now)
+        self.directory.forget_departed(now)
+        if self.exchange is not None:
+            commands += self.exchange.tick(now)
+        return commands
+
+    def _on_endpoints_updated(self, now: int, event: interface.EndpointsUpdated) -> None:
+        self._last_check = None
+        for endpoint_id in self.directory.update(now, event):
+            self.estimator.forget_source(endpoint_id)
+
+    def wait_time(self, now: int, request: interface.RequestReceived, source_id: str) -> int:
+        """How long a fill would have to wait for its budgets.
+
+        Returns:
+            0 where all budgets that the fill falls under have room for it, else the time until they should.
         """
-        place = self.nodes.get(source)
-        if place is None:
+        source = self.directory.endpoints.get(source_id)
+        if source is None:
             return 0
-        budgets = self._matching(came.class_index, place)
+        budgets = self.budget_set.matching(request.class_index, source)
         if not budgets:
             return 0
-        need, begun = self.size(came), False
-        if self.streams is not None and self.facts.request_classes[came.class_index].is_segmented:
-            stream = self.streams.find((came.connection_id, came.object_id), now)
-            begun = stream is not None
-            if stream is None:
-                rate = self.streams.rate(came.class_index, need)
-                if any(each.book is not None and not each.book.admits(rate) for each in budgets):
-                    self._refused(budgets, need)
-                    return int(self.streams.gap(came.class_index)) + 1
-        forced = self._forced(came, source, place)
-        found = [budget.wait(now, need, begun, forced) for budget in budgets]
-        wait = max([each for each, _ in found])
-        if wait:
-            self._refused(budgets, need)
-            return min(wait, NEVER)
-        self.judged = now, came, source, forced, [pots for _, pots in found]
+        size = self.estimator.expected_size(request)
+        streams = self._streams_of(request)
+        is_open_stream = streams is not None and streams.find(stream_key(request), now) is not None
+        if streams is not None and not is_open_stream:
+            wait_time = self._stream_admission_wait(streams, request, budgets, size)
+            if wait_time:
+                return wait_time
+        diverted = self.directory.is_diverted(request.object_id, source_id, source)
+        wait_time, allowances = check_budgets(budgets, now, size, is_open_stream, diverted)
+        if wait_time:
+            self._record_refusal(budgets, size)
+            return min(wait_time, NEVER)
+        self._last_check = PassedCheck(now, request, source_id, diverted, allowances)
         return 0
 
-    def _refused(self, budgets: tuple[Budget, ...], need: float) -> None:
+    def _streams_of(self, request: interface.RequestReceived) -> StreamTracker | None:
+        """The open streams, where the request may belong to one."""
+        if self.streams is None or not self.deployment.request_classes[request.class_index].is_segmented:
+            return None
+        return self.streams
+
+    def _stream_admission_wait(
+        self,
+        streams: StreamTracker,
+        request: interface.RequestReceived,
+        budgets: tuple[Budget, ...],
+        size: float,
+    ) -> int:
+        """The time until another stream may be tried to begin; 0: it may begin now."""
+        rate = streams.stream_rate(request.class_index, size)
+        reservations = [budget.reservations for budget in budgets if budget.reservations is not None]
+        if all(each.admits(rate) for each in reservations):
+            return 0
+        self._record_refusal(budgets, size)
+        return int(streams.segment_interval(request.class_index)) + 1
+
+    def _record_refusal(self, budgets: tuple[Budget, ...], size: float) -> None:
         for budget in budgets:
-            budget.refused += 1
-            budget.wanted += need
-
-    def size(self, came: interface.RequestReceived) -> float:
-        """The bytes that its fill should carry: what is told, else the most that its vhost's lately were."""
-        return came.size * self.per_kb if came.size else self.means[came.class_index].most
-
-    def _way(self, zone: int, kind: int) -> Way:
-        facts = self.facts
-        if kind == facts.origin_kind:
-            return Way.ORIGIN
-        if kind != facts.parent_kind:
-            return Way.NEIGHBOUR
-        own = facts.hub_by_zone[facts.zone] if facts.zone < len(facts.hub_by_zone) else facts.zone
-        return Way.OWN_HUB if zone == own else Way.OTHER_HUB
-
-    def _matching(self, vhost: int, place: Place) -> tuple[Budget, ...]:
-        """The budgets that a fill falls under, with those above them."""
-        key = vhost, place.zone, place.way
-        found = self.matches.get(key)
-        if found is None:
-            here: dict[str, Budget] = {}
-            for budget in self.budgets.values():
-                told = budget.told
-                if (
-                    key[2] in [PLACES[way] for way in told.ways]
-                    and (told.into is None or self.zone_name(self.facts.zone) == told.into)
-                    and (told.out_of is None or self.zone_name(place.zone) == told.out_of)
-                    and (told.vhosts is None or self.vhosts[vhost] in told.vhosts)
-                ):
-                    above: Budget | None = budget
-                    while above is not None:
-                        here[above.name] = above
-                        above = above.above
-            found = self.matches[key] = tuple(here.values())
-        return found
-
-    def zone_name(self, place: int) -> str:
-        return self.zones[place] if 0 <= place < len(self.zones) else ""
-
-    def _forced(self, came: interface.RequestReceived, source: str, place: Place) -> bool:
-        """True when another hub should have served it: the first of its hash order over all hubs that are
-        listed, or went lately. Told from crossings that the order itself chose.
-        """
-        if place.kind not in (self.facts.parent_kind, self.facts.origin_kind) or not self.hubs:
-            return False
-        first = self.homes.get(came.object_id)
-        if first is None:
-            home = score(came.object_id, 0)
-            first = max(self.hubs, key=lambda name: score(home, self.hubs[name].salt))
-            if len(self.homes) >= HOMES:
-                self.homes.clear()
-            self.homes[came.object_id] = first
-        return first != source
-
-    # What goes out and comes to its end
-
-    def _sent(self, now: int, what: Sent) -> None:
-        came, node = what.came, self.nodes.get(what.node)
-        if node is None:
+            budget.record_refusal(size)
+
+    def _on_attempt_started(self, now: int, event: AttemptStarted) -> None:
+        request, endpoint = event.request, self.directory.endpoints.get(event.endpoint_id)
+        if endpoint is None:
             return
-        if self.streams is not None and self.facts.request_classes[came.class_index].is_segmented:
-            self.streams.goes_on(
-                (came.connection_id, came.object_id), came.class_index, now
-            )  # also where it needs no fill
-        behind = node.kind in (self.facts.parent_kind, self.facts.origin_kind)
-        name = what.node if behind else what.source  # past the caches the node itself is what bytes come from
-        source = self.nodes.get(name)
+        streams = self._streams_of(request)
+        if streams is not None:
+            streams.continue_stream(stream_key(request), request.class_index, now)
+        # past the caches the bytes come from the endpoint itself
+        source_id = event.endpoint_id if endpoint.is_upstream else event.source_id
+        source = self.directory.endpoints.get(source_id)
         if source is None:
             return
-        fill = Fill(came, name, source.way, self.facts.zone, source.zone, now)
-        self.lively.setdefault(name, [0, 0])[0] = now
-        fill.kept, fill.renew = bool(what.rank) and not behind, what.renew
-        judged, self.judged = self.judged, None
-        if judged is None or judged[:3] != (now, came, name):
-            judged = None
-        fill.forced = self._forced(came, name, source) if judged is None else judged[3]
-        fill.again = came.request_id in self.crossed
-        fill.guess = self.size(came)
-        self.fills[came.request_id] = fill
-        budgets = self._matching(came.class_index, source)
+        self.estimator.record_request(now, source_id)
+        check, self._last_check = self._last_check, None
+        if check is not None and not check.covers(now, request, source_id):
+            check = None
+        if check is not None:
+            diverted = check.diverted
+        else:
+            diverted = self.directory.is_diverted(request.object_id, source_id, source)
+        attempt = AttemptInFlight(
+            request,
+            source_id,
+            source.route,
+            self.deployment.zone,
+            source.zone,
+            now,
+            stores_copy=bool(event.admission_rank) and not endpoint.is_upstream,
+            revalidates=event.revalidates,
+            diverted=diverted,
+            is_repeat=request.request_id in self.served_requests,
+        )
+        self.attempts[request.request_id] = attempt
+        self._charge(now, attempt, source, check)
+
+    def _charge(
+        self, now: int, attempt: AttemptInFlight, source: SourceEndpoint, check: PassedCheck | None
+    ) -> None:
+        """Charges an attempt to the budgets that it falls under, and opens or continues its stream."""
+        request = attempt.request
+        budgets = self.budget_set.matching(request.class_index, source)
         if not budgets:
             return
-        parts = self.streams is not None and self.facts.request_classes[came.class_index].is_segmented
-        key = came.connection_id, came.object_id
-        if judged is None:
-            begun = bool(parts and self.streams and self.streams.find(key, now))
-            all_pots = [budget.wait(now, fill.guess, begun, fill.forced)[1] for budget in budgets]
+        size = self.estimator.expected_size(request)
+        streams = self._streams_of(request)
+        if check is not None:
+            allowances = check.allowances
         else:
-            all_pots = judged[4]
-        for budget, pots in zip(budgets, all_pots, strict=True):
-            budget.charge(pots, fill.guess)
-            fill.charges.append((budget, pots, fill.guess))
-            budget.wanted = max(0.0, budget.wanted - fill.guess)
-        if parts and self.streams is not None:
-            books = [budget.book for budget in budgets if budget.book is not None]
-            self.streams.part_came(key, came.class_index, fill.guess, now, books)
-
-    def _ended(self, now: int, what: Ended) -> None:
-        fill = self.fills.pop(what.id, None)
-        if fill is None:
-            if what.gone:
-                self.crossed.pop(what.id, None)
+            is_open_stream = streams is not None and streams.find(stream_key(request), now) is not None
+            _, allowances = check_budgets(budgets, now, size, is_open_stream, attempt.diverted)
+        attempt.charge(allowances, size)
+        for budget in budgets:
+            budget.record_charge(size)
+        if streams is not None:
+            reservations = [budget.reservations for budget in budgets if budget.reservations is not None]
+            streams.record_segment(stream_key(request), request.class_index, size, now, reservations)
+
+    def _on_attempt_ended(self, now: int, event: AttemptEnded) -> None:
+        attempt = self.attempts.pop(event.request_id, None)
+        if attempt is None:
+            if event.request_closed:
+                self.served_requests.pop(event.request_id, None)
             return
-        came, means = fill.came, self.means[fill.came.class_index]
-        carried, guessed = self._carried(fill, what)
-        if what.result == "done" and what.body:
-            if came.size and what.body:  # bytes on the socket for each KB told: the same everywhere
-                self.kb = min(self.kb + came.size, 1e6)
-                self.per_kb += (what.body / came.size - self.per_kb) * came.size / self.kb
-            if what.note in FILLED:
-                self.lively.setdefault(fill.source, [0, 0])[1] = now
-                means.learn(what.body, what.took, what.note == BY_ORIGIN)
-                if self.shapes is not None:
-                    self.shapes.add(came.class_index, what.body, what.took)
-        use = Use.KEPT if fill.kept else Use.UNKEPT
-        if what.result != "done" or (what.gone and what.body is None) or what.note == OLD:
-            use = Use.WASTED
-        elif fill.again:
-            use = Use.REPEATED
-        if carried:
-            crossing = Crossing(fill.into, fill.out_of, fill.way, use, came.class_index, fill.forced)
-            behind = carried if what.note == BY_ORIGIN and fill.way is not Way.ORIGIN else 0
-            self.account.add(self.calendar.at(now), crossing, 1, carried, guessed, behind)
-        for budget, pots, charged in fill.charges:
-            budget.settle(pots, charged, carried)
-        if what.gone or what.result == "done":
-            self.crossed.pop(what.id, None)
-        elif carried:
-            self.crossed[what.id] = None
-            if len(self.crossed) > self.told.most_streams:  # guards the memory: an end that is never told
-                del self.crossed[next(iter(self.crossed))]
-
-    def _carried(self, fill: Fill, what: Ended) -> tuple[int, int]:
-        """Bytes that crossed, and how many of them are guessed."""
-        if what.result in SURE or what.note in NO_BYTES:
-            return 0, 0
-        # what a KB told is on the socket is known from the first answer on; before that nothing is made up
-        size = self.size(fill.came) if self.kb else 0.0
-        if what.result == "done":
-            if what.note in FILLED or not what.note:
-                if what.body is not None:
-                    return what.body, 0 if what.note else what.body
-                return int(size), int(size)  # the client's copy stands for it
-            return (int(size), int(size)) if fill.renew else (0, 0)
-        asked, gave = self.lively.get(fill.source, (0, 0))
-        if what.result == "timeout" and gave < fill.at < asked:
-            return 0, 0  # asked again since, and it gave nothing to anyone: a silent source, not a slow one
-        guess = int(size * self.means[fill.came.class_index].part(size, what.took))
-        return guess, guess
-
-    # What is kept and told
-
-    def spans(self) -> dict[str, Any]:
-        """The state of the budgets, for reports."""
-        out: dict[str, Any] = {}
-        for name, budget in self.budgets.items():
-            told = budget.told
-            out[name] = {
-                "spent": budget.spent,
-                "drawn": budget.drawn,
-                "refused": budget.refused,
-                "sum": told.sum * budget.part if told.sum is not None else None,
-                "rate": told.rate * budget.part if told.rate is not None else None,
-                "left": next((pot.plain()[-1] for pot in budget.pots if len(pot.plain()) > 1), None),
-                "streams": budget.book.open if budget.book is not None else None,
+        # what it transferred is judged by what was known before its own answer
+        transferred, guessed = self.estimator.transferred(attempt, event)
+        if event.result == _DONE and event.body_size:
+            self._record_answer(now, attempt, event.body_size, event)
+        if transferred:
+            origin_bytes = attempt.origin_bytes(event, transferred)
+            amount = TransferAmount(1, transferred, guessed, origin_bytes)
+            self.account.add(self.calendar.advance(now), attempt.kind(event), amount)
+        attempt.settle(transferred)
+        self._track_served(event, transferred)
+
+    def _record_answer(self, now: int, attempt: AttemptInFlight, size: int, event: AttemptEnded) -> None:
+        self.estimator.record_answer(now, attempt, size, event)
+        if self.distributions is not None and is_fill(event):
+            self.distributions.add(attempt.request.class_index, size, event.duration)
+
+    def _track_served(self, event: AttemptEnded, transferred: int) -> None:
+        """Remembers open requests for which bytes were transferred: more of them are repeats."""
+        if event.request_closed or event.result == _DONE:
+            self.served_requests.pop(event.request_id, None)
+        elif transferred:
+            self.served_requests[event.request_id] = None
+            if len(self.served_requests) > self.config.most_streams:  # bounds the memory if ends get lost
+                del self.served_requests[next(iter(self.served_requests))]
+
+    def adopt(self, previous: TrafficLedger) -> None:
+        """Goes on with what a ledger under earlier settings has in flight."""
+        self.attempts = previous.attempts  # each is settled where it was charged
+        self.served_requests = previous.served_requests
+        self.estimator.classes = previous.estimator.classes
+        if previous.streams is not None and self.streams is not None:
+            replacements = {
+                id(budget.reservations): self.budgets[name].reservations if name in self.budgets else None
+                for name, budget in previous.budgets.items()
             }
-        return out
-
-    def plain(self, clean: bool) -> dict[str, Any]:
-        """All that a restart has to know, as plain values."""
-        return {
-            "zones": list(self.zones),
-            "vhosts": list(self.vhosts),
-            "zone": self.facts.zone,
-            "unix": self.calendar.unix,
-            "period": self.period,
-            "period_ms": self.calendar.length,
-            "clean": clean,
-            "unknown_ms": self.unknown_ms,
-            "per_kb": [self.per_kb, self.kb],
-            "account": self.account.plain(),
-            "budgets": {name: budget.plain() for name, budget in self.budgets.items()},
-            "spans": self.spans(),
-            "shapes": self.shapes.plain() if self.shapes is not None else {},
-        }
-
-    def restore(self, plain: dict[str, Any], now: int) -> list[Doing]:
-        """Takes up a snapshot. What it can't know, the time since it was taken, counts as spent in the
-        budgets and is told as unknown in the account: it is never made up.
-        """
-        if tuple(plain["zones"]) != self.zones or tuple(plain["vhosts"]) != self.vhosts:
-            return [Note("the snapshot is of another deployment: begun anew")]
-        if plain["period_ms"] != self.calendar.length:
-            return [Note("the snapshot has billing periods of another length: begun anew")]
-        gap = max(0, self.calendar.at(now) - plain["unix"])
-        self.calendar.unix = max(self.calendar.unix, plain["unix"])  # a clock that was set back since
-        self.period = self.calendar.start()
-        self.account.restore(plain["account"])
-        self.per_kb, self.kb = plain["per_kb"]
-        if plain["period"] != self.period:
-            return [
-                Note("the snapshot is of an earlier period: its account goes on, its budgets are begun anew")
-            ]
-        unclean = 0 if plain["clean"] else gap
-        self.unknown_ms = plain["unknown_ms"] + unclean
-        for name, budget in self.budgets.items():
-            if name in plain["budgets"]:
-                budget.restore(plain["budgets"][name], now, unclean / 1000)
-        if unclean:
-            return [
-                Note(
-                    f"{unclean} ms before this start are not in the account; the budgets count them as spent"
-                )
-            ]
-        return []
+            self.streams.adopt(previous.streams, replacements)
+        if previous.exchange is not None and self.exchange is not None:
+            self.exchange.peers = previous.exchange.peers  # a grant must not be deposited twice
--- a/ironhinge/traffic/metrics.py
+++ b/ironhinge/traffic/metrics.py
@@ -1,5 +1,7 @@
-"""Owns the listener for scrapes. It must never touch the ledger from its own thread: what it shows is a
-picture that the director's loop makes of it now and then. Imported only where operators ask for it.
+"""The listener for scrapes by Prometheus; imported only where operators ask for it.
+
+Its thread never touches the ledger: it shows the metric families that the director's loop publishes now and
+then.
 """
 
 from __future__ import annotations
@@ -11,48 +13,77 @@
 from prometheus_client.registry import Collector
 
 from ..settings import records
-from .ledger import Ledger
-from .types import USES, WAYS, Crossing
+from .account import PERIOD_WINDOW, TransferTotals
+from .labels import OTHER_LABEL, OUTCOME_LABELS, ROUTE_LABELS, diversion_label, label_at
+from .ledger import TrafficLedger
+from .types import TransferKind
+
+TRANSFER_LABELS = ("way", "use", "vhost", "out_of", "forced")
+BUDGET_LABELS = ("budget",)
+
+
+def _totals_by_kind(ledger: TrafficLedger) -> dict[TransferKind, TransferTotals]:
+    sums: dict[TransferKind, TransferTotals] = {}
+    for by_kind in ledger.account.windows[PERIOD_WINDOW].intervals.values():
+        for kind, totals in by_kind.items():
+            sums.setdefault(kind, TransferTotals()).add(totals.amount())
+    return sums
+
+
+def _label_values(ledger: TrafficLedger, kind: TransferKind) -> tuple[str, ...]:
+    return (
+        ROUTE_LABELS[kind.route],
+        OUTCOME_LABELS[kind.outcome],
+        label_at(ledger.identity.request_classes, kind.class_index),
+        label_at(ledger.identity.zones, kind.source_zone) or OTHER_LABEL,
+        diversion_label(kind.diverted),
+    )
+
 
-LABELS = ("way", "use", "vhost", "out_of", "forced")
+def _transfer_families(ledger: TrafficLedger) -> list[Metric]:
+    transferred = CounterMetricFamily(
+        "ironhinge_crossed_bytes", "Bytes that fills carried.", labels=TRANSFER_LABELS
+    )
+    fills = CounterMetricFamily("ironhinge_crossed_fills", "Fills that carried them.", labels=TRANSFER_LABELS)
+    for kind, totals in _totals_by_kind(ledger).items():
+        values = _label_values(ledger, kind)
+        transferred.add_metric(values, totals.transferred)
+        fills.add_metric(values, totals.fills)
+    return [transferred, fills]
 
 
-class Metrics(Collector):
-    def __init__(self, told: records.Metrics):
-        self.picture: list[Metric] = []
+def _budget_families(ledger: TrafficLedger) -> list[Metric]:
+    refusals = CounterMetricFamily("ironhinge_budget_refusals", "Times without room.", labels=BUDGET_LABELS)
+    spent = GaugeMetricFamily("ironhinge_budget_spent_bytes", "Of this period.", labels=BUDGET_LABELS)
+    emergency = GaugeMetricFamily("ironhinge_budget_drawn_bytes", "Of its allowance.", labels=BUDGET_LABELS)
+    for name, usage in ledger.budget_set.usage().items():
+        refusals.add_metric([name], usage.refusals)
+        spent.add_metric([name], usage.spent)
+        emergency.add_metric([name], usage.emergency_spent)
+    return [refusals, spent, emergency]
+
+
+class MetricsExporter(Collector):
+    """Serves the metrics that were published last."""
+
+    def __init__(self, config: records.Metrics):
+        """Opens the listener.
+
+        Raises:
+            OSError: The address can't be listened on.
+        """
+        self._families: list[Metric] = []
         registry = CollectorRegistry()
         registry.register(self)
-        self.server, self.thread = start_http_server(told.port, told.host, registry)
+        self.server, self.thread = start_http_server(config.port, config.host, registry)
 
     def collect(self) -> Iterator[Metric]:
-        return iter(self.picture)
-
-    def show(self, ledger: Ledger) -> None:
-        """Counters of this billing period and all before it in memory; they only rise while it runs."""
-        carried = CounterMetricFamily("ironhinge_crossed_bytes", "Bytes that fills carried.", labels=LABELS)
-        fills = CounterMetricFamily("ironhinge_crossed_fills", "Fills that carried them.", labels=LABELS)
-        cells: dict[Crossing, list[int]] = {}
-        for stretch in ledger.account.windows["period"].stretches.values():
-            for crossing, cell in stretch.items():
-                sums = cells.setdefault(crossing, [0, 0])
-                sums[0] += cell.carried
-                sums[1] += cell.fills
-        for crossing, (count, times) in cells.items():
-            vhosts = ledger.vhosts
-            labels: tuple[str, ...] = (
-                WAYS[crossing.way],
-                USES[crossing.use],
-                vhosts[crossing.vhost] if 0 <= crossing.vhost < len(vhosts) else "the rest",
-                ledger.zone_name(crossing.out_of) or "the rest",
-                "forced" if crossing.forced else "chosen",
-            )
-            carried.add_metric(labels, count)
-            fills.add_metric(labels, times)
-        refused = CounterMetricFamily("ironhinge_budget_refusals", "Times without room.", labels=["budget"])
-        spent = GaugeMetricFamily("ironhinge_budget_spent_bytes", "Of this period.", labels=["budget"])
-        drawn = GaugeMetricFamily("ironhinge_budget_drawn_bytes", "Of its allowance.", labels=["budget"])
-        for name, row in ledger.spans().items():
-            refused.add_metric([name], row["refused"])
-            spent.add_metric([name], row["spent"])
-            drawn.add_metric([name], row["drawn"])
-        self.picture = [carried, fills, refused, spent, drawn]
+        """The metrics that were published last; called by the listener's thread."""
+        return iter(self._families)
+
+    def publish(self, ledger: TrafficLedger) -> None:
+        """Makes the metrics of a ledger the ones that are served.
+
+        Counters are sums over the billing periods in memory; they only rise while the director runs.
+        """
+        self._families = _transfer_families(ledger) + _budget_families(ledger)
--- a/ironhinge/traffic/plot.py
+++ b/ironhinge/traffic/plot.py
@@ -1,4 +1,4 @@
-"""Owns the picture of a report. Imported only where one is asked for: matplotlib is an optional extra."""
+"""The chart of a report. Imported only where one is asked for: matplotlib is an optional extra."""
 
 from __future__ import annotations
 
@@ -12,20 +12,30 @@
 
 matplotlib.use("Agg")
 
+SIZE_INCHES = (10, 4.5)
+DOTS_PER_INCH = 110
+BYTES_PER_MB = 1e6
+MS_PER_SECOND = 1000
 
-def draw(report: Report, cut: str, path: Path) -> None:
-    """Bytes by time, stacked by one cut."""
+
+def draw_chart(report: Report, cut: str, path: Path) -> None:
+    """Draws transferred bytes over time, stacked by one cut, into a PNG.
+
+    Raises:
+        OSError: The file could not be written.
+    """
     from matplotlib import pyplot
 
     starts, rows = report.series(cut)
-    times: Any = [datetime.fromtimestamp(start / 1000, UTC) for start in starts]
-    figure, axes = pyplot.subplots(figsize=(10, 4.5))
+    times: Any = [datetime.fromtimestamp(start / MS_PER_SECOND, UTC) for start in starts]
+    figure, axes = pyplot.subplots(figsize=SIZE_INCHES)
     if starts:
-        axes.stackplot(times, *([count / 1e6 for count in row] for row in rows.values()), labels=list(rows))
+        megabytes = ([size / BYTES_PER_MB for size in row] for row in rows.values())
+        axes.stackplot(times, *megabytes, labels=list(rows))
         axes.legend(loc="upper left", fontsize="small")
     axes.set_ylabel(f"MB a {report.window}")
     axes.set_title(f"What crossed, by {cut}")
     figure.autofmt_xdate()
     figure.tight_layout()
-    figure.savefig(path, dpi=110)
+    figure.savefig(path, dpi=DOTS_PER_INCH)
     pyplot.close(figure)
--- a/ironhinge/traffic/report.py
+++ b/ironhinge/traffic/report.py
@@ -1,215 +1,223 @@
-"""Owns the report: cuts of what several directors' accounts hold, money, and where a period is going.
+"""The report: sums over the accounts of several directors, their cost, and where a period is going.
 
-It must never read a file; what it is given are snapshots, and each director counts once.
+It reads no file: it is made of snapshots, of which each director's newest counts.
 """
 
 from __future__ import annotations
 
-import csv
-import io
 from collections.abc import Iterable, Sequence
-from typing import Any, NamedTuple
+from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..settings import records
-from .snapshot import Snapshot, one_each
-from .types import USES, WAYS, Use, Way
-
-CUTS = ("way", "use", "vhost", "into", "out_of", "forced", "pair")
-GB = 1e9
-
-
-class Line(NamedTuple):
-    """One kind of crossing in one stretch of time, named."""
-
-    start: int  # Unix millisecond
-    into: str
-    out_of: str
-    way: str
-    use: str
-    vhost: str
-    forced: str
+from .account import PERIOD_WINDOW, StoredTransfer
+from .labels import (
+    CUT_FIELDS,
+    DIVERTED_LABEL,
+    OUTCOME_LABELS,
+    ROUTE_LABELS,
+    diversion_label,
+    label_at,
+)
+from .snapshot import Snapshot, newest_by_director
+from .state import AccountState, BudgetUsage, ClassDistribution
+from .types import Outcome, Route
+
+BYTES_PER_GB = 1e9
+SHARE_DIGITS = 4
+
+
+class ReportLine(NamedTuple):
+    """One kind of transfer in one interval, by names."""
+
+    start_ms: int  # Unix milliseconds
+    destination: str
+    source: str
+    route: str
+    outcome: str
+    request_class: str
+    diversion: str
     fills: int
-    carried: int
+    transferred: int
     guessed: int
-    behind: int
+    from_origin: int
 
     @property
-    def pair(self) -> str:
-        return f"{self.out_of} to {self.into}"
-
-
-def _name(names: Sequence[str], place: int) -> str:
-    return names[place] if 0 <= place < len(names) else "the rest"
+    def zone_pair(self) -> str:
+        """Both zones together."""
+        return f"{self.source} to {self.destination}"
+
+    def cut(self, name: str) -> str:
+        """Its value in one of `labels.CUTS`."""
+        return str(getattr(self, CUT_FIELDS[name]))
+
+
+@dataclass(slots=True)
+class BudgetSummary:
+    """What all directors together have spent of a budget, in bytes of this period."""
+
+    spent: int = 0
+    emergency_spent: int = 0
+    refusals: int = 0
+    limit: int | None = None
+    remaining: int | None = None
+    projected: int = 0  # by the period's end, at the pace so far
+
+    def add(self, usage: BudgetUsage, state: AccountState) -> None:
+        """Adds the part of one director."""
+        self.spent += usage.spent
+        self.emergency_spent += usage.emergency_spent
+        self.refusals += usage.refusals
+        if usage.limit is not None:
+            self.limit = (self.limit or 0) + int(usage.limit)
+        if usage.remaining is not None:
+            self.remaining = (self.remaining or 0) + int(usage.remaining)
+        elapsed_ms = max(1, state.unix_ms - state.period_start)
+        spent = usage.spent + usage.emergency_spent
+        self.projected += int(spent * state.period_ms / elapsed_ms)
 
 
 class Report:
-    def __init__(self, lines: list[Line], snapshots: list[Snapshot], window: str, start: int | None):
-        self.lines, self.snapshots, self.window, self.start = lines, snapshots, window, start
+    """The lines of one interval, or of all intervals, of a window."""
+
+    def __init__(self, lines: list[ReportLine], snapshots: list[Snapshot], window: str, start_ms: int | None):
+        self.lines, self.snapshots, self.window, self.start_ms = lines, snapshots, window, start_ms
 
     def total(self) -> int:
-        return sum(line.carried for line in self.lines)
+        """Transferred bytes."""
+        return sum(line.transferred for line in self.lines)
 
     def guessed(self) -> int:
+        """Transferred bytes that are guessed."""
         return sum(line.guessed for line in self.lines)
 
+    def from_origin(self) -> int:
+        """Bytes that hubs drew from the origin for the fills."""
+        return sum(line.from_origin for line in self.lines)
+
+    def fills(self) -> int:
+        """Fills that transferred bytes."""
+        return sum(line.fills for line in self.lines)
+
+    def diverted_share(self) -> float:
+        """The share of the bytes that came from another hub than the preferred one, rounded."""
+        total = self.total()
+        diverted = self.by("forced").get(DIVERTED_LABEL, 0)
+        return round(diverted / total, SHARE_DIGITS) if total else 0.0
+
     def by(self, *cuts: str) -> dict[str, int]:
-        """Bytes carried by one cut or several together; every cut's sum is the total."""
-        out: dict[str, int] = {}
+        """Transferred bytes by one of `labels.CUTS`, or several together, the most first."""
+        sums: dict[str, int] = {}
         for line in self.lines:
-            key = " | ".join(str(getattr(line, cut)) for cut in cuts)
-            out[key] = out.get(key, 0) + line.carried
-        return dict(sorted(out.items(), key=lambda each: -each[1]))
+            key = " | ".join(line.cut(cut) for cut in cuts)
+            sums[key] = sums.get(key, 0) + line.transferred
+        return dict(sorted(sums.items(), key=lambda item: -item[1]))
 
-    def money(self, prices: Iterable[records.Price]) -> dict[str, float]:
-        """By way, each line at the last price that fits it; ways without a price cost nothing."""
-        out: dict[str, float] = {}
+    def cost(self, prices: Sequence[records.Price]) -> dict[str, float]:
+        """The cost by route: each line at the last price that fits it; without one it costs nothing."""
+        costs: dict[str, float] = {}
         for line in self.lines:
-            fits = [
-                price
-                for price in prices
-                if line.way in price.ways
-                and price.into in (None, line.into)
-                and price.out_of in (None, line.out_of)
-            ]
-            if fits:
-                out[line.way] = out.get(line.way, 0.0) + line.carried / GB * fits[-1].per_gb
-        return out
-
-    def budgets(self) -> dict[str, dict[str, Any]]:
-        """What all directors together have spent and have left, and what the period will come to at this
-        pace.
-        """
-        out: dict[str, dict[str, Any]] = {}
-        for one in self.snapshots:
-            plain = one.plain
-            elapsed = max(1, plain["unix"] - plain["period"])
-            for name, figures in plain["spans"].items():
-                row = out.setdefault(
-                    name,
-                    {"spent": 0, "drawn": 0, "refused": 0, "sum": None, "left": None, "projected": 0},
-                )
-                for each in ("spent", "drawn", "refused"):
-                    row[each] += figures[each]
-                for each in ("sum", "left"):
-                    if figures[each] is not None:
-                        row[each] = (row[each] or 0) + int(figures[each])
-                spent = figures["spent"] + figures["drawn"]
-                row["projected"] += int(spent * plain["period_ms"] / elapsed)
-        return out
+            price = next((each for each in reversed(prices) if _fits(each, line)), None)
+            if price is not None:
+                cost = line.transferred / BYTES_PER_GB * price.per_gb
+                costs[line.route] = costs.get(line.route, 0.0) + cost
+        return costs
+
+    def budgets(self) -> dict[str, BudgetSummary]:
+        """The budgets of all directors together, by name."""
+        summaries: dict[str, BudgetSummary] = {}
+        for snapshot in self.snapshots:
+            for name, usage in snapshot.state.usage.items():
+                summaries.setdefault(name, BudgetSummary()).add(usage, snapshot.state)
+        return summaries
 
     def unknown_ms(self) -> int:
-        return sum(one.plain["unknown_ms"] for one in self.snapshots)
+        """Time of this period that is in no account, summed over the directors."""
+        return sum(snapshot.state.unknown_ms for snapshot in self.snapshots)
 
-    def plain(self, cuts: Sequence[str], prices: Iterable[records.Price] = ()) -> dict[str, Any]:
-        total = self.total()
-        forced = self.by("forced").get("forced", 0)
+    def distributions(self) -> dict[str, dict[str, ClassDistribution]]:
+        """Sizes and durations of fills, by director and request class."""
         return {
-            "window": self.window,
-            "start": self.start,
-            "directors": [one.name for one in self.snapshots],
-            "total_bytes": total,
-            "guessed_bytes": self.guessed(),
-            "behind_hubs_bytes": sum(line.behind for line in self.lines),
-            "fills": sum(line.fills for line in self.lines),
-            "forced_share": round(forced / total, 4) if total else 0.0,
-            "unknown_ms": self.unknown_ms(),
-            "cuts": {cut: self.by(cut) for cut in cuts},
-            "budgets": self.budgets(),
-            "money": self.money(prices),
-            "distributions": {one.name: one.plain["shapes"] for one in self.snapshots if one.plain["shapes"]},
+            snapshot.director: snapshot.state.distributions
+            for snapshot in self.snapshots
+            if snapshot.state.distributions
         }
 
-    def csv(self) -> str:
-        out = io.StringIO()
-        writer = csv.writer(out, lineterminator="\n")
-        writer.writerow(Line._fields)
-        writer.writerows(self.lines)
-        return out.getvalue()
-
     def series(self, cut: str) -> tuple[list[int], dict[str, list[int]]]:
-        """Bytes by time and one cut, for a plot."""
-        starts = sorted({line.start for line in self.lines})
-        rows: dict[str, list[int]] = {}
+        """Transferred bytes over time by one cut.
+
+        Returns:
+            When the intervals began, and for each value of the cut the bytes in each of them.
+        """
+        starts = sorted({line.start_ms for line in self.lines})
+        series: dict[str, list[int]] = {}
         for line in self.lines:
-            row = rows.setdefault(str(getattr(line, cut)), [0] * len(starts))
-            row[starts.index(line.start)] += line.carried
-        return starts, rows
+            values = series.setdefault(line.cut(cut), [0] * len(starts))
+            values[starts.index(line.start_ms)] += line.transferred
+        return starts, series
+
+
+def _fits(price: records.Price, line: ReportLine) -> bool:
+    return (
+        line.route in price.ways
+        and price.into in (None, line.destination)
+        and price.out_of in (None, line.source)
+    )
+
+
+class _Interval(NamedTuple):
+    state: AccountState
+    start_ms: int
+    transfers: list[StoredTransfer]
 
 
 def collect(
-    snapshots: Iterable[Snapshot], window: str = "period", start: int | None = None, all_: bool = False
+    snapshots: Iterable[Snapshot],
+    window: str = PERIOD_WINDOW,
+    start_ms: int | None = None,
+    all_intervals: bool = False,
 ) -> Report:
-    """The stretch of a window, the newest that any director has where none is named, or all of them."""
-    kept = one_each(snapshots)
-    found: list[tuple[Snapshot, int, list[list[int]]]] = [
-        (one, at, rows) for one in kept for at, rows in one.plain["account"].get(window, ())
+    """Makes a report of the newest snapshot of each director.
+
+    Args:
+        snapshots: Of any directors, in any order.
+        window: The name of a window of the account.
+        start_ms: The interval that began then; None: the newest that any director has.
+        all_intervals: Take all intervals instead.
+    """
+    latest = newest_by_director(snapshots)
+    intervals = [
+        _Interval(snapshot.state, start, transfers)
+        for snapshot in latest
+        for start, transfers in snapshot.state.account.get(window, ())
     ]
-    if start is None and not all_:
-        if window == "period":
-            start = max((one.plain["period"] for one in kept), default=None)
-        else:
-            start = max((at for _, at, _ in found), default=None)
-    lines = []
-    for one, at, rows in found:
-        if not all_ and at != start:
-            continue
-        zones, vhosts = one.plain["zones"], one.plain["vhosts"]
-        for into, out_of, way, use, vhost, forced, *figures in rows:
-            lines.append(
-                Line(
-                    at,
-                    _name(zones, into),
-                    _name(zones, out_of),
-                    WAYS[Way(way)],
-                    USES[Use(use)],
-                    _name(vhosts, vhost),
-                    "forced" if forced else "chosen",
-                    *figures,
-                )
-            )
-    return Report(lines, kept, window, start)
-
-
-def size(count: float) -> str:
-    """Bytes for people."""
-    for word in ("B", "KB", "MB", "GB", "TB"):
-        if abs(count) < 1000 or word == "TB":
-            return f"{count:.0f} B" if word == "B" else f"{count:.1f} {word}"
-        count /= 1000
-    return ""
-
-
-def table(report: Report, cuts: Sequence[str], prices: Iterable[records.Price] = ()) -> str:
-    plain = report.plain(cuts, prices)
-    out = [
-        f"{plain['window']} from {plain['start']}, {len(plain['directors'])} directors: "
-        f"{size(plain['total_bytes'])} in {plain['fills']} fills, "
-        f"{size(plain['guessed_bytes'])} of it guessed, {100 * plain['forced_share']:.1f}% forced"
+    if not all_intervals:
+        if start_ms is None:
+            start_ms = _newest_start(latest, intervals, window)
+        intervals = [interval for interval in intervals if interval.start_ms == start_ms]
+    lines = [
+        _line(interval.state, interval.start_ms, stored)
+        for interval in intervals
+        for stored in interval.transfers
     ]
-    if plain["unknown_ms"]:
-        out.append(
-            f"not in it: {plain['unknown_ms'] / 1000:.1f} s of directors that ended without a last snapshot"
-        )
-    for cut, rows in plain["cuts"].items():
-        out.append("")
-        out += [f"{cut:12} {name:32} {size(count):>12}" for name, count in rows.items()]
-    for name, row in plain["budgets"].items():
-        left = f", {size(row['left'])} left of {size(row['sum'])}" if row["sum"] else ""
-        out.append("")
-        out.append(
-            f"budget {name}: {size(row['spent'])} spent, {size(row['drawn'])} of its allowance{left}; "
-            f"{row['refused']} times no room; {size(row['projected'])} by the period's end at this pace"
-        )
-    if plain["money"]:
-        out.append("")
-        out += [f"money        {way:32} {amount:12.4f}" for way, amount in plain["money"].items()]
-    for director, vhosts in plain["distributions"].items():
-        for vhost, row in vhosts.items():
-            sizes, times = row["bytes"], row["ms"]
-            out.append("")
-            out.append(
-                f"{director}, {vhost}: {row['fills']} fills, "
-                f"half up to {size(sizes['50.0'])} and {times['50.0']} ms, "
-                f"99% up to {size(sizes['99.0'])} and {times['99.0']} ms"
-            )
-    return "\n".join(out)
+    return Report(lines, latest, window, start_ms)
+
+
+def _newest_start(latest: list[Snapshot], intervals: list[_Interval], window: str) -> int | None:
+    """When the newest interval began; a billing period counts from its start, though nothing was sent."""
+    if window == PERIOD_WINDOW:
+        return max((snapshot.state.period_start for snapshot in latest), default=None)
+    return max((interval.start_ms for interval in intervals), default=None)
+
+
+def _line(state: AccountState, start_ms: int, stored: StoredTransfer) -> ReportLine:
+    return ReportLine(
+        start_ms,
+        label_at(state.zones, stored.destination_zone),
+        label_at(state.zones, stored.source_zone),
+        ROUTE_LABELS[Route(stored.route)],
+        OUTCOME_LABELS[Outcome(stored.outcome)],
+        label_at(state.request_classes, stored.class_index),
+        diversion_label(bool(stored.diverted)),
+        *stored.amount(),
+    )
--- a/ironhinge/traffic/snapshot.py
+++ b/ironhinge/traffic/snapshot.py
@@ -1,60 +1,76 @@
-"""Owns the bytes of a snapshot: a mark, a checksum and the account with its budgets.
-
-It must never hand out what it can't prove whole: a torn, foreign or future one is told apart from a good one.
-"""
+"""The bytes of a snapshot: a magic line, a checksum, and a director's account with its budgets."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 import xxhash
 
-MARK = b"ironhinge-traffic-1\n"
-SUM = 8
+from .errors import SnapshotError
+from .state import AccountState
+
+MAGIC = b"ironhinge-traffic-1\n"
+CHECKSUM_BYTES = 8
 
 
 class Snapshot(NamedTuple):
-    name: str  # the director's
-    life: int  # Unix millisecond of its start
-    number: int  # of the snapshot in that life
-    plain: dict[str, Any]
+    """One snapshot; its fields are stored in this order."""
 
+    director: str
+    incarnation: int  # Unix millisecond of the director's start
+    sequence: int  # of the snapshot in that incarnation
+    state: AccountState
 
-class Torn(Exception):
-    """The bytes are no whole snapshot."""
+
+_decoder = msgspec.msgpack.Decoder(Snapshot)
 
 
 def pack(snapshot: Snapshot) -> bytes:
-    body = msgspec.msgpack.encode(list(snapshot))
-    return MARK + xxhash.xxh64_digest(body) + body
+    """The bytes of a snapshot."""
+    body = msgspec.msgpack.encode(snapshot)
+    return MAGIC + xxhash.xxh64_digest(body) + body
 
 
 def unpack(data: bytes) -> Snapshot:
-    if not data.startswith(MARK):
-        raise Torn("no snapshot of this version")
-    body = data[len(MARK) + SUM :]
-    if xxhash.xxh64_digest(body) != data[len(MARK) : len(MARK) + SUM]:
-        raise Torn("its checksum does not fit: it was not written whole")
-    try:
-        name, life, number, plain = msgspec.msgpack.decode(body)
-    except (msgspec.DecodeError, ValueError, TypeError) as fault:
-        raise Torn(f"its bytes can't be read: {fault}") from None
-    return Snapshot(name, life, number, plain)
+    """Reads the bytes of a snapshot.
 
-
-def newest(found: Iterable[Snapshot]) -> Snapshot | None:
-    """Of one director's: by time, then life and number, so that a clock set back does not bring back the
-    past.
+    Raises:
+        SnapshotError: They are no snapshot of this version, or not all of one.
     """
-    return max(found, key=lambda one: (one.plain["unix"], one.life, one.number), default=None)
+    if not data.startswith(MAGIC):
+        raise SnapshotError(f"no snapshot of this version: it begins {data[: len(MAGIC)]!r}, not {MAGIC!r}")
+    checksum, body = data[len(MAGIC) :][:CHECKSUM_BYTES], data[len(MAGIC) + CHECKSUM_BYTES :]
+    found = xxhash.xxh64_digest(body)
+    if found != checksum:
+        raise SnapshotError(
+            f"not written whole: the checksum of {len(body)} bytes is {found.hex()}, "
+            f"expected {checksum.hex() or 'one'}"
+        )
+    try:
+        return _decoder.decode(body)
+    except (msgspec.DecodeError, ValueError, TypeError) as error:
+        raise SnapshotError(f"the records of the snapshot can't be read: {error}") from None
 
 
-def one_each(found: Iterable[Snapshot]) -> list[Snapshot]:
-    """The newest of every director: what it had counted before is in it, and never counts twice."""
-    by_name: dict[str, list[Snapshot]] = {}
-    for one in found:
-        by_name.setdefault(one.name, []).append(one)
-    best: list[tuple[str, Snapshot | None]] = [(name, newest(all_)) for name, all_ in by_name.items()]
-    return [one for _, one in sorted(best, key=lambda each: each[0]) if one is not None]
+def newest(snapshots: Iterable[Snapshot]) -> Snapshot | None:
+    """The newest snapshot of one director.
+
+    Billing time goes before incarnation and sequence, so that a system clock that was set back does not
+    bring back the past.
+    """
+    return max(
+        snapshots,
+        key=lambda snapshot: (snapshot.state.unix_ms, snapshot.incarnation, snapshot.sequence),
+        default=None,
+    )
+
+
+def newest_by_director(snapshots: Iterable[Snapshot]) -> list[Snapshot]:
+    """The newest snapshot of each director, by name; it holds all that the director counted before."""
+    by_director: dict[str, list[Snapshot]] = {}
+    for snapshot in snapshots:
+        by_director.setdefault(snapshot.director, []).append(snapshot)
+    latest = (newest(by_director[name]) for name in sorted(by_director))
+    return [snapshot for snapshot in latest if snapshot is not None]
--- a/ironhinge/traffic/streams.py
+++ b/ironhinge/traffic/streams.py
@@ -1,124 +1,167 @@
-"""Owns which streams are open: who asks for the parts of an object in turn, how large and how fast.
+"""Which streams are open: the clients that request the segments of an object in turn, how large and how fast.
 
-It must never refuse one: that is the budget's. Its memory is bounded by the settings' `most_streams`; beyond
-it new streams are not told apart from other reqs.
+Whether a stream may begin is for the budgets to say. Memory is bounded by the setting `most_streams`: beyond
+it new streams are not told apart from other requests.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 
-from .budget import NEVER, StreamBook
+from .buckets import NEVER
+from .reservations import StreamReservations
 
-LATELY = 0.1  # weight of the newest gap between two parts in a vhost's mean
-SAME = 0.3  # a part that comes within this part of the usual gap is the last one, asked for anew
-TRIAL = 3  # usual gaps that a stream of one part is waited for
-PAUSED = 5  # one that went on
-ENDED = 1.5  # one that had as many parts as usual
+SMOOTHING = 0.1  # weight of the newest interval, and the newest stream, in the means of a class
+REPEAT_SHARE = 0.3  # a segment that comes within this share of the usual interval repeats the last one
+# how many usual intervals a stream may pause
+NEW_STREAM_PATIENCE = 3  # one that has shown a single segment
+ESTABLISHED_PATIENCE = 5
+COMPLETE_PATIENCE = 1.5  # one that has had as many segments as usual
 
-Key = tuple[int, int]  # who asks, and for which object
+StreamKey = tuple[int, int]  # the client connection, and the object
 
 
 class Stream:
-    __slots__ = ("at", "books", "part", "parts", "rate", "vhost")
-
-    def __init__(self, vhost: int, at: int):
-        self.vhost, self.at = vhost, at
-        self.part, self.rate = 0.0, 0.0  # bytes of its next part, and bytes a unit of time
-        self.parts = 0
-        self.books: tuple[StreamBook, ...] = ()
-
-
-class Streams:
-    def __init__(self, most: int, idle: int, interval: int):
-        self.most, self.idle, self.usual = most, idle, interval
-        self.gaps: dict[int, float] = {}  # by vhost: usual time between two parts
-        self.lengths: dict[int, float] = {}  # by vhost: usual number of parts
-        # streams of one part, and those that went on; the one heard of longest ago first
-        self.trial: OrderedDict[Key, Stream] = OrderedDict()
-        self.open: OrderedDict[Key, Stream] = OrderedDict()
-        self.lapsed = self.unheld = 0  # streams that stopped; and that found no place
+    """One open stream."""
+
+    __slots__ = ("class_index", "rate", "reservations", "segment_count", "segment_size", "updated_at")
+
+    def __init__(self, class_index: int, now: int):
+        self.class_index, self.updated_at = class_index, now
+        self.segment_size = 0.0  # bytes of its next segment
+        self.rate = 0.0  # bytes for each clock unit
+        self.segment_count = 0
+        self.reservations: tuple[StreamReservations, ...] = ()
+
+    def reserve(self) -> None:
+        """Holds its rate and its next segment in each of its reservations."""
+        for reservations in self.reservations:
+            reservations.reserve(self.rate, self.segment_size)
+
+    def release(self) -> None:
+        """Gives up what it holds in its reservations."""
+        for reservations in self.reservations:
+            reservations.release(self.rate, self.segment_size)
+
+
+class StreamTracker:
+    """The open streams, and what streams of each request class are usually like."""
+
+    def __init__(self, max_streams: int, idle_timeout: int, default_interval: int):
+        self.max_streams, self.idle_timeout = max_streams, idle_timeout
+        self.default_interval = default_interval
+        self.intervals: dict[int, float] = {}  # by class: usual time between two segments
+        self.segment_counts: dict[int, float] = {}  # by class: usual number of segments
+        # streams of one segment, and those that went on; the longest idle first
+        self.new: OrderedDict[StreamKey, Stream] = OrderedDict()
+        self.established: OrderedDict[StreamKey, Stream] = OrderedDict()
+        self.expired = 0  # streams that stopped
+        self.untracked = 0  # first segments that came while the memory was full
 
     def __len__(self) -> int:
-        return len(self.trial) + len(self.open)
+        return len(self.new) + len(self.established)
 
-    def gap(self, vhost: int) -> float:
-        return self.gaps.get(vhost, float(self.usual))
+    def segment_interval(self, class_index: int) -> float:
+        """The usual time between two segments of a stream of that class."""
+        return self.intervals.get(class_index, float(self.default_interval))
 
-    def rate(self, vhost: int, part: float) -> float:
-        return part / max(1.0, self.gap(vhost))
+    def stream_rate(self, class_index: int, segment_size: float) -> float:
+        """The rate of a stream of such segments, in bytes for each clock unit."""
+        return segment_size / max(1.0, self.segment_interval(class_index))
 
-    def find(self, key: Key, now: int) -> Stream | None:
+    def find(self, key: StreamKey, now: int) -> Stream | None:
         """An open stream; None where there is none, or it has stopped."""
-        self.lapse(now)
-        return self.open.get(key) or self.trial.get(key)
-
-    def part_came(self, key: Key, vhost: int, part: float, now: int, books: Sequence[StreamBook]) -> None:
-        """A part of it is on its way or served; from its first one a place is held for it in `books`. A part
-        sent anew is a part once more, which only keeps the place longer.
+        self.expire(now)
+        return self.established.get(key) or self.new.get(key)
+
+    def record_segment(
+        self,
+        key: StreamKey,
+        class_index: int,
+        segment_size: float,
+        now: int,
+        reservations: Sequence[StreamReservations],
+    ) -> None:
+        """Counts a segment that is requested; its first one opens a stream that holds `reservations`.
+
+        A segment that is sent again counts once more, which only keeps the stream open longer.
         """
         stream = self.find(key, now)
         if stream is None:
-            if len(self) >= self.most:
-                self.unheld += 1
+            if len(self) >= self.max_streams:
+                self.untracked += 1
                 return
-            stream = self.trial[key] = Stream(vhost, now)
-            stream.parts = 1
+            stream = self.new[key] = Stream(class_index, now)
+            stream.segment_count = 1
         else:
-            gap = now - stream.at
-            if gap > SAME * self.gap(vhost):
-                self.gaps[vhost] = self.gap(vhost) + LATELY * (gap - self.gap(vhost))
-                self.trial.pop(key, None)
-                self.open[key] = stream
-                self.open.move_to_end(key)
-                stream.parts += 1
-        stream.at = now
-        self._rebook(stream, part or stream.part, books)
-
-    def goes_on(self, key: Key, vhost: int, now: int) -> None:
-        """Its next part is asked for, whatever becomes of it; nothing where no such stream is open."""
+            self._record_interval(key, stream, class_index, now - stream.updated_at)
+        stream.updated_at = now
+        self._reserve_anew(stream, segment_size or stream.segment_size, reservations)
+
+    def _record_interval(self, key: StreamKey, stream: Stream, class_index: int, interval: int) -> None:
+        usual = self.segment_interval(class_index)
+        if interval <= REPEAT_SHARE * usual:
+            return
+        self.intervals[class_index] = usual + SMOOTHING * (interval - usual)
+        self.new.pop(key, None)
+        self.established[key] = stream
+        self.established.move_to_end(key)
+        stream.segment_count += 1
+
+    def _reserve_anew(self, stream: Stream, segment_size: float, more: Sequence[StreamReservations]) -> None:
+        stream.release()
+        stream.segment_size = segment_size
+        stream.rate = self.stream_rate(stream.class_index, segment_size)
+        stream.reservations = tuple(dict.fromkeys((*stream.reservations, *more)))
+        stream.reserve()
+
+    def continue_stream(self, key: StreamKey, class_index: int, now: int) -> None:
+        """Counts a segment whether or not it needs a fill; does nothing where no such stream is open."""
         stream = self.find(key, now)
         if stream is not None:
-            self.part_came(key, vhost, stream.part, now, ())
-
-    def adopt(self, other: Streams, books: dict[int, StreamBook | None]) -> None:
-        """Goes on with the streams of before; `books`: what a book of before is now, by its identity."""
-        self.gaps, self.lengths = other.gaps, other.lengths
-        self.trial, self.open = other.trial, other.open
-        for stream in (*self.trial.values(), *self.open.values()):
-            now = [books.get(id(book)) for book in stream.books]
-            stream.books = tuple(book for book in now if book is not None)
-            for book in stream.books:
-                book.add(stream.rate, stream.part, 1)
-
-    def _rebook(self, stream: Stream, part: float, more: Sequence[StreamBook]) -> None:
-        for book in stream.books:
-            book.add(stream.rate, stream.part, -1)
-        stream.part, stream.rate = part, self.rate(stream.vhost, part)
-        stream.books = tuple(dict.fromkeys((*stream.books, *more)))
-        for book in stream.books:
-            book.add(stream.rate, stream.part, 1)
-
-    def lapse(self, now: int) -> None:
-        """Gives back what streams that have stopped held. One part is no stream yet: it is waited for less
-        long, which guards the budget against floods of first parts.
+            self.record_segment(key, class_index, stream.segment_size, now, ())
+
+    def adopt(self, other: StreamTracker, replacements: Mapping[int, StreamReservations | None]) -> None:
+        """Goes on with the streams of another tracker.
+
+        Args:
+            other: The tracker of the settings before.
+            replacements: The present reservations by the identity (`id`) of those before; None: they are
+                gone.
         """
-        for streams in (self.trial, self.open):
+        self.intervals, self.segment_counts = other.intervals, other.segment_counts
+        self.new, self.established = other.new, other.established
+        for stream in (*self.new.values(), *self.established.values()):
+            present = [replacements.get(id(before)) for before in stream.reservations]
+            stream.reservations = tuple(each for each in present if each is not None)
+            stream.reserve()
+
+    def expire(self, now: int) -> None:
+        """Closes streams that have stopped and releases what they reserved.
+
+        One segment is no stream yet and is waited for less long: a flood of first segments then reserves
+        nothing for long.
+        """
+        for streams in (self.new, self.established):
             while streams:
                 key, stream = next(iter(streams.items()))
-                if now - stream.at <= self._patience(stream, streams is self.trial):
+                if now - stream.updated_at <= self._idle_limit(stream, streams is self.new):
                     break
                 del streams[key]
-                self.lapsed += 1
-                if stream.parts > 1:
-                    usual = self.lengths.get(stream.vhost, float(stream.parts))
-                    self.lengths[stream.vhost] = usual + LATELY * (stream.parts - usual)
-                for book in stream.books:
-                    book.add(stream.rate, stream.part, -1)
-
-    def _patience(self, stream: Stream, on_trial: bool) -> float:
-        """Short for one that has shown a single part, or as many as streams usually have: it has ended."""
-        gap = self.gap(stream.vhost)
-        ended = stream.parts >= self.lengths.get(stream.vhost, NEVER)
-        return min(self.idle, (ENDED if ended else TRIAL if on_trial else PAUSED) * gap)
+                self.expired += 1
+                self._record_length(stream)
+                stream.release()
+
+    def _record_length(self, stream: Stream) -> None:
+        if stream.segment_count > 1:
+            usual = self.segment_counts.get(stream.class_index, float(stream.segment_count))
+            self.segment_counts[stream.class_index] = usual + SMOOTHING * (stream.segment_count - usual)
+
+    def _idle_limit(self, stream: Stream, is_new: bool) -> float:
+        is_complete = stream.segment_count >= self.segment_counts.get(stream.class_index, NEVER)
+        if is_complete:
+            patience = COMPLETE_PATIENCE
+        else:
+            patience = NEW_STREAM_PATIENCE if is_new else ESTABLISHED_PATIENCE
+        return min(self.idle_timeout, patience * self.segment_interval(stream.class_index))
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -1,19 +1,23 @@
-"""Owns the words of the account: ways, uses, crossings, and what is told to the ledger.
+"""The terms of the account: routes, outcomes, kinds of transfers, and the events and commands of the ledger.
 
-Times are tenths of a millisecond on the front's clock, instants outside Unix milliseconds, sizes bytes unless
-they say KB.
+Times are tenths of a millisecond on the front's monotonic clock ("clock units") unless they say Unix
+milliseconds; sizes are bytes unless they say KB.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from enum import IntEnum
-from typing import NamedTuple, Union
+from typing import NamedTuple
 
-from ..interface import EndpointsUpdated, RequestReceived
+from ..interface import AttemptResult, EndpointsUpdated, FillNote, RequestReceived
 
+CLOCK_UNITS_PER_MS = 10
+CLOCK_UNITS_PER_SECOND = 10_000
 
-class Way(IntEnum):
-    """Where what is carried comes from, as seen from the cache's location."""
+
+class Route(IntEnum):
+    """Where the bytes of a fill come from, as seen from the location of the cache; stored in snapshots."""
 
     OWN_HUB = 0
     OTHER_HUB = 1
@@ -21,78 +25,90 @@
     NEIGHBOUR = 3
 
 
-class Use(IntEnum):
-    """What became of it."""
+class Outcome(IntEnum):
+    """What became of the bytes of a fill; stored in snapshots."""
+
+    STORED = 0  # answered a request, and the cache was to store a copy
+    PASSED_THROUGH = 1  # answered a request and was not stored
+    REPEATED = 2  # answered a request for which bytes had been transferred before
+    WASTED = 3  # answered nobody: disconnected, timed out, broken off, or revalidated in the background
+
 
-    KEPT = 0  # answered a req, and a copy was to be kept
-    UNKEPT = 1  # answered a req and passed through
-    REPEATED = 2  # answered a req for which bytes had crossed before
-    WASTED = 3  # answered nobody: the client had gone, it timed out, it broke off, it was renewed behind
+class TransferKind(NamedTuple):
+    """All that a report can tell transfers apart by; a zone or class of -1 stands for any other."""
 
+    destination_zone: int  # of the cache
+    source_zone: int
+    route: Route
+    outcome: Outcome
+    class_index: int
+    diverted: bool  # it came from another hub than the one that its object prefers
 
-WAYS = {Way.OWN_HUB: "own-hub", Way.OTHER_HUB: "other-hub", Way.ORIGIN: "origin", Way.NEIGHBOUR: "neighbour"}
-USES = {Use.KEPT: "kept", Use.UNKEPT: "unkept", Use.REPEATED: "repeated", Use.WASTED: "wasted"}
-PLACES = {name: way for way, name in WAYS.items()}
 
+class DirectorIdentity(NamedTuple):
+    """Whose account it is, and the names of the zones and request classes that its indices stand for."""
 
-class Crossing(NamedTuple):
-    """One kind of crossing: what the report can tell apart."""
+    name: str
+    zones: tuple[str, ...]
+    request_classes: tuple[str, ...]
+    peer_index: int  # its place in the list of peers
 
-    into: int  # zone of the cache; -1: the rest, once there are too many kinds
-    out_of: int  # zone of the source
-    way: Way
-    use: Use
-    vhost: int
-    forced: bool  # its object's own hub cache was not to be had
+
+class ClockReading(NamedTuple):
+    """Both clocks, read at the same moment."""
+
+    now: int
+    unix_ms: int
 
 
-class Sent(NamedTuple):
-    """A dispatch went out."""
+class AttemptStarted(NamedTuple):
+    """An attempt was sent to an endpoint."""
 
-    came: RequestReceived
-    node: str
-    source: str  # empty: no fill
-    rank: int
-    renew: bool
+    request: RequestReceived
+    endpoint_id: str
+    source_id: str  # where a miss is filled from; empty: no fill
+    admission_rank: int  # 0: no copy is stored
+    revalidates: bool  # a stale copy may answer while the fill renews it
 
 
-class Ended(NamedTuple):
-    """It came to its one end. `body` is None where the answer held none of the bytes."""
+class AttemptEnded(NamedTuple):
+    """An attempt came to its one end."""
 
-    id: str
-    result: str
-    note: int
-    body: int | None
-    took: int
-    gone: bool  # its client had left or been answered
+    request_id: str
+    result: AttemptResult
+    fill_note: FillNote
+    body_size: int | None  # None: the answer held none of the bytes
+    duration: int
+    request_closed: bool  # the client had disconnected or had been answered
 
 
-class Tick(NamedTuple):
-    """Time has passed; the system's clock says this."""
+class ClockTick(NamedTuple):
+    """Time has passed; `unix_ms` is what the system's clock reads."""
 
     unix_ms: int
 
 
-class Heard(NamedTuple):
-    """A datagram of a peer."""
+class DatagramReceived(NamedTuple):
+    """A datagram from a peer director."""
 
     sender: int
     data: bytes
 
 
-Told = Union[EndpointsUpdated, Sent, Ended, Tick, Heard]
+LedgerEvent = EndpointsUpdated | AttemptStarted | AttemptEnded | ClockTick | DatagramReceived
 
 
-class Tell(NamedTuple):
-    """To be sent to every peer, if it can be."""
+class BroadcastDatagram(NamedTuple):
+    """Send the data to every peer director; it may be lost."""
 
     data: bytes
 
 
-class Note(NamedTuple):
-    """Something that an operator should know."""
+class LogNotice(NamedTuple):
+    """Write an event with its fields to the log."""
 
-    text: str
+    event: str
+    fields: Mapping[str, object]
 
 
-Doing = Union[Tell, Note]
+LedgerCommand = BroadcastDatagram | LogNotice
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,8 +14,10 @@
 from ironhinge.lab.nodes import Store
 from ironhinge.lab.scenes import SCENES, asks, scene
 from ironhinge.settings.load import load_texts
-from ironhinge.traffic.keeper import Keeper, Origin, file_name, read_folder
 from ironhinge.traffic.report import collect
+from ironhinge.traffic.service import AccountService, Clocks
+from ironhinge.traffic.snapshot_files import file_name, read_folder
+from ironhinge.traffic.types import DirectorIdentity
 
 from .helpers import FakeClient, FakeNode, Program, configuration, deployment, endpoint, free_port
 
@@ -107,14 +109,14 @@
         assert client.answer(client.ask())[0] == 1
         path.write_text("traffic: {budgets: {a: {rate: 5}}}")
         program.process.send_signal(signal.SIGHUP)
-        program.until("the old settings hold")
+        program.until("settings_reload_failed error=")
         path.write_text('traffic: {budgets: {a: {rate: "1B/s", into: "nowhere"}}}')
         program.process.send_signal(signal.SIGHUP)
         program.until('found "nowhere", expected one of east, west')
         assert client.answer(client.ask(entity="00000000000000aa"))[0] == 1
         operations(tmp_path, 'a: {rate: "1B/s", ways: ["other-hub", "own-hub", "origin"]}')
         program.process.send_signal(signal.SIGHUP)
-        program.until("new budgets hold from now on: a")
+        program.until("budgets_reloaded budgets=a\n")
         client.answer(client.ask(entity="00000000000000bb"))  # may take all that there was
         code, fields, _ = client.answer(client.ask(entity="00000000000000cc"))
         assert code == 2 and int(fields["pause"]) > 0, (
@@ -123,7 +125,7 @@
         program.process.terminate()
         assert program.process.wait(FAR) == 0
         found, wrong = read_folder(tmp_path / "kept")
-        assert not wrong and found[0].plain["clean"] and collect(found).total() > 0
+        assert not wrong and found[0].state.is_final and collect(found).total() > 0
     finally:
         program.stop()
 
@@ -154,17 +156,18 @@
             kept.write_bytes(kept.read_bytes()[:-9])  # as a disk might leave it
             totals.append(0)
     assert totals[1] == 2 * totals[0] and totals[3] == totals[0]
-    assert "not written whole" in said and "are not in the account" in said
+    assert "not written whole" in said and "time_unaccounted duration_ms=" in said
 
 
 def test_a_snapshot_that_was_slow_to_be_written_replaces_no_newer_one(tmp_path):
     one = load_texts([("f", 'traffic: keep: {folder: "%s"}' % tmp_path)]).operations.traffic
-    runner, who = Runner(Budgets(), lambda: 0), Origin("n0", ("a",), ("film",), 0)
-    keeper = Keeper(one, deployment(), who, lambda: 0, lambda: 1_764_576_000_000, runner)
-    slow = keeper.packed(False)
-    keeper.close()
-    keeper.put(tmp_path / file_name("n0"), *slow)
-    assert [each.plain["clean"] for each in read_folder(tmp_path)[0]] == [True]
+    runner, identity = Runner(Budgets(), lambda: 0), DirectorIdentity("n0", ("a",), ("film",), 0)
+    clocks = Clocks(lambda: 0, lambda: 1_764_576_000_000)
+    service = AccountService(one, deployment(), identity, clocks, runner)
+    slow = service.pack_snapshot(is_final=False)
+    service.close()
+    service.write_snapshot(tmp_path / file_name("n0"), *slow)
+    assert [each.state.is_final for each in read_folder(tmp_path)[0]] == [True]
 
 
 def test_serve_imports_only_what_is_on():
--- /dev/null
+++ b/tests/test_traffic_account.py
@@ -0,0 +1,193 @@
+"""The account of transfers: what is booked when attempts end, and how reports and metrics show it."""
+
+from urllib.request import urlopen
+
+import msgspec
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from ironhinge.settings import records
+from ironhinge.traffic import ledger_state
+from ironhinge.traffic.account import MAX_KINDS, Account, TransferAmount
+from ironhinge.traffic.labels import CUTS
+from ironhinge.traffic.metrics import MetricsExporter
+from ironhinge.traffic.report import collect
+from ironhinge.traffic.snapshot import Snapshot
+from ironhinge.traffic.types import Outcome, Route, TransferKind
+
+from .helpers import free_port
+from .traffic_helpers import HOUR_MS, UNIX_MS, end, fill, new_ledger, start, transferred
+
+WARM_UP_FILLS = 30
+
+
+@pytest.fixture
+def warm():
+    """A ledger that has seen fills of 10 KB which took 10 ms."""
+    ledger = new_ledger()
+    for number in range(WARM_UP_FILLS):
+        start(ledger, 0, f"w{number}")
+        end(ledger, 100, f"w{number}")
+    return ledger
+
+
+def test_a_fill_is_booked_by_where_it_came_from():
+    ledger = new_ledger()
+    for name, source in (("r0", "p0"), ("r1", "p1"), ("r2", "o")):
+        start(ledger, 0, name, source)
+        end(ledger, 10, name)
+    assert [transferred(ledger, route=route) for route in Route] == [10_000, 10_000, 10_000, 0]
+    assert transferred(ledger, outcome=Outcome.STORED) == 30_000
+
+
+@pytest.mark.parametrize(
+    ("ending", "booked", "guessed"),
+    [
+        pytest.param({"note": 1}, 0, 0, id="hit"),
+        pytest.param({"note": 4}, 0, 0, id="joined: the attempt that began the fill has the bytes"),
+        pytest.param({"note": 3}, 10_000, 0, id="filled from the origin"),
+        pytest.param({"note": 2, "body": None}, 10_000, 10_000, id="the client's copy stands for it"),
+        pytest.param({"result": "miss", "note": 0, "body": None}, 0, 0, id="miss"),
+        pytest.param({"result": "full", "note": 9, "body": None}, 0, 0, id="rejected"),
+        pytest.param({"result": "unconnected", "note": 0, "body": None}, 0, 0, id="not connected"),
+        pytest.param({"result": "error", "note": 6, "body": None}, 0, 0, id="rejected by the source"),
+        pytest.param(
+            {"result": "timeout", "note": 0, "body": None, "took": 50},
+            5_000,
+            5_000,
+            id="timed out at half of its usual time",
+        ),
+        pytest.param(
+            {"result": "reset", "note": 0, "body": None, "took": 5000}, 10_000, 10_000, id="reset late"
+        ),
+        pytest.param(
+            {"result": "cancelled", "note": 0, "body": None, "took": 25, "closed": True},
+            2_500,
+            2_500,
+            id="cancelled at a quarter of its usual time",
+        ),
+    ],
+)
+def test_each_end_books_what_can_be_known_of_it(warm, ending, booked, guessed):
+    before = transferred(warm)
+    start(warm, 200, "r")
+    end(warm, 300, "r", **ending)
+    found = warm.account.transfers("period")
+    assert transferred(warm) - before == booked
+    assert sum(record.guessed for record in found) == guessed
+    assert not warm.attempts
+
+
+def test_an_unresponsive_source_gave_nothing_and_neither_did_one_that_refuses(warm):
+    before = transferred(warm)
+    start(warm, 200, "r0")
+    start(warm, 300, "r1")
+    end(warm, 15_000, "r0", "timeout", 0, None, 14_800)
+    assert transferred(warm) == before
+    end(warm, 15_000, "r1", "error", 7, None, 3)
+    assert transferred(warm) == before
+    start(warm, 16_000, "slow")
+    start(warm, 16_001, "beside")
+    end(warm, 16_100, "beside")
+    end(warm, 31_000, "slow", "timeout", 0, None, 15_000)
+    assert transferred(warm) == before + 20_000
+
+
+def test_before_any_answer_no_bytes_are_guessed():
+    ledger = new_ledger()
+    start(ledger, 0, "r", size=100.0)
+    end(ledger, 50, "r", "cancelled", 0, None, 50, True)
+    assert transferred(ledger) == 0
+
+
+def test_wasted_repeated_revalidated_and_passed_through_bytes_are_told_apart():
+    ledger = new_ledger()
+    start(ledger, 0, "first", source="p0")
+    end(ledger, 0, "first", took=90)
+    start(ledger, 0, "r", rank=0)
+    end(ledger, 5, "r", "timeout", 0, None, 100)
+    start(ledger, 10, "r")
+    end(ledger, 20, "r")
+    assert transferred(ledger, outcome=Outcome.WASTED) == 10_000
+    assert transferred(ledger, outcome=Outcome.REPEATED) == 10_000
+    start(ledger, 30, "old", revalidates=True)
+    end(ledger, 40, "old", note=5)
+    assert transferred(ledger, outcome=Outcome.WASTED) == 20_000
+    start(ledger, 50, "by", source="", endpoint="p1")  # past the caches
+    end(ledger, 60, "by")
+    assert transferred(ledger, outcome=Outcome.PASSED_THROUGH) == 10_000
+    assert not ledger.served_requests
+
+
+def test_what_hubs_drew_from_the_origin_is_booked_beside():
+    ledger = new_ledger()
+    start(ledger, 0, "r")
+    end(ledger, 10, "r", note=3)
+    found = [(record.transferred, record.from_origin) for record in ledger.account.transfers("period")]
+    assert found == [(10_000, 10_000)]
+
+
+KINDS = st.builds(
+    TransferKind,
+    st.integers(0, 2),
+    st.integers(0, 2),
+    st.sampled_from(Route),
+    st.sampled_from(Outcome),
+    st.integers(0, 3),
+    st.booleans(),
+)
+
+
+@settings(max_examples=50)
+@given(st.lists(st.tuples(KINDS, st.integers(0, 7_200_000), st.integers(1, 10**9)), max_size=30))
+def test_bytes_are_conserved_between_all_cuts_and_windows(transfers):
+    accounts = [Account(HOUR_MS), Account(HOUR_MS)]
+    for index, (kind, later, size) in enumerate(transfers):
+        accounts[index % 2].add(UNIX_MS + later, kind, TransferAmount(1, size))
+    base = ledger_state.capture(new_ledger(), is_final=True)
+    snapshots = [
+        Snapshot(f"n{index}", 1, 1, msgspec.structs.replace(base, unix_ms=UNIX_MS, account=account.state()))
+        for index, account in enumerate(accounts)
+    ]
+    total = sum(size for _, _, size in transfers)
+    for window in ("period", "hour"):
+        report = collect(snapshots, window, all_intervals=True)
+        assert report.total() == total
+        for cut in CUTS:
+            assert sum(report.by(cut).values()) == total
+        assert sum(report.by("way", "vhost").values()) == total
+    twice = collect(snapshots + snapshots[:1], all_intervals=True)
+    assert twice.total() == total, "a director counted twice"
+
+
+def test_memory_is_bounded_whatever_is_named():
+    account = Account(HOUR_MS)
+    for index in range(4 * MAX_KINDS):
+        kind = TransferKind(index, index, Route.ORIGIN, Outcome.STORED, index, False)
+        account.add(UNIX_MS, kind, TransferAmount(1, 5))
+    found = account.transfers("period")
+    assert len(found) <= MAX_KINDS + 16
+    assert sum(record.transferred for record in found) == 20 * MAX_KINDS
+    kind = TransferKind(0, 0, Route.ORIGIN, Outcome.STORED, 0, False)
+    for second in range(100_000):
+        account.add(UNIX_MS + second * 1000, kind, TransferAmount(1, 5))
+    assert all(len(window.intervals) <= window.max_intervals for window in account.windows.values())
+    assert min(account.windows["second"].intervals) > UNIX_MS, "the oldest intervals are dropped"
+
+
+def test_metrics_show_what_is_booked():
+    ledger = new_ledger('r: {rate: "100KB/s", burst: "50KB", begin: "full"}')
+    port = free_port()
+    fill(ledger, 0, "r0")
+    end(ledger, 0, "r0")
+    metrics = MetricsExporter(records.Metrics(port, "127.0.0.1"))
+    try:
+        metrics.publish(ledger)
+        with urlopen(f"http://127.0.0.1:{port}/metrics") as page:
+            text = page.read().decode()
+    finally:
+        metrics.server.shutdown()
+        metrics.server.server_close()
+    assert 'ironhinge_crossed_bytes_total{forced="chosen"' in text or 'forced="forced"' in text
+    assert 'ironhinge_budget_spent_bytes{budget="r"} 10000.0' in text
--- /dev/null
+++ b/tests/test_traffic_budgets.py
@@ -0,0 +1,199 @@
+"""Budgets: rates, sums of a period, parts of directors, and the emergency allowance of diverted fills."""
+
+from random import Random
+
+import pytest
+
+from ironhinge import interface
+from ironhinge.traffic.types import AttemptEnded, AttemptStarted, ClockTick
+
+from .helpers import deployment, outcome, req, router
+from .traffic_helpers import (
+    ENDPOINTS,
+    REMOVED,
+    SECOND,
+    UNIX_MS,
+    end,
+    endpoint_in,
+    fill,
+    new_ledger,
+    transferred,
+    update,
+)
+
+RATE = 'r: {rate: "100KB/s", burst: "50KB", begin: "full"}'
+
+
+def test_a_rate_with_its_burst_holds_and_says_when_there_is_room():
+    ledger = new_ledger(RATE)
+    waits = [fill(ledger, 0, f"r{number}") for number in range(7)]
+    assert waits == [0] * 5 + [1001] * 2  # 10 KB at 100 KB a second
+    assert fill(ledger, 999, "early")
+    assert not fill(ledger, 1001, "then")
+    assert not fill(ledger, 0, "own", source="p0"), "the own hub is not of this budget"
+
+
+def test_fills_in_flight_are_charged_and_then_settled():
+    ledger = new_ledger(RATE)
+    regular = ledger.budgets["r"].regular
+    for number in range(5):
+        fill(ledger, 0, f"r{number}")
+    end(ledger, 0, "r0", note=1)  # a hit after all
+    assert not fill(ledger, 0, "again")
+    end(ledger, 0, "r1", body=20_000)  # more than the request told
+    assert regular.buckets[0].level == -10_000
+    assert regular.spent == 20_000
+    assert regular.outstanding == 40_000
+
+
+def test_sizes_that_are_not_told_are_taken_for_the_most_that_were_seen():
+    ledger = new_ledger(RATE)
+    fill(ledger, 0, "r0", size=0)
+    end(ledger, 0, "r0", body=30_000)
+    assert fill(ledger, 0, "r1", size=0) == 1001, "30 KB of 50 are spent, and as much is needed"
+    assert not fill(ledger, 1001, "r2", size=0)
+    assert ledger.budgets["r"].regular.outstanding == 30_000
+
+
+def test_a_sum_is_paced_over_what_remains_of_its_period():
+    ledger = new_ledger('s: {sum: "3600KB", ahead: 0.01}')
+    assert fill(ledger, 0, "r0")
+    assert not fill(ledger, 10 * SECOND + 1, "r1")
+    fills = 0
+    for second in range(3600):
+        ledger.handle(second * SECOND, ClockTick(UNIX_MS + second * 1000))
+        while not fill(ledger, second * SECOND, f"x{fills}"):
+            end(ledger, second * SECOND, f"x{fills}")
+            fills += 1
+    assert 3_500_000 <= fills * 10_000 + 10_000 <= 3_600_000
+
+
+def test_a_budget_within_another_needs_room_in_both():
+    ledger = new_ledger(
+        'all: {rate: "20KB/s", burst: "20KB", begin: "full", ways: ["own-hub", "other-hub"]}\n'
+        'far: {rate: "1MB/s", begin: "full", within: "all"}'
+    )
+    assert not fill(ledger, 0, "r0")
+    assert not fill(ledger, 0, "r1", source="p0")
+    assert fill(ledger, 0, "r2")
+    assert fill(ledger, 0, "r3", source="p0")
+
+
+def test_directors_that_request_the_last_of_it_at_once_stay_within_their_parts():
+    facts = deployment(router_count=8, local_router_count=2)
+    ledgers = [new_ledger(RATE, facts), new_ledger(RATE, facts)]
+    fills = sum(not fill(ledger, 0, f"r{number}") for number in range(20) for ledger in ledgers)
+    assert fills == 4  # 2 x 25 KB
+
+
+def test_a_purge_that_refills_a_whole_group_at_once_stays_within_the_budget():
+    facts = deployment(direct_to_source=False, router_count=1, local_router_count=1)
+    ledger = new_ledger(RATE.replace("{", '{ways: ["own-hub", "other-hub", "origin"], '), facts)
+    one = router(facts, ("c0", "c1", "p0", "p1", "o"))
+    one.fill_budget = ledger
+    fills = rejected = 0
+    for number in range(60):
+        request = req(f"r{number}", number, size=10.0)
+        commands = one.handle(0, request)
+        while commands and type(commands[0]) in (interface.SendAttemptWithFill, interface.SendAttempt):
+            command = commands[0]
+            has_fill = (
+                type(command) is interface.SendAttemptWithFill and command.source_id != command.endpoint_id
+            )
+            source = command.source_id if has_fill else ""
+            rank = getattr(command, "admission_rank", 0)
+            ledger.handle(0, AttemptStarted(request, command.endpoint_id, source, rank, False))
+            if source:
+                fills += 1
+                break
+            ledger.handle(0, AttemptEnded(command.request_id, "miss", 0, None, 1, False))
+            number_of_attempt = one.reqs[command.request_id].dispatches - 1
+            commands = one.handle(0, outcome(command, "miss", number_of_attempt))
+        if commands and type(commands[0]) is interface.RejectRequest:
+            rejected += 1
+            assert commands[0].retry_after >= 1000, "told to come back before there is room"
+    assert fills <= 5
+    assert rejected >= 55
+    assert fills + rejected == 60
+
+
+def test_without_budgets_the_router_decides_as_before():
+    plain, watched = router(), router()
+    watched.fill_budget = new_ledger(facts=deployment())
+    random, in_flight = Random(5), []
+    for step in range(600):
+        object_id, class_index = random.randrange(30), random.randrange(4)
+        event = req(f"r{step}", object_id, class_index, random.choice([50.0, 4000.0]))
+        if in_flight and random.random() < 0.5:
+            command, number = in_flight.pop(0)
+            result = random.choice(["done", "miss", "error", "full"])
+            event = outcome(command, result, number, note=random.randrange(6))
+        commands = plain.handle(step * 50, event)
+        assert watched.handle(step * 50, event) == commands
+        in_flight += [
+            (command, plain.reqs[command.request_id].dispatches - 1)
+            for command in commands
+            if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill)
+        ]
+
+
+# Diverted fills
+
+EMERGENCY = 'e: {rate: "10KB/s", burst: "10KB", begin: "full", emergency: {rate: "20KB/s", burst: "30KB"}}'
+P0_REMOVED = ENDPOINTS[2]._replace(state=REMOVED)
+
+
+def is_diverted(ledger, object_id, source_id):
+    directory = ledger.directory
+    return directory.is_diverted(object_id, source_id, directory.endpoints[source_id])
+
+
+@pytest.fixture
+def ledger():
+    return new_ledger(EMERGENCY)
+
+
+@pytest.fixture
+def preferring(ledger):
+    """Objects by the hub that they prefer."""
+    found = {"p0": [], "p1": []}
+    for object_id in range(200):
+        found["p1" if is_diverted(ledger, object_id, "p0") else "p0"].append(object_id)
+    return found
+
+
+def test_a_dead_hub_diverts_fills_that_draw_on_the_allowance_until_it_returns(ledger, preferring):
+    object_id = preferring["p0"][0]
+    assert not fill(ledger, 0, "r0", object_id=preferring["p1"][0])
+    assert fill(ledger, 0, "r1", object_id=preferring["p1"][1]), "fills from preferred hubs have no allowance"
+    update(ledger, 0, P0_REMOVED)
+    allowed = [not fill(ledger, 0, f"f{number}", object_id=object_id) for number in range(6)]
+    assert allowed == [True, True, True, False, False, False]
+    for number in range(3):
+        end(ledger, 10, f"f{number}")
+    assert transferred(ledger, diverted=True) == 30_000
+    assert ledger.budgets["e"].emergency.spent == 30_000
+    update(ledger, 20, ENDPOINTS[2]._replace(started_at=20))
+    assert not is_diverted(ledger, object_id, "p0")
+    assert is_diverted(ledger, object_id, "p1"), "while it warms up others serve, diverted"
+
+
+def test_a_hub_that_flaps_opens_no_second_allowance(ledger, preferring):
+    object_id, fills = preferring["p0"][0], 0
+    for turn in range(20):
+        update(ledger, turn, P0_REMOVED)
+        fills += sum(not fill(ledger, turn, f"{turn}.{number}", object_id=object_id) for number in range(5))
+        update(ledger, turn, ENDPOINTS[2]._replace(started_at=turn))
+    assert fills <= 4 + 1
+
+
+def test_departed_hubs_are_forgotten_in_time_and_number(ledger):
+    for now in range(500):
+        hub = endpoint_in(2, f"p{now + 9}")
+        update(ledger, now, hub)
+        update(ledger, now, hub._replace(state=REMOVED))
+    assert len(ledger.directory.departed_at) <= 10
+    assert len(ledger.directory.hubs) <= 12
+    ledger.handle(700 * SECOND, ClockTick(UNIX_MS))
+    assert not ledger.directory.departed_at
+    assert set(ledger.directory.hubs) == {"p0", "p1"}
--- a/tests/test_traffic_stored_form.py
+++ b/tests/test_traffic_stored_form.py
@@ -7,16 +7,25 @@
 import json
 from pathlib import Path
 
+import msgspec
 import pytest
 from click.testing import CliRunner
 
 from ironhinge import interface
 from ironhinge.settings.load import load_texts
+from ironhinge.traffic import ledger_state
 from ironhinge.traffic.cli import traffic
-from ironhinge.traffic.ledger import Ledger
-from ironhinge.traffic.share import parse
-from ironhinge.traffic.snapshot import Snapshot, pack, unpack
-from ironhinge.traffic.types import Ended, Heard, Sent, Tick
+from ironhinge.traffic.ledger import TrafficLedger
+from ironhinge.traffic.quota_datagram import decode
+from ironhinge.traffic.snapshot import MAGIC, Snapshot, pack, unpack
+from ironhinge.traffic.types import (
+    AttemptEnded,
+    AttemptStarted,
+    ClockReading,
+    ClockTick,
+    DatagramReceived,
+    DirectorIdentity,
+)
 
 from .helpers import deployment, req, row
 
@@ -45,31 +54,31 @@
 
 def new_account(index=0, incarnation=UNIX_MS):
     operations = load_texts([("stored-form", SETTINGS)]).operations
-    one = Ledger(
+    one = TrafficLedger(
         operations.traffic,
         deployment(router_count=2, local_router_count=2),
-        ZONES,
-        CLASSES,
-        0,
-        UNIX_MS,
-        index,
+        DirectorIdentity("n0", ZONES, CLASSES, index),
         incarnation,
+        ClockReading(0, UNIX_MS),
     )
     rows = (row("c0"), row("c1"), moved("p0", 1), moved("p1", 2), moved("p2", 2), moved("o", 1))
-    one.step(0, interface.EndpointsUpdated(True, rows))
+    one.handle(0, interface.EndpointsUpdated(True, rows))
     return one
 
 
 def attempt(one, now, number, source, **end):
     """One request: the wait for budgets, and unless it has to wait the attempt and its end."""
     size = 0.0 if number % 5 == 4 else 10.0
-    came = req(f"r{number // 2 if number % 7 == 0 else number}", number % 6, number % 4, size)
-    came = came._replace(connection_id=1 + number % 3)
-    if one.wait_time(now, came, source):
+    request = req(f"r{number // 2 if number % 7 == 0 else number}", number % 6, number % 4, size)
+    request = request._replace(connection_id=1 + number % 3)
+    if one.wait_time(now, request, source):
         return
     beside = number % 11 == 10
-    one.step(
-        now, Sent(came, source if beside else "c0", "" if beside else source, number % 3, number % 13 == 9)
+    one.handle(
+        now,
+        AttemptStarted(
+            request, source if beside else "c0", "" if beside else source, number % 3, number % 13 == 9
+        ),
     )
     ended = {
         "result": "done",
@@ -79,7 +88,7 @@
         "gone": False,
         **end,
     }
-    one.step(now + 40, Ended(came.request_id, *ended.values()))
+    one.handle(now + 40, AttemptEnded(request.request_id, *ended.values()))
 
 
 ENDS = (
@@ -103,10 +112,10 @@
     one = new_account()
     for number in range(240):
         now = number * 7_500
-        one.step(now, Tick(UNIX_MS + now // 10))
+        one.handle(now, ClockTick(UNIX_MS + now // 10))
         if number == 120:
             gone = moved("p0", 1)._replace(state=interface.EndpointState.REMOVED)
-            one.step(now, interface.EndpointsUpdated(False, (gone,)))
+            one.handle(now, interface.EndpointsUpdated(False, (gone,)))
         attempt(one, now, number, ("p1", "p0", "o", "c1", "p2")[number % 5], **ENDS[number % 12])
     return one
 
@@ -115,8 +124,14 @@
     return (DATA / "account-1.traffic").read_bytes()
 
 
+def stored_records():
+    """The stored records under the names that they have in the file."""
+    body = stored_bytes()[len(MAGIC) + 8 :]
+    return msgspec.msgpack.decode(body)[3]
+
+
 def written_bytes(one):
-    return pack(Snapshot("n0", UNIX_MS, 7, one.plain(True)))
+    return pack(Snapshot("n0", UNIX_MS, 7, ledger_state.capture(one, is_final=True)))
 
 
 def test_the_same_steps_write_the_same_snapshot():
@@ -124,7 +139,7 @@
 
 
 def test_the_stored_snapshot_holds_every_route_and_outcome_and_all_kinds_of_budgets():
-    plain = unpack(stored_bytes()).plain
+    plain = stored_records()
     rows = [row for _, rows in plain["account"]["period"] for row in rows]
     assert {row[2] for row in rows} == {0, 1, 2, 3}
     assert {row[3] for row in rows} == {0, 1, 2, 3}
@@ -138,13 +153,14 @@
 
 def test_a_stored_snapshot_is_read_to_the_same_account_and_budgets():
     snapshot = unpack(stored_bytes())
-    assert (snapshot.name, snapshot[1], snapshot.number) == ("n0", UNIX_MS, 7)
+    assert snapshot[:3] == ("n0", UNIX_MS, 7)
     one = new_account()
-    assert one.restore(snapshot.plain, 0) == []
-    again = one.plain(True)
+    assert ledger_state.restore(one, snapshot.state, 0) == []
+    stored = stored_records()
+    again = msgspec.to_builtins(ledger_state.capture(one, is_final=True))
     for key in ("account", "period", "period_ms", "per_kb", "unknown_ms", "zones", "vhosts", "unix"):
-        assert again[key] == snapshot.plain[key], key
-    for name, budget in snapshot.plain["budgets"].items():
+        assert json.loads(json.dumps(again[key])) == stored[key], key
+    for name, budget in stored["budgets"].items():
         assert again["budgets"][name] == budget
         assert again["spans"][name]["spent"] == budget["spent"]
 
@@ -158,13 +174,13 @@
     for tick in range(60):
         now = tick * 1_000
         for number in range(4):
-            came = req(f"x{tick}.{number}", number, 0, 10.0)
-            if not taker.wait_time(now, came, "p1"):
-                taker.step(now, Sent(came, "c0", "p1", 1, False))
-                taker.step(now, Ended(came.request_id, "done", 2, 10_000, 100, False))
-        for act in taker.step(now, Tick(UNIX_MS + now // 10)):
-            giver.step(now, Heard(1, act.data))
-        for act in giver.step(now, Tick(UNIX_MS + now // 10)):
+            request = req(f"x{tick}.{number}", number, 0, 10.0)
+            if not taker.wait_time(now, request, "p1"):
+                taker.handle(now, AttemptStarted(request, "c0", "p1", 1, False))
+                taker.handle(now, AttemptEnded(request.request_id, "done", 2, 10_000, 100, False))
+        for act in taker.handle(now, ClockTick(UNIX_MS + now // 10)):
+            giver.handle(now, DatagramReceived(1, act.data))
+        for act in giver.handle(now, ClockTick(UNIX_MS + now // 10)):
             data = act.data
     return giver, taker, data
 
@@ -174,7 +190,7 @@
 
 
 def test_a_stored_datagram_is_read_to_the_same_message():
-    message = parse((DATA / "quota-1.datagram").read_bytes())
+    message = decode((DATA / "quota-1.datagram").read_bytes())
     assert json.loads(json.dumps(message)) == json.loads((DATA / "quota-1.json").read_text())
 
 
@@ -182,12 +198,12 @@
     taker = new_account(1, 9)
     budgets = [taker.budgets[name] for name in ("link", "far")]
     for budget in budgets:
-        for pot in budget.pots:
-            pot.take(1_000_000)
-    before = [[pot.level for pot in budget.pots] for budget in budgets]
-    taker.step(0, Heard(0, (DATA / "quota-1.datagram").read_bytes()))
+        for bucket in budget.regular.buckets:
+            bucket.withdraw(1_000_000)
+    before = [[bucket.level for bucket in budget.regular.buckets] for budget in budgets]
+    taker.handle(0, DatagramReceived(0, (DATA / "quota-1.datagram").read_bytes()))
     gained = [
-        [pot.level - level for pot, level in zip(budget.pots, levels, strict=True)]
+        [bucket.level - level for bucket, level in zip(budget.regular.buckets, levels, strict=True)]
         for budget, levels in zip(budgets, before, strict=True)
     ]
     assert gained == [[314_999], [50_160, 50_160]]
