--- a/tests/test_traffic_budgets.py
+++ b/tests/test_traffic_budgets.py
@@ -80,16 +80,16 @@
 
 
 def test_directors_that_request_the_last_of_it_at_once_stay_within_their_parts():
-    facts = deployment(router_count=8, local_router_count=2)
-    ledgers = [new_ledger(RATE, facts), new_ledger(RATE, facts)]
+    topology = deployment(router_count=8, local_router_count=2)
+    ledgers = [new_ledger(RATE, topology), new_ledger(RATE, topology)]
     fills = sum(not fill(ledger, 0, f"r{number}") for number in range(20) for ledger in ledgers)
     assert fills == 4  # 2 x 25 KB
 
 
 def test_a_purge_that_refills_a_whole_group_at_once_stays_within_the_budget():
-    facts = deployment(direct_to_source=False, router_count=1, local_router_count=1)
-    ledger = new_ledger(RATE.replace("{", '{ways: ["own-hub", "other-hub", "origin"], '), facts)
-    one = router(facts, ("c0", "c1", "p0", "p1", "o"))
+    topology = deployment(direct_to_source=False, router_count=1, local_router_count=1)
+    ledger = new_ledger(RATE.replace("{", '{ways: ["own-hub", "other-hub", "origin"], '), topology)
+    one = router(topology, ("c0", "c1", "p0", "p1", "o"))
     one.fill_budget = ledger
     fills = rejected = 0
     for number in range(60):
@@ -119,7 +119,7 @@
 
 def test_without_budgets_the_router_decides_as_before():
     plain, watched = router(), router()
-    watched.fill_budget = new_ledger(facts=deployment())
+    watched.fill_budget = new_ledger(topology=deployment())
     random, in_flight = Random(5), []
     for step in range(600):
         object_id, class_index = random.randrange(30), random.randrange(4)
--- /dev/null
+++ b/tests/test_traffic_service.py
@@ -0,0 +1,88 @@
+"""The service around the account: settings that are read again, and the lines that it logs."""
+
+import anyio
+import pytest
+from loguru import logger
+
+from ironhinge.interface import EndpointsUpdated
+from ironhinge.jobs.plan import Budgets
+from ironhinge.jobs.runner import Runner
+from ironhinge.settings.load import load_texts
+from ironhinge.traffic.log_events import log_line
+from ironhinge.traffic.service import AccountService, Clocks
+from ironhinge.traffic.types import DirectorIdentity
+
+from .helpers import deployment
+from .traffic_helpers import CLASSES, ENDPOINTS, UNIX_MS, ZONES, new_request
+
+SETTINGS = 'traffic: {period: "1h", budgets: a: {rate: "100KB/s", begin: "full", sum: "1MB", ahead: 1}}'
+
+
+def load(text):
+    return load_texts([("f", text)]).operations
+
+
+@pytest.fixture
+def lines():
+    """The lines that are logged."""
+    found = []
+    sink = logger.add(lambda message: found.append(message.record["message"]), level="INFO")
+    yield found
+    logger.remove(sink)
+
+
+@pytest.fixture
+def service():
+    """A service whose account holds one fill of 10 KB."""
+    clocks = Clocks(lambda: 0, lambda: UNIX_MS)
+    identity = DirectorIdentity("n0", ZONES, CLASSES, 0)
+    topology = deployment(router_count=1, local_router_count=1)
+    found = AccountService(load(SETTINGS).traffic, topology, identity, clocks, Runner(Budgets(), lambda: 0))
+    found.listed(0, EndpointsUpdated(True, ENDPOINTS))
+    request = new_request("r")
+    assert found.wait_time(0, request, "p1") == 0
+    found.sent(0, request, "c0", "p1", {"shelf": "1"})
+    found.ended(10, request, "done", 2, 10_000, 10, True)
+    return found
+
+
+def reload(service, text):
+    service.reread = lambda: load(text)
+    anyio.run(service.follow_files)
+
+
+def test_new_budgets_keep_the_account_and_what_was_spent(service, lines):
+    reload(service, SETTINGS.replace("100KB/s", "1B/s"))
+    assert lines == ["budgets_reloaded budgets=a"]
+    assert service.ledger.budgets["a"].regular.spent == 10_000
+    assert [record.transferred for record in service.ledger.account.transfers("period")] == [10_000]
+    assert service.ledger.directory.endpoints.keys() == {endpoint.id for endpoint in ENDPOINTS}
+
+
+@pytest.mark.parametrize(
+    ("text", "setting"),
+    [
+        ("", "traffic"),
+        (SETTINGS.replace("1h", "2h"), "traffic.period"),
+    ],
+)
+def test_what_takes_a_restart_changes_nothing(service, lines, text, setting):
+    before = service.ledger
+    reload(service, text)
+    assert lines == [f"settings_change_ignored setting={setting} reason=restart_required"]
+    assert service.ledger is before
+
+
+def test_settings_that_can_not_be_read_change_nothing(service, lines):
+    def fail():
+        raise ValueError("f:1:31: found 5")
+
+    before = service.ledger
+    service.reread = fail
+    anyio.run(service.follow_files)
+    assert lines == ["settings_reload_failed error=f:1:31: found 5"]
+    assert service.ledger is before
+
+
+def test_a_log_line_is_the_event_and_its_fields_in_order():
+    assert log_line("event", {"b": 1, "a": "x"}) == "event b=1 a=x"
--- a/tests/test_traffic_stored_form.py
+++ b/tests/test_traffic_stored_form.py
@@ -28,11 +28,9 @@
 )
 
 from .helpers import deployment, req, row
+from .traffic_helpers import CLASSES, REMOVED, UNIX_MS, ZONES, endpoint_in
 
 DATA = Path(__file__).parent / "data" / "traffic"
-ZONES, CLASSES = ("branch", "hub", "far"), ("a", "b", "c", "d")
-UNIX_MS = 1_764_576_000_000
-SECOND = 10_000
 SETTINGS = """
 traffic: {
     period: "1h"
@@ -48,47 +46,50 @@
 """
 
 
-def moved(name, zone):
-    return row(name)._replace(zone=zone)
-
-
 def new_account(index=0, incarnation=UNIX_MS):
     operations = load_texts([("stored-form", SETTINGS)]).operations
-    one = TrafficLedger(
+    ledger = TrafficLedger(
         operations.traffic,
         deployment(router_count=2, local_router_count=2),
         DirectorIdentity("n0", ZONES, CLASSES, index),
         incarnation,
         ClockReading(0, UNIX_MS),
     )
-    rows = (row("c0"), row("c1"), moved("p0", 1), moved("p1", 2), moved("p2", 2), moved("o", 1))
-    one.handle(0, interface.EndpointsUpdated(True, rows))
-    return one
+    endpoints = (
+        row("c0"),
+        row("c1"),
+        endpoint_in(1, "p0"),
+        endpoint_in(2, "p1"),
+        endpoint_in(2, "p2"),
+        endpoint_in(1, "o"),
+    )
+    ledger.handle(0, interface.EndpointsUpdated(True, endpoints))
+    return ledger
 
 
-def attempt(one, now, number, source, **end):
+def run_attempt(ledger, now, number, source, **end):
     """One request: the wait for budgets, and unless it has to wait the attempt and its end."""
     size = 0.0 if number % 5 == 4 else 10.0
     request = req(f"r{number // 2 if number % 7 == 0 else number}", number % 6, number % 4, size)
     request = request._replace(connection_id=1 + number % 3)
-    if one.wait_time(now, request, source):
+    if ledger.wait_time(now, request, source):
         return
-    beside = number % 11 == 10
-    one.handle(
+    is_direct = number % 11 == 10
+    ledger.handle(
         now,
         AttemptStarted(
-            request, source if beside else "c0", "" if beside else source, number % 3, number % 13 == 9
+            request, source if is_direct else "c0", "" if is_direct else source, number % 3, number % 13 == 9
         ),
     )
     ended = {
         "result": "done",
         "note": 2,
         "body": 9_000 + 17 * number,
-        "took": 90 + number,
-        "gone": False,
+        "duration": 90 + number,
+        "closed": False,
         **end,
     }
-    one.handle(now + 40, AttemptEnded(request.request_id, *ended.values()))
+    ledger.handle(now + 40, AttemptEnded(request.request_id, *ended.values()))
 
 
 ENDS = (
@@ -98,26 +99,26 @@
     {"note": 4},
     {"note": 5},
     {"body": None},
-    {"result": "timeout", "note": 0, "body": None, "took": 60},
-    {"result": "cancelled", "note": 0, "body": None, "took": 30, "gone": True},
+    {"result": "timeout", "note": 0, "body": None, "duration": 60},
+    {"result": "cancelled", "note": 0, "body": None, "duration": 30, "closed": True},
     {"result": "miss", "note": 0, "body": None},
-    {"note": 2, "gone": True},
-    {"result": "reset", "note": 0, "body": None, "took": 5000},
+    {"note": 2, "closed": True},
+    {"result": "reset", "note": 0, "body": None, "duration": 5000},
     {"result": "error", "note": 10, "body": None},
 )
 
 
 def played_account():
     """Three minutes with every route, outcome and ending, a parent that goes, and open streams."""
-    one = new_account()
+    ledger = new_account()
     for number in range(240):
         now = number * 7_500
-        one.handle(now, ClockTick(UNIX_MS + now // 10))
+        ledger.handle(now, ClockTick(UNIX_MS + now // 10))
         if number == 120:
-            gone = moved("p0", 1)._replace(state=interface.EndpointState.REMOVED)
-            one.handle(now, interface.EndpointsUpdated(False, (gone,)))
-        attempt(one, now, number, ("p1", "p0", "o", "c1", "p2")[number % 5], **ENDS[number % 12])
-    return one
+            removed = endpoint_in(1, "p0")._replace(state=REMOVED)
+            ledger.handle(now, interface.EndpointsUpdated(False, (removed,)))
+        run_attempt(ledger, now, number, ("p1", "p0", "o", "c1", "p2")[number % 5], **ENDS[number % 12])
+    return ledger
 
 
 def stored_bytes():
@@ -130,8 +131,8 @@
     return msgspec.msgpack.decode(body)[3]
 
 
-def written_bytes(one):
-    return pack(Snapshot("n0", UNIX_MS, 7, ledger_state.capture(one, is_final=True)))
+def written_bytes(ledger):
+    return pack(Snapshot("n0", UNIX_MS, 7, ledger_state.capture(ledger, is_final=True)))
 
 
 def test_the_same_steps_write_the_same_snapshot():
@@ -154,10 +155,10 @@
 def test_a_stored_snapshot_is_read_to_the_same_account_and_budgets():
     snapshot = unpack(stored_bytes())
     assert snapshot[:3] == ("n0", UNIX_MS, 7)
-    one = new_account()
-    assert ledger_state.restore(one, snapshot.state, 0) == []
+    ledger = new_account()
+    assert ledger_state.restore(ledger, snapshot.state, 0) == []
     stored = stored_records()
-    again = msgspec.to_builtins(ledger_state.capture(one, is_final=True))
+    again = msgspec.to_builtins(ledger_state.capture(ledger, is_final=True))
     for key in ("account", "period", "period_ms", "per_kb", "unknown_ms", "zones", "vhosts", "unix"):
         assert json.loads(json.dumps(again[key])) == stored[key], key
     for name, budget in stored["budgets"].items():
@@ -178,10 +179,10 @@
             if not taker.wait_time(now, request, "p1"):
                 taker.handle(now, AttemptStarted(request, "c0", "p1", 1, False))
                 taker.handle(now, AttemptEnded(request.request_id, "done", 2, 10_000, 100, False))
-        for act in taker.handle(now, ClockTick(UNIX_MS + now // 10)):
-            giver.handle(now, DatagramReceived(1, act.data))
-        for act in giver.handle(now, ClockTick(UNIX_MS + now // 10)):
-            data = act.data
+        for command in taker.handle(now, ClockTick(UNIX_MS + now // 10)):
+            giver.handle(now, DatagramReceived(1, command.data))
+        for command in giver.handle(now, ClockTick(UNIX_MS + now // 10)):
+            data = command.data
     return giver, taker, data
 
 
--- a/tests/test_traffic_streams.py
+++ b/tests/test_traffic_streams.py
@@ -109,11 +109,11 @@
 
 
 def test_other_fills_leave_the_next_segments_of_open_streams():
-    facts = deployment(router_count=1, local_router_count=1)
-    classes = list(facts.request_classes)
+    topology = deployment(router_count=1, local_router_count=1)
+    classes = list(topology.request_classes)
     classes[1] = classes[1]._replace(is_segmented=False)
-    facts = deployment(router_count=1, local_router_count=1, request_classes=tuple(classes))
-    ledger = new_ledger(STREAMS, facts)
+    topology = deployment(router_count=1, local_router_count=1, request_classes=tuple(classes))
+    ledger = new_ledger(STREAMS, topology)
     for viewer in range(3):
         first_segment(ledger, 0, f"s{viewer}", viewer)
     fills = sum(not fill(ledger, 0, f"o{index}", class_index=1, object_id=100 + index) for index in range(20))
--- a/tests/traffic_helpers.py
+++ b/tests/traffic_helpers.py
@@ -26,10 +26,10 @@
     return load_texts([("f", text)]).operations.traffic
 
 
-def new_ledger(budgets="", facts=None, peer_index=0, incarnation=1, more="", now=0, unix_ms=UNIX_MS):
+def new_ledger(budgets="", topology=None, peer_index=0, incarnation=1, more="", now=0, unix_ms=UNIX_MS):
     ledger = TrafficLedger(
         load_config(budgets, more),
-        facts or deployment(router_count=1, local_router_count=1),
+        topology or deployment(router_count=1, local_router_count=1),
         DirectorIdentity("n0", ZONES, CLASSES, peer_index),
         incarnation,
         ClockReading(now, unix_ms),
