--- a/ironhinge/traffic/account.py
+++ b/ironhinge/traffic/account.py
@@ -82,26 +82,22 @@
 
     destination_zone: int
     source_zone: int
-    route: int
-    outcome: int
+    route: Route
+    outcome: Outcome
     class_index: int
-    diverted: int
+    diverted: int  # 0 or 1
     fills: int
     transferred: int
     guessed: int
     from_origin: int
 
     def kind(self) -> TransferKind:
-        """The kind that the first six numbers stand for.
-
-        Raises:
-            ValueError: The route or the outcome is not one of this version.
-        """
+        """The kind that the first six numbers stand for."""
         return TransferKind(
             self.destination_zone,
             self.source_zone,
-            Route(self.route),
-            Outcome(self.outcome),
+            self.route,
+            self.outcome,
             self.class_index,
             bool(self.diverted),
         )
@@ -115,8 +111,8 @@
     return StoredTransfer(
         kind.destination_zone,
         kind.source_zone,
-        int(kind.route),
-        int(kind.outcome),
+        kind.route,
+        kind.outcome,
         kind.class_index,
         int(kind.diverted),
         totals.fills,
--- a/ironhinge/traffic/report.py
+++ b/ironhinge/traffic/report.py
@@ -21,7 +21,6 @@
 )
 from .snapshot import Snapshot, newest_by_director
 from .state import AccountState, BudgetUsage, ClassDistribution
-from .types import Outcome, Route
 
 BYTES_PER_GB = 1e9
 SHARE_DIGITS = 4
@@ -215,8 +214,8 @@
         start_ms,
         label_at(state.zones, stored.destination_zone),
         label_at(state.zones, stored.source_zone),
-        ROUTE_LABELS[Route(stored.route)],
-        OUTCOME_LABELS[Outcome(stored.outcome)],
+        ROUTE_LABELS[stored.route],
+        OUTCOME_LABELS[stored.outcome],
         label_at(state.request_classes, stored.class_index),
         diversion_label(bool(stored.diverted)),
         *stored.amount(),
--- a/tests/test_traffic_restarts.py
+++ b/tests/test_traffic_restarts.py
@@ -96,6 +96,14 @@
         unpack(b"something else")
 
 
+def test_a_snapshot_of_an_unknown_route_is_told_apart(states):
+    (start, transfers), *_ = states[0].account["period"]
+    unknown = [(start, [transfers[0]._replace(route=99)])]
+    state = msgspec.structs.replace(states[0], account={"period": unknown})
+    with pytest.raises(SnapshotError, match="can't be read"):
+        unpack(pack(Snapshot("n0", 1, 2, state)))
+
+
 def restart(state, unix_ms, budgets=SUM):
     """A new ledger that takes up a state, and what it says of that."""
     ledger = new_ledger(budgets, unix_ms=unix_ms)
