--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -147,12 +147,14 @@
     """The account of traffic between zones, where the operations turn it on."""
     if operations is None or operations.traffic is None:
         return None
-    from .traffic.keeper import Keeper, Origin
+    from .traffic.service import AccountService, Clocks
+    from .traffic.types import DirectorIdentity
 
     peers = config.gossip_peers
     peer_index = peers.index(config.gossip_listen) if config.gossip_listen in peers else 0
-    identity = Origin(config.name, config.names.zones, config.names.request_classes, peer_index)
-    return Keeper(operations.traffic, config.deployment, identity, clock.now, clock.unix_ms, runner)
+    identity = DirectorIdentity(config.name, config.names.zones, config.names.request_classes, peer_index)
+    clocks = Clocks(clock.now, clock.unix_ms)
+    return AccountService(operations.traffic, config.deployment, identity, clocks, runner)
 
 
 def open_local_store(config: DirectorConfig, operations: Any, runner: Any, clock: Clock) -> Any:
@@ -184,7 +186,7 @@
     account = open_traffic_account(config, operations, runner, clock)
     store = open_local_store(config, operations, runner, clock)
     if account is not None:
-        account.reread = lambda: read_operations(config_path, files)
+        account.read_settings = lambda: read_operations(config_path, files)
     return Extensions(account, store, runner)
 
 
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -19,7 +19,7 @@
 from loguru import logger
 
 from .. import interface
-from ..jobs.plan import Job
+from ..jobs.messages import Job
 from ..jobs.runner import Runner
 from ..settings import records
 from .admission import TICKS_PER_SECOND, Admission, AdmissionPolicy, size_class
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -13,7 +13,7 @@
 
 from ironhinge.disk.directory import StoreDirectory
 from ironhinge.disk.tier import DiskTier, TierContext
-from ironhinge.jobs.plan import Budgets
+from ironhinge.jobs.messages import Budgets
 from ironhinge.jobs.runner import Runner
 from ironhinge.settings.load import load_texts
 
