--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -1,120 +1,110 @@
-"""Owns each connection: it reads into rings and writes out of them, on anyio.
+"""One TCP connection: reads into a ring buffer, and writes queued frames through another.
 
-It must never read what the bytes mean, know a req, or choose anything. What arrives goes to the receiver of
-the link, and so does the link's one end; no error of a connection leaves its own task.
+A connection never interprets the bytes. Data and the end of the connection go to its `Receiver`, and an error
+never leaves the connection's own tasks. The owner's side is described by `ConnectionHost`.
 """
 
 from __future__ import annotations
 
 import socket
 from collections import deque
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Awaitable, Callable
 from time import monotonic
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 import anyio
 from anyio import lowlevel
+from anyio.abc import TaskGroup
 from loguru import logger
 
 from .attempt_end import AttemptEnd
+from .frame import Frame, Pieces
 from .ring_buffer import RingBuffer
+from .socket_calls import SocketCalls
 from .system_calls import Backoff, Remedy
+from .timed_selector import TimedSelector
 
-if TYPE_CHECKING:
-    from .connection_manager import ConnectionManager
+__all__ = ["NULL_RECEIVER", "Connection", "ConnectionHost", "Frame", "NullReceiver", "Pieces", "Receiver"]
 
-READS = 8  # reads of one connection before the others have their turn
-LOOKS = 4  # reads for one who has to know now: a read may be short, or fail for a moment
-FINISHING = 0.01  # seconds between reads of what nobody will look at
+READS_PER_TURN = 8  # reads of one connection before other tasks run
+IMMEDIATE_READS = 4  # reads by `read_now`: one may be short, or fail for a moment
+DISCARD_INTERVAL = 0.01  # seconds between reads of data that is discarded
 
-NO_BUFFER = RingBuffer(0)
-Pieces = Sequence[bytes]
+EMPTY_BUFFER = RingBuffer(0)
 
 
-class Frame:
-    """Something to be written, in pieces. One with `render` is made at the moment in which it begins to be
-    written, and may be taken back by that call.
-    """
+class ConnectionHost(Protocol):
+    """What a connection needs of its owner, which shares the counts among all its connections."""
 
-    __slots__ = (
-        "ring_end",
-        "tag",
-        "unbuffered_pieces",
-        "render",
-        "size",
-        "ring_start",
-        "expires_at",
-        "all_pieces",
-    )
+    calls: SocketCalls
+    selector: TimedSelector
+    task_group: TaskGroup  # runs the connection's tasks
+    connections: dict[Connection, None]  # the open ones; a connection that closes removes itself
+    unflushed: dict[Connection, None]  # those with something to write, in the order of their first write
+    queued_bytes: int  # bytes of queued frames
+    open_sockets: int
+    finishing_count: int  # connections that have finished writing and wait for the peer to close
 
-    def __init__(
-        self,
-        pieces: Pieces,
-        tag: int = 0,
-        expires_at: float | None = None,
-        render: Callable[[], Pieces] | None = None,
-    ):
-        self.ring_start: int | None = None  # where it begins in all that the link has put into its ring
-        self.ring_end: int | None = None  # where it ends there, once it is whole in it
-        self.tag = tag  # what its writer knows it by
-        self.expires_at = expires_at  # nobody wants it after that
-        self.render = render
-        self.set_pieces(pieces)
-
-    def set_pieces(self, pieces: Pieces) -> None:
-        """Sets what is to be written; nothing of it may have been."""
-        self.all_pieces = [memoryview(piece) for piece in pieces if piece]
-        self.unbuffered_pieces = deque(self.all_pieces)  # what is not in the ring yet
-        self.size = sum(map(len, self.unbuffered_pieces))
+    def flush(self) -> None:
+        """Writes everything that is queued on any connection, as far as the system accepts it."""
 
 
 class Receiver(Protocol):
-    """To whom a link belongs."""
+    """Handles the events of one connection."""
 
-    def on_connected(self, link: Connection) -> None: ...
+    def on_connected(self, link: Connection) -> None:
+        """The connection is established."""
 
-    def on_data(self, link: Connection, data: memoryview) -> None: ...
+    def on_data(self, link: Connection, data: memoryview) -> None:
+        """Bytes have arrived; `data` is valid during the call only."""
 
-    def on_closed(self, link: Connection, ending: AttemptEnd) -> None: ...
+    def on_closed(self, link: Connection, ending: AttemptEnd) -> None:
+        """The connection has ended; called once."""
 
 
 class NullReceiver:
-    """To whom a link belongs that is over."""
+    """The receiver of a connection that has ended: ignores everything."""
 
-    def on_connected(self, link: Connection) -> None: ...
+    def on_connected(self, link: Connection) -> None:
+        """Ignores the event."""
 
-    def on_data(self, link: Connection, data: memoryview) -> None: ...
+    def on_data(self, link: Connection, data: memoryview) -> None:
+        """Ignores the event."""
 
-    def on_closed(self, link: Connection, ending: AttemptEnd) -> None: ...
+    def on_closed(self, link: Connection, ending: AttemptEnd) -> None:
+        """Ignores the event."""
 
 
 NULL_RECEIVER = NullReceiver()
 
 
 class Connection:
-    """One connection."""
+    """One connection; owns its socket, its buffers and its tasks."""
 
-    def __init__(self, driver: ConnectionManager, receiver: Receiver, inward: int, outward: int):
-        self.manager, self.receiver = driver, receiver
+    def __init__(self, host: ConnectionHost, receiver: Receiver, inbound_size: int, outbound_size: int):
+        self.manager = host
+        self.receiver = receiver
         self.sock: socket.socket | None = None
-        self.inbound, self.outbound = RingBuffer(inward), RingBuffer(outward)
-        self.pending_frames: deque[Frame] = deque()  # not whole in the ring
-        self.buffered_frames: deque[Frame] = deque()  # begun in the ring, and not wholly sent
-        self.queued_bytes = 0  # bytes of pending frames
-        self.buffered_offset, self.sent_offset = 0, 0  # bytes that went into the ring, and on to the system
+        self.inbound = RingBuffer(inbound_size)
+        self.outbound = RingBuffer(outbound_size)
+        self.pending_frames: deque[Frame] = deque()  # not wholly in the outbound ring
+        self.buffered_frames: deque[Frame] = deque()  # with bytes in the outbound ring, not wholly sent
+        self.queued_bytes = 0  # size of the pending frames
+        self.buffered_offset = 0  # bytes ever put into the outbound ring
+        self.sent_offset = 0  # bytes ever accepted by the system
         self.is_connected = self.is_closed = self.is_finishing = False
-        self.write_side_closed = False  # our side has ended
+        self.write_side_closed = False  # our side has been shut down
         self.no_delay = False  # TCP_NODELAY is on
-        self.is_receiving = False  # its receiver has the bytes just now
-        self.discarded_bytes = 0  # bytes that came after our side had ended
-        self.last_received_at = 0.0
-        # what is read next may have come at any time since then (monotonic seconds): it waited in the
-        # backlog, or could not be read; None: since the last look at the sockets
+        self.is_receiving = False  # the receiver's `on_data` is running
+        self.discarded_bytes = 0  # bytes that arrived after `finish`
+        self.last_received_at = 0.0  # when data last arrived, in monotonic seconds
+        # What is read next may have arrived at any time since then (monotonic seconds), because it waited in
+        # the listen backlog or could not be read; None: since the selector's previous poll.
         self.unread_since: float | None = None
-        self.task_count = 0  # tasks that wait on the socket
+        self.task_count = 0  # tasks that use the socket
         self.cancel_scope = anyio.CancelScope()
-        self.write_wait: anyio.CancelScope | None = None  # while the system takes no more
-        self.backoff: Backoff | None = None  # between calls that fail for want of a resource
+        self.write_wait: anyio.CancelScope | None = None  # set while the system accepts no more
+        self.backoff: Backoff | None = None  # between calls that fail for lack of a resource
 
     def write(
         self,
@@ -123,7 +113,7 @@
         expires_at: float | None = None,
         render: Callable[[], Pieces] | None = None,
     ) -> Frame:
-        """Queues a frame; it goes out with all others when the driver flushes."""
+        """Queues a frame; it is sent at the host's next flush."""
         frame = Frame(pieces, tag, expires_at, render)
         if not self.is_closed:
             self.pending_frames.append(frame)
@@ -132,7 +122,7 @@
         return frame
 
     def write_now(self, pieces: Pieces) -> bool:
-        """Writes before anything else that is queued on other links; False if the system does not take it."""
+        """Writes before what is queued on other connections; False if the system did not accept it all."""
         self.write(pieces)
         self.send_pending()
         return not self.pending_frames and not self.outbound.used
@@ -142,7 +132,7 @@
         self.manager.queued_bytes += size
 
     def withdraw(self, frame: Frame) -> bool:
-        """Takes back a frame of which nothing has been written."""
+        """Removes a frame from the queue; False if part of it has been written already."""
         if frame.ring_start is not None or frame not in self.pending_frames:
             return False
         self.pending_frames.remove(frame)
@@ -150,39 +140,25 @@
         return True
 
     def withdraw_expired(self, now: float) -> None:
-        """Takes back what nobody wants any more. Guards memory against clients that don't read."""
-        for frame in [
-            each for each in self.pending_frames if each.expires_at is not None and each.expires_at < now
-        ]:
-            self.withdraw(frame)
-
-    def has_unread(self) -> bool:
-        """True when bytes have come that were not read yet, or when that can't be told now."""
-        if self.sock is None:
-            return False
-        found, remedy = self.manager.calls.peek(self.sock)
-        return found or remedy not in (Remedy.DONE, Remedy.WAIT, Remedy.GONE)
-
-    def peer_has_closed(self) -> bool:
-        """True when the peer has ended or reset the connection, and that was not read yet."""
-        if self.sock is None:
-            return False
-        found, remedy = self.manager.calls.peek(self.sock)
-        return remedy is Remedy.GONE or (remedy is Remedy.DONE and not found)
+        """Withdraws expired frames, so that a client that does not read can't make the queue grow."""
+        for frame in list(self.pending_frames):
+            if frame.expires_at is not None and frame.expires_at < now:
+                self.withdraw(frame)
 
     def is_written(self, frame: Frame) -> bool:
+        """Whether the system has accepted the whole frame."""
         return frame.ring_end is not None and self.sent_offset >= frame.ring_end
 
     def send_pending(self) -> None:
-        """Writes what the system takes now; the rest waits for it in a task of its own."""
+        """Sends what the system accepts now; a task of its own waits to send the rest."""
         if self.sock is None or not self.is_connected or self.is_closed or self.write_wait is not None:
             return
-        caller = self.manager.calls
+        calls = self.manager.calls
         if not self.no_delay:
-            self.no_delay = caller.enable_no_delay(self.sock)
+            self.no_delay = calls.enable_no_delay(self.sock)
         remedy = self._send_all()
         if remedy is Remedy.DONE and self.is_finishing and not self.write_side_closed:
-            remedy = caller.shut_down(self.sock, socket.SHUT_WR)
+            remedy = calls.shut_down(self.sock, socket.SHUT_WR)
             self.write_side_closed = remedy is Remedy.DONE
         if remedy in (Remedy.WAIT, Remedy.PAUSE):
             self._unfill_ring()
@@ -192,7 +168,7 @@
             self.close(AttemptEnd.RESET)
 
     def _send_all(self) -> Remedy:
-        """DONE once all is written, else why the system takes no more."""
+        """Returns DONE once everything is sent, else why the system accepts no more."""
         while self.sock is not None and not self.is_closed:
             self._fill_ring()
             data = self.outbound.readable()
@@ -229,9 +205,7 @@
             self._count_queued(-frame.size)
 
     def _render_frame(self, frame: Frame) -> bool:
-        """Makes a frame that is about to begin; False if it was taken back meanwhile, and the link with
-        it.
-        """
+        """Renders the first pending frame; False if that withdrew the frame or closed the connection."""
         assert frame.render is not None
         pieces = frame.render()
         if self.is_closed or not self.pending_frames or self.pending_frames[0] is not frame:
@@ -242,8 +216,10 @@
         return True
 
     def _unfill_ring(self) -> None:
-        """Frames of which the system took nothing wait outside the ring again. Guards what may still be taken
-        back while a peer reads nothing: a drain, a purge or a client that left must find it unbegun.
+        """Moves the frames of which the system accepted nothing from the ring back to the queue.
+
+        While a peer does not read, these frames can still be withdrawn: a graceful shutdown, a purge or a
+        disconnected client must find them not begun.
         """
         while self.buffered_frames:
             frame = self.buffered_frames[-1]
@@ -259,7 +235,7 @@
             frame.unbuffered_pieces = deque(frame.all_pieces)
 
     async def _wait_to_write(self, remedy: Remedy) -> None:
-        async def work() -> None:
+        async def wait() -> None:
             if self.sock is None or self.is_closed:
                 return
             if remedy is Remedy.PAUSE:
@@ -267,7 +243,7 @@
             else:
                 await self.manager.calls.writable(self.sock)
 
-        await self.run_guarded(work, self.write_wait or self.cancel_scope)
+        await self.run_task(wait, self.write_wait or self.cancel_scope)
         self.write_wait = None
         self.send_pending()
         self.manager.flush()
@@ -278,9 +254,9 @@
         return self.backoff.next()
 
     def finish(self) -> None:
-        """Ends our side of the connection once all that was queued is written; what still comes is read and
-        dropped until the peer ends its side. Guards what was just written: a close over unread bytes resets
-        the connection and takes it along.
+        """Shuts down our side once the queue is sent, and discards input until the peer closes its side.
+
+        Closing a socket with unread input resets the connection, which would destroy what was just written.
         """
         if not self.is_finishing and not self.is_closed:
             self.is_finishing = True
@@ -288,7 +264,7 @@
             self.manager.unflushed[self] = None
 
     def close(self, ending: AttemptEnd) -> None:
-        """Ends the connection now and tells its receiver, once."""
+        """Closes the connection now and notifies its receiver, once."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -297,7 +273,9 @@
         if self.write_wait is not None:
             self.write_wait.cancel()
         if self.sock is not None:
-            self.manager.calls.shut_down(self.sock, socket.SHUT_RDWR)  # or it is over already
+            self.manager.calls.shut_down(
+                self.sock, socket.SHUT_RDWR
+            )  # fails if the peer was first: no matter
         self._release_socket()
         self.manager.unflushed.pop(self, None)
         self.manager.connections.pop(self, None)
@@ -305,28 +283,44 @@
         self._count_queued(-self.queued_bytes)
         self.pending_frames.clear()
         self.buffered_frames.clear()
-        self.inbound = self.outbound = NO_BUFFER  # gives the memory back without waiting for a collection
-        self.receiver = NULL_RECEIVER  # nor may a circle wait for one
+        # frees the buffers and breaks the reference cycle without waiting for the garbage collector
+        self.inbound = self.outbound = EMPTY_BUFFER
+        self.receiver = NULL_RECEIVER
 
     def _release_socket(self) -> None:
-        """Closes the socket once no task waits on it: its number may be another's at once."""
+        """Closes the socket once no task waits on it: its number may be reused at once."""
         if self.is_closed and not self.task_count and self.sock is not None:
             self.manager.calls.close(self.sock)
             self.sock = None
             self.manager.open_sockets -= 1
 
+    def has_unread(self) -> bool:
+        """Whether bytes have arrived that were not read yet; also True when that can't be determined."""
+        if self.sock is None:
+            return False
+        found, remedy = self.manager.calls.peek(self.sock)
+        return found or remedy not in (Remedy.DONE, Remedy.WAIT, Remedy.GONE)
+
+    def peer_has_closed(self) -> bool:
+        """Whether the peer has closed or reset the connection, and that was not read yet."""
+        if self.sock is None:
+            return False
+        found, remedy = self.manager.calls.peek(self.sock)
+        return remedy is Remedy.GONE or (remedy is Remedy.DONE and not found)
+
     async def read_loop(self) -> None:
         """Reads until the connection ends."""
-        caller, reads = self.manager.calls, 0
+        calls = self.manager.calls
+        reads = 0
         while self.sock is not None and not self.is_closed:
-            if self.is_finishing and reads:  # guards the CPU against senders without end
-                await anyio.sleep(FINISHING)
+            if self.is_finishing and reads:  # a peer that sends without end must not use up the CPU
+                await anyio.sleep(DISCARD_INTERVAL)
             size = len(self.inbound.writable())
             count, remedy = self._read_once()
             if self.is_closed:
                 return
             if remedy is Remedy.WAIT:
-                await caller.readable(self.sock)
+                await calls.readable(self.sock)
                 continue
             if remedy is Remedy.PAUSE:
                 await anyio.sleep(self._next_pause())
@@ -337,14 +331,14 @@
             self.manager.flush()
             if self.is_closed:
                 return
-            if count < size and self.unread_since is None:  # that was all for now
-                await caller.readable(self.sock)
-            elif reads % READS == 0:
+            if count < size and self.unread_since is None:  # a short read: nothing more is there
+                await calls.readable(self.sock)
+            elif reads % READS_PER_TURN == 0:
                 await lowlevel.checkpoint()
 
     def read_now(self) -> None:
-        """Reads what has come, outside the turn of the reading task: for who has to know now."""
-        for _ in range(LOOKS):
+        """Reads what has arrived without waiting for the read loop's turn, where a decision depends on it."""
+        for _ in range(IMMEDIATE_READS):
             if (
                 self.sock is None
                 or not self.is_connected
@@ -357,7 +351,11 @@
                 return
 
     def _read_once(self) -> tuple[int, Remedy]:
-        """Hands on what has come; ends the link where the peer has."""
+        """Reads once and passes the data on; closes the connection where the peer has.
+
+        Returns:
+            The number of bytes read, and DONE or why there are none.
+        """
         assert self.sock is not None
         ring = self.inbound
         count, remedy = self.manager.calls.receive(self.sock, ring.writable())
@@ -384,14 +382,14 @@
             ring.consume(count)
         return count, remedy
 
-    async def run_guarded(self, work: Callable[[], Awaitable[None]], scope: anyio.CancelScope) -> None:
-        """Runs a task of the link: whatever goes wrong in it ends this link alone."""
+    async def run_task(self, work: Callable[[], Awaitable[None]], scope: anyio.CancelScope) -> None:
+        """Runs a task of the connection; an exception in it closes this connection only."""
         self.task_count += 1
         try:
             with scope:
                 await work()
-        except Exception:
-            logger.exception("a connection's task failed")
+        except Exception:  # noqa: BLE001 - a fault on one connection must not end the others' tasks
+            logger.exception("connection_task_failed")
             self.close(AttemptEnd.UNPARSABLE)
             self.manager.flush()
         finally:
--- /dev/null
+++ b/ironhinge/net/frame.py
@@ -0,0 +1,57 @@
+"""A unit of output of a connection, in pieces that are not copied until they are written."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Sequence
+
+Pieces = Sequence[bytes]
+
+
+class Frame:
+    """Bytes that are written to a connection as a unit, in pieces.
+
+    A frame with `render` gets its pieces at the moment at which it begins to be written; that call may also
+    withdraw it.
+
+    Attributes:
+        ring_start: Offset of the first byte in all that the connection has put into its ring; None before.
+        ring_end: Offset just after the last byte; None until the whole frame is in the ring.
+        tag: Identifies the frame to whoever queued it.
+        expires_at: The frame may be withdrawn after this (monotonic seconds); None: never.
+        render: Makes the pieces when writing begins.
+        all_pieces: The whole frame.
+        unbuffered_pieces: What is not in the ring yet.
+        size: Bytes of the whole frame.
+    """
+
+    __slots__ = (
+        "all_pieces",
+        "expires_at",
+        "render",
+        "ring_end",
+        "ring_start",
+        "size",
+        "tag",
+        "unbuffered_pieces",
+    )
+
+    def __init__(
+        self,
+        pieces: Pieces,
+        tag: int = 0,
+        expires_at: float | None = None,
+        render: Callable[[], Pieces] | None = None,
+    ):
+        self.ring_start: int | None = None
+        self.ring_end: int | None = None
+        self.tag = tag
+        self.expires_at = expires_at
+        self.render = render
+        self.set_pieces(pieces)
+
+    def set_pieces(self, pieces: Pieces) -> None:
+        """Sets the content of a frame of which nothing has been written yet."""
+        self.all_pieces = [memoryview(piece) for piece in pieces if piece]
+        self.unbuffered_pieces = deque(self.all_pieces)
+        self.size = sum(map(len, self.unbuffered_pieces))
--- a/ironhinge/net/ring_buffer.py
+++ b/ironhinge/net/ring_buffer.py
@@ -1,57 +1,85 @@
-"""Owns the bytes in transit of one direction of one connection: a ring of fixed size.
+"""A byte ring of fixed size: the bytes in transit in one direction of one connection.
 
-It must never grow, never know a socket or a frame, and never hand out room that holds unread bytes.
+It never grows, knows neither sockets nor frames, and never exposes space that still holds unread bytes.
 """
 
 from __future__ import annotations
 
+from .errors import RingBufferError
+
 
 class RingBuffer:
-    __slots__ = ("used", "size", "_start", "_view")
+    """A queue of bytes in a block of memory that is allocated once.
+
+    Readers and writers get views into that block, so that nothing is copied between it and a socket. A view
+    is valid until the next call that consumes or writes.
+
+    Attributes:
+        size: Capacity in bytes.
+        used: Bytes held.
+    """
+
+    __slots__ = ("_start", "_view", "size", "used")
 
     def __init__(self, size: int):
         self._view = memoryview(bytearray(size))
-        self.size, self._start, self.used = size, 0, 0
+        self.size = size
+        self.used = 0
+        self._start = 0
 
     def writable(self) -> memoryview:
-        """The longest run of free room behind what is held; empty when full."""
+        """Returns the longest contiguous free space after the held bytes; empty when the ring is full."""
         end = self._start + self.used
         if end < self.size:
             return self._view[end:]
         return self._view[end - self.size : self._start]
 
     def commit_write(self, count: int) -> None:
-        """`count` bytes were written into the room."""
+        """Adds `count` bytes that were written into `writable()` to the held bytes.
+
+        Raises:
+            RingBufferError: There was less free space than that.
+        """
         if not 0 <= count <= self.size - self.used:
-            raise ValueError("more than the room")
+            raise RingBufferError(
+                f"ring buffer: can't commit {count} bytes, {self.size - self.used} of {self.size} are free"
+            )
         self.used += count
 
     def readable(self) -> memoryview:
-        """The longest run of held bytes, oldest first."""
+        """Returns the longest contiguous run of held bytes, oldest first."""
         return self._view[self._start : min(self._start + self.used, self.size)]
 
     def consume(self, count: int) -> None:
-        """`count` bytes of the data were used."""
+        """Drops the oldest `count` bytes.
+
+        Raises:
+            RingBufferError: Fewer bytes are held.
+        """
         if not 0 <= count <= self.used:
-            raise ValueError("more than is held")
+            raise RingBufferError(f"ring buffer: can't consume {count} bytes, {self.used} are held")
         self.used -= count
         self._start = (self._start + count) % self.size if self.used else 0
 
     def unwrite(self, count: int) -> None:
-        """The last `count` bytes that were put are taken back."""
+        """Drops the newest `count` bytes.
+
+        Raises:
+            RingBufferError: Fewer bytes are held.
+        """
         if not 0 <= count <= self.used:
-            raise ValueError("more than is held")
+            raise RingBufferError(f"ring buffer: can't unwrite {count} bytes, {self.used} are held")
         self.used -= count
 
     def write(self, data: memoryview) -> int:
-        """Copies as much as there is room for; returns how much."""
-        done = 0
-        while done < len(data):
-            room = self.writable()
-            count = min(len(room), len(data) - done)
+        """Copies as much of `data` as fits; returns the number of bytes copied."""
+        copied = 0
+        while copied < len(data):
+            free = self.writable()
+            count = min(len(free), len(data) - copied)
             if not count:
                 break
-            room[:count] = data[done : done + count]
+            free[:count] = data[copied : copied + count]
             self.used += count
-            done += count
-        return done
+            copied += count
+        return copied
