--- a/ironhinge/net/client_wire.py
+++ b/ironhinge/net/client_wire.py
@@ -1,47 +1,76 @@
-"""Owns the clients' frames: bytes in become messages, answers become bytes.
+"""The clients' protocol: bytes in become messages, responses become bytes.
 
-It must never know a socket, a clock or an open req of the director; all it remembers of a connection is a
-frame begun and not yet whole.
+A frame is a length (4 bytes, big-endian, counting what follows), a type (1 byte), a stream (4 bytes) and a
+payload. Requests and responses begin their payload with fields: a count (1 byte), then for each a name
+(length of 1 byte) and a value (length of 2 bytes).
+
+This module knows no socket, no clock and no open request; of a connection it remembers only an incomplete
+frame.
 """
 
 from __future__ import annotations
 
 import re
 import struct
-from typing import NamedTuple, Union
-
-REQ, ANSWER, LEAVE, ASK_READY, TELL_READY, NO_MORE = 7, 8, 9, 1, 2, 3
-DONE, DENIED, ABORTED = 1, 2, 3
+from typing import NamedTuple
+
+from .errors import FieldError
+
+# Types of frames. Plain integers: members of an enum are slow to access, and every frame is compared to them.
+READINESS_QUERY = 1
+READINESS_REPORT = 2
+GOAWAY = 3  # the client shall send no new requests on this connection
+REQUEST = 7
+RESPONSE = 8
+CANCEL = 9
+
+# Result codes of a response, and their names in the counters.
+DONE = 1
+DENIED = 2
+ABORTED = 3
 CODES = {DONE: "done", DENIED: "denied", ABORTED: "aborted"}
-READY, NOT_READY = 1, 2
-LEAST, MOST = 5, 262_144  # what a frame's length may say
-HEAD = struct.Struct(">IBI")
-HEX = re.compile("[0-9a-fA-F]{16}")
-NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
-WHOLE = re.compile("[0-9]{1,9}")
-TAG = re.compile("[0-9A-Za-z]{1,64}")
+
+# Codes of a readiness report.
+READY = 1
+NOT_READY = 2
+
+LENGTH_BYTES = 4  # size of the field that holds a frame's length
+STREAM_END = 5  # end of type and stream in a frame, counted after the length
+MIN_FRAME_LENGTH = STREAM_END
+MAX_FRAME_LENGTH = 262_144  # the protocol's bound
+FRAME_HEADER = struct.Struct(">IBI")  # length, type, stream
+
+HEX_ID_PATTERN = re.compile("[0-9a-fA-F]{16}")
+NUMBER_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+WHOLE_NUMBER_PATTERN = re.compile("[0-9]{1,9}")
+TAG_PATTERN = re.compile("[0-9A-Za-z]{1,64}")
+MAX_COUNT = 10**9  # above every number that `WHOLE_NUMBER_PATTERN` allows
 
 
 class RequestFrame(NamedTuple):
+    """A request."""
+
     stream: int
     fields: dict[str, str]
     body: bytes
 
 
 class MalformedRequest(NamedTuple):
-    """A req whose fields can't be read; the framing holds."""
+    """A request whose fields can't be read; the frames after it can."""
 
     stream: int
     text: str
 
 
 class RequestCancelled(NamedTuple):
-    """Nobody waits for this stream any more."""
+    """The client no longer waits for the response on this stream."""
 
     stream: int
 
 
 class ReadinessQuery(NamedTuple):
+    """The client asks whether this process accepts requests."""
+
     stream: int
 
 
@@ -52,152 +81,201 @@
 
 
 class FramingLost(NamedTuple):
-    """The framing is lost; nothing after it can be read."""
+    """A frame's length is out of bounds: nothing after it can be read."""
 
     text: str
 
 
-Message = Union[RequestFrame, MalformedRequest, RequestCancelled, ReadinessQuery, UnknownFrame, FramingLost]
+Message = RequestFrame | MalformedRequest | RequestCancelled | ReadinessQuery | UnknownFrame | FramingLost
 
 
 def read_fields(data: bytes) -> tuple[dict[str, str], int]:
-    """The fields at the start of `data`, and where they end; ValueError says what is wrong with them."""
+    """Decodes the fields at the start of `data`.
+
+    Returns:
+        The fields, and the offset at which they end.
+
+    Raises:
+        FieldError: The fields are cut short, not UTF-8, or repeated; the text says which.
+    """
     if not data:
-        raise ValueError("the count of fields is missing")
+        raise FieldError("the count of fields is missing")
     fields: dict[str, str] = {}
-    at = 1
+    offset = 1
     for _ in range(data[0]):
         try:
-            name_end = at + 1 + data[at]
+            name_end = offset + 1 + data[offset]
             end = name_end + 2 + (data[name_end] << 8) + data[name_end + 1]
             if end > len(data):
                 raise IndexError
-            name, value = data[at + 1 : name_end].decode(), data[name_end + 2 : end].decode()
+            name, value = data[offset + 1 : name_end].decode(), data[name_end + 2 : end].decode()
         except IndexError:
-            raise ValueError(f"field {len(fields) + 1} is cut short") from None
+            raise FieldError(f"field {len(fields) + 1} is cut short") from None
         except UnicodeDecodeError:
-            raise ValueError(f"field {len(fields) + 1} is not text") from None
+            raise FieldError(f"field {len(fields) + 1} is not text") from None
         if name in fields:
-            raise ValueError(f"field '{name}' stands twice")
+            raise FieldError(f"field '{name}' stands twice")
         fields[name] = value
-        at = end
-    return fields, at
+        offset = end
+    return fields, offset
 
 
 def write_fields(fields: dict[str, str]) -> bytes:
+    """Encodes fields: the opposite of `read_fields`."""
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
-        key, text = name.encode(), value.encode()
-        parts += [bytes((len(key),)), key, len(text).to_bytes(2, "big"), text]
+        encoded_name = name.encode()
+        encoded_value = value.encode()
+        parts += [
+            bytes((len(encoded_name),)),
+            encoded_name,
+            len(encoded_value).to_bytes(2, "big"),
+            encoded_value,
+        ]
     return b"".join(parts)
 
 
 def frame(kind: int, stream: int, *payload: bytes) -> tuple[bytes, ...]:
-    """A frame in pieces, so that a long body is not copied."""
-    return (HEAD.pack(5 + sum(map(len, payload)), kind, stream), *payload)
+    """Encodes a frame in pieces, so that a long body is not copied."""
+    return (FRAME_HEADER.pack(STREAM_END + sum(map(len, payload)), kind, stream), *payload)
 
 
 def answer(stream: int, code: int, fields: dict[str, str], body: bytes = b"") -> tuple[bytes, ...]:
-    return frame(ANSWER, stream, bytes((code,)) + write_fields(fields), body)
+    """Encodes a response with one of the result codes `DONE`, `DENIED` and `ABORTED`."""
+    return frame(RESPONSE, stream, bytes((code,)) + write_fields(fields), body)
 
 
 def error(text: str) -> tuple[bytes, ...]:
-    """An error that belongs to no req."""
+    """Encodes an error that belongs to no request."""
     return answer(0, ABORTED, {}, text.encode())
 
 
 def ready(stream: int, yes: bool) -> tuple[bytes, ...]:
-    return frame(TELL_READY, stream, bytes((READY if yes else NOT_READY,)) + write_fields({}))
+    """Encodes the response to a readiness query."""
+    return frame(READINESS_REPORT, stream, bytes((READY if yes else NOT_READY,)) + write_fields({}))
 
 
 def no_more() -> tuple[bytes, ...]:
-    return frame(NO_MORE, 0)
+    """Encodes the notice that the client shall send no new requests on this connection."""
+    return frame(GOAWAY, 0)
 
 
 class ClientWire:
-    """Fed the bytes of one connection in any pieces."""
+    """Decodes the bytes of one client's connection, which may arrive in any pieces.
+
+    Attributes:
+        buffered: The incomplete frame.
+        bytes_needed: Bytes that must be buffered before more can be decoded.
+        is_out_of_sync: The framing is lost; everything further is ignored.
+    """
 
-    __slots__ = ("buffered", "is_out_of_sync", "bytes_needed")
+    __slots__ = ("buffered", "bytes_needed", "is_out_of_sync")
 
     def __init__(self) -> None:
         self.buffered = bytearray()
-        self.bytes_needed = 4  # bytes to hold before the next step
+        self.bytes_needed = LENGTH_BYTES
         self.is_out_of_sync = False
 
     def feed(self, data: memoryview) -> list[Message]:
-        out: list[Message] = []
+        """Adds bytes; returns the messages that are complete now."""
+        messages: list[Message] = []
         if self.is_out_of_sync:
-            return out
+            return messages
         self.buffered += data
-        at = 0
-        while len(self.buffered) - at >= self.bytes_needed:
-            length = int.from_bytes(self.buffered[at : at + 4], "big")
-            if not LEAST <= length <= MOST:
+        offset = 0
+        while len(self.buffered) - offset >= self.bytes_needed:
+            length = int.from_bytes(self.buffered[offset : offset + LENGTH_BYTES], "big")
+            if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_LENGTH:
                 self.is_out_of_sync = True
                 self.buffered = bytearray()
-                out.append(FramingLost(f"a frame's length of {length} is out of bounds"))
-                return out
-            if len(self.buffered) - at < 4 + length:
-                self.bytes_needed = 4 + length
+                messages.append(FramingLost(f"a frame's length of {length} is out of bounds"))
+                return messages
+            if len(self.buffered) - offset < LENGTH_BYTES + length:
+                self.bytes_needed = LENGTH_BYTES + length
                 break
-            self.bytes_needed = 4
-            out.append(self._message(bytes(self.buffered[at + 4 : at + 4 + length])))
-            at += 4 + length
-        if at == len(self.buffered):
-            self.buffered = bytearray()  # gives back what a crowd or a long frame took
-        elif at:
-            del self.buffered[:at]
-        return out
-
-    def _message(self, data: bytes) -> Message:
-        kind, stream = data[0], int.from_bytes(data[1:5], "big")
-        if kind == REQ:
+            self.bytes_needed = LENGTH_BYTES
+            messages.append(
+                self._decode(bytes(self.buffered[offset + LENGTH_BYTES : offset + LENGTH_BYTES + length]))
+            )
+            offset += LENGTH_BYTES + length
+        if offset == len(self.buffered):
+            self.buffered = bytearray()  # releases the memory that a burst or a long frame took
+        elif offset:
+            del self.buffered[:offset]
+        return messages
+
+    def _decode(self, data: bytes) -> Message:
+        kind = data[0]
+        stream = int.from_bytes(data[1:STREAM_END], "big")
+        if kind == REQUEST:
             try:
-                fields, end = read_fields(data[5:])
-            except ValueError as fault:
+                fields, end = read_fields(data[STREAM_END:])
+            except FieldError as fault:
                 return MalformedRequest(stream, str(fault))
-            return RequestFrame(stream, fields, data[5 + end :])
-        if kind == LEAVE:
+            return RequestFrame(stream, fields, data[STREAM_END + end :])
+        if kind == CANCEL:
             return RequestCancelled(stream)
-        if kind == ASK_READY:
+        if kind == READINESS_QUERY:
             return ReadinessQuery(stream)
         return UnknownFrame(f"type {kind} is not one that clients send")
 
 
 def text_of(fields: dict[str, str], name: str) -> str:
-    """A field's text; ValueError names the field that is missing."""
+    """Returns a field's text.
+
+    Raises:
+        FieldError: The field is missing.
+    """
     if name not in fields:
-        raise ValueError(f"field '{name}' is missing")
+        raise FieldError(f"field '{name}' is missing")
     return fields[name]
 
 
-def _form(fields: dict[str, str], name: str, form: re.Pattern[str], what: str) -> str:
+def _matching_text(fields: dict[str, str], name: str, pattern: re.Pattern[str], expected: str) -> str:
     text = text_of(fields, name)
-    if not form.fullmatch(text):
-        raise ValueError(f"field '{name}' is not {what}")
+    if not pattern.fullmatch(text):
+        raise FieldError(f"field '{name}' is not {expected}")
     return text
 
 
-def number_of(fields: dict[str, str], name: str, absent: float | None = None) -> float:
-    """A field as a plain number of 0 or more; ValueError names the field at fault."""
-    if name not in fields and absent is not None:
-        return absent
-    return float(_form(fields, name, NUMBER, "a number"))
+def number_of(fields: dict[str, str], name: str, default: float | None = None) -> float:
+    """Returns a field as a plain number of 0 or more.
+
+    Raises:
+        FieldError: The field is not a number, or missing without a default.
+    """
+    if name not in fields and default is not None:
+        return default
+    return float(_matching_text(fields, name, NUMBER_PATTERN, "a number"))
 
 
-def count_of(fields: dict[str, str], name: str, most: int = 10**9) -> int:
-    """A field as a whole number, 0 where it is absent; ValueError names the field at fault."""
-    value = int(_form(fields, name, WHOLE, "a whole number")) if name in fields else 0
-    if value > most:
-        raise ValueError(f"field '{name}' is over {most}")
+def count_of(fields: dict[str, str], name: str, maximum: int = MAX_COUNT) -> int:
+    """Returns a field as a whole number; 0 if it is missing.
+
+    Raises:
+        FieldError: The field is not a whole number, or over the maximum.
+    """
+    if name not in fields:
+        return 0
+    value = int(_matching_text(fields, name, WHOLE_NUMBER_PATTERN, "a whole number"))
+    if value > maximum:
+        raise FieldError(f"field '{name}' is over {maximum}")
     return value
 
 
 def digits_of(fields: dict[str, str], name: str) -> str:
-    """A field of 16 hex digits; ValueError names the field at fault."""
-    return _form(fields, name, HEX, "16 hex digits")
+    """Returns a field of 16 hex digits.
+
+    Raises:
+        FieldError: The field is something else, or missing.
+    """
+    return _matching_text(fields, name, HEX_ID_PATTERN, "16 hex digits")
 
 
 def tag_of(fields: dict[str, str], name: str) -> str:
-    """A field that holds a copy's tag, empty where it is absent; ValueError names the field at fault."""
-    return _form(fields, name, TAG, "a tag") if name in fields else ""
+    """Returns a field that holds a copy's entity tag; empty if it is missing.
+
+    Raises:
+        FieldError: The field is not a tag.
+    """
+    return _matching_text(fields, name, TAG_PATTERN, "a tag") if name in fields else ""
--- a/ironhinge/net/discovery_wire.py
+++ b/ironhinge/net/discovery_wire.py
@@ -1,83 +1,122 @@
-"""Owns the coordinator's frames: numbered changes of the list of nodes, and purges.
+"""The discovery service's protocol: numbered changes of the endpoint list, and purges.
 
-It must never know a socket or hold the list; all it remembers is a frame begun and not yet whole.
+A frame is a length (4 bytes, big-endian, counting what follows), the event's index (8 bytes), a kind (1 byte)
+and a payload. This module knows no socket and does not hold the list; of a connection it remembers only an
+incomplete frame.
 """
 
 from __future__ import annotations
 
 import struct
+from enum import IntEnum
 from typing import Any, NamedTuple
 
-from .. import interface
 from ..config import Address, EndpointListUpdate, EndpointRecord, PurgeUpdate
-from ..interface import EndpointState
+from ..interface import Endpoint, EndpointState
+from .errors import UnparsableError
 
-RECORD = struct.Struct(">I4sHBBBHIQ")
-HEAD = 9  # number and kind
-MOST = 16_777_216
-STATES = (EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED)
-NOTHING, WHOLE, CHANGES, OBJECT, GROUP = range(5)
+__all__ = ["DiscoveryEvent", "DiscoveryWire", "FrameKind", "Keepalive", "UnparsableError", "hello"]
 
+INDEX_BYTES = 8  # size of an event's index
+LENGTH_BYTES = 4  # size of the field that holds a frame's length
+HEADER_BYTES = INDEX_BYTES + 1  # index and kind
+MAX_FRAME_LENGTH = 16_777_216  # the protocol's bound
 
-class UnparsableError(Exception):
-    """The bytes are no frame of the coordinator's."""
+# id, IPv4 address, port, state, zone, kind, cell, weight in thousandths, start as Unix time in milliseconds
+ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
+ENDPOINT_STATES = (EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED)
+OBJECT_PURGE = struct.Struct(">QQ")  # object, Unix time in milliseconds
+GROUP_PURGE = struct.Struct(">HQ")  # group, Unix time in milliseconds
+
+
+class FrameKind(IntEnum):
+    """What a frame holds."""
+
+    KEEPALIVE = 0
+    FULL_LIST = 1
+    LIST_CHANGES = 2
+    PURGE_OBJECT = 3
+    PURGE_GROUP = 4
 
 
 class Keepalive(NamedTuple):
-    """Nothing new, but the coordinator lives."""
+    """Nothing has changed, and the discovery service is alive."""
 
 
-def hello(number: int) -> bytes:
-    """What a director writes first: the last event that it has."""
-    return number.to_bytes(8, "big")
+DiscoveryEvent = Keepalive | EndpointListUpdate | PurgeUpdate
 
 
-def _listing(values: tuple[Any, ...]) -> EndpointRecord:
-    name, host, port, state, zone, kind, cell, weight, started = values
-    if state >= len(STATES):
-        raise UnparsableError(f"a record with state {state}")
-    row = interface.Endpoint(f"s-{name:08x}", STATES[state], cell, zone, 0, weight / 1000, kind)
-    return EndpointRecord(row, Address(".".join(map(str, host)), port), started)
+def hello(number: int) -> bytes:
+    """Encodes what a client sends first: the index of the last event that it has."""
+    return number.to_bytes(INDEX_BYTES, "big")
 
 
-def _news(data: bytes) -> Any:
-    number, kind, rest = int.from_bytes(data[:8], "big"), data[8], data[HEAD:]
-    if kind == NOTHING:
-        return Keepalive()
-    if kind in (WHOLE, CHANGES):
-        if len(rest) % RECORD.size:
-            raise UnparsableError(f"records of {len(rest)} bytes")
-        return EndpointListUpdate(number, kind == WHOLE, tuple(map(_listing, RECORD.iter_unpack(rest))))
-    width = {OBJECT: 8, GROUP: 2}.get(kind)
-    if width is None or len(rest) != width + 8:
-        raise UnparsableError(f"a frame of kind {kind} and {len(rest)} bytes")
-    what, at = int.from_bytes(rest[:width], "big"), int.from_bytes(rest[width:], "big")
-    return PurgeUpdate(number, what, 0, at) if kind == OBJECT else PurgeUpdate(number, None, what, at)
+def _decode_record(values: tuple[Any, ...]) -> EndpointRecord:
+    number, host, port, state, zone, kind, cell, weight, started_unix_ms = values
+    if state >= len(ENDPOINT_STATES):
+        raise UnparsableError(f"a record with state {state}")
+    endpoint = Endpoint(
+        id=f"s-{number:08x}",
+        state=ENDPOINT_STATES[state],
+        cell=cell,
+        zone=zone,
+        started_at=0,
+        weight=weight / 1000,
+        kind=kind,
+    )
+    return EndpointRecord(endpoint, Address(".".join(map(str, host)), port), started_unix_ms)
+
+
+def _decode_frame(data: bytes) -> DiscoveryEvent:
+    index = int.from_bytes(data[:INDEX_BYTES], "big")
+    kind = data[INDEX_BYTES]
+    payload = data[HEADER_BYTES:]
+    match kind:
+        case FrameKind.KEEPALIVE:
+            return Keepalive()
+        case FrameKind.FULL_LIST | FrameKind.LIST_CHANGES:
+            if len(payload) % ENDPOINT_RECORD.size:
+                raise UnparsableError(f"records of {len(payload)} bytes")
+            records = tuple(map(_decode_record, ENDPOINT_RECORD.iter_unpack(payload)))
+            return EndpointListUpdate(index, kind == FrameKind.FULL_LIST, records)
+        case FrameKind.PURGE_OBJECT if len(payload) == OBJECT_PURGE.size:
+            object_id, unix_ms = OBJECT_PURGE.unpack(payload)
+            return PurgeUpdate(index, object_id, 0, unix_ms)
+        case FrameKind.PURGE_GROUP if len(payload) == GROUP_PURGE.size:
+            group, unix_ms = GROUP_PURGE.unpack(payload)
+            return PurgeUpdate(index, None, group, unix_ms)
+    raise UnparsableError(f"a frame of kind {kind} and {len(payload)} bytes")
 
 
 class DiscoveryWire:
-    """Fed the bytes of one connection in any pieces."""
+    """Decodes the bytes of one connection, which may arrive in any pieces."""
 
     __slots__ = ("_buffered",)
 
     def __init__(self) -> None:
         self._buffered = bytearray()
 
-    def feed(self, data: memoryview) -> tuple[list[Any], UnparsableError | None]:
-        """The news that are whole now, and what made the rest unreadable, if anything did."""
-        out: list[Any] = []
+    def feed(self, data: memoryview) -> tuple[list[DiscoveryEvent], UnparsableError | None]:
+        """Adds bytes.
+
+        Returns:
+            The events that are complete now, and the error that made the rest unreadable, if any.
+        """
+        events: list[DiscoveryEvent] = []
         self._buffered += data
-        at, fault = 0, None
+        offset = 0
+        error = None
         try:
-            while len(self._buffered) - at >= 4:
-                length = int.from_bytes(self._buffered[at : at + 4], "big")
-                if not HEAD <= length <= MOST:
-                    raise UnparsableError(f"a frame of {length} bytes")
-                if len(self._buffered) - at < 4 + length:
+            while len(self._buffered) - offset >= LENGTH_BYTES:
+                start = offset + LENGTH_BYTES
+                end = start + int.from_bytes(self._buffered[offset:start], "big")
+                if not HEADER_BYTES <= end - start <= MAX_FRAME_LENGTH:
+                    raise UnparsableError(f"a frame of {end - start} bytes")
+                if len(self._buffered) < end:
                     break
-                out.append(_news(bytes(self._buffered[at + 4 : at + 4 + length])))
-                at += 4 + length
+                events.append(_decode_frame(bytes(self._buffered[start:end])))
+                offset = end
         except UnparsableError as found:
-            fault = found
-        del self._buffered[:at]
-        return out, fault
+            error = found
+        del self._buffered[:offset]
+        return events, error
--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -1,21 +1,52 @@
-"""Owns the cache nodes' commands and answers: RESP arrays of bulk strings.
+"""The upstreams' protocol: commands and answers are RESP arrays of bulk strings.
 
-It must never know a socket or which dispatches are open; all it remembers of a connection is an answer begun
-and not yet whole.
+The protocol's own words appear here and nowhere else. This module knows no socket and no open operation; of a
+connection it remembers only an incomplete answer.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from ..interface import FillNote
 from .attempt_end import AttemptEnd
-
-MOST_ITEM = 262_144
-MOST_ITEMS = 16
-MOST_LINE = 24
-MOST_FIGURE = 1e9  # of a load report
-ENDINGS = {
+from .errors import UnparsableError
+
+__all__ = [
+    "UnparsableError",
+    "UpstreamAnswer",
+    "UpstreamWire",
+    "busy",
+    "command",
+    "encode_cancel",
+    "encode_health_check",
+    "encode_request",
+    "never_mind",
+    "want",
+]
+
+CRLF = b"\r\n"
+CRLF_BYTES = 2
+ARRAY_MARKER = b"*"
+ITEM_MARKER = b"$"
+MAX_ITEM_BYTES = 262_144  # the protocol's bound
+MAX_ITEMS = 16  # far more than any answer has
+MAX_LINE_BYTES = 24  # a marker, a number and CRLF are shorter
+MAX_LOAD_VALUE = 1e9  # of a load report
+MAX_DATE_DIGITS = 15  # of a Unix time in milliseconds
+MAX_ERROR_EXCERPT = 60  # characters of a load report in an error text
+
+COMMAND_REQUEST = b"want"
+COMMAND_CANCEL = b"never_mind"
+COMMAND_HEALTH_CHECK = b"busy"
+NO_ATTRIBUTES = "-"
+
+# An answer has an operation id, a status, and at times attributes and a body.
+MIN_ANSWER_ITEMS = 2
+MAX_ANSWER_ITEMS = 4
+BODY_INDEX = 3
+
+ANSWER_STATUSES: Final = {
     b"ACK": AttemptEnd.SERVED,
     b"NOMOD": AttemptEnd.NOT_MODIFIED,
     b"NOENT": AttemptEnd.MISS,
@@ -25,7 +56,13 @@
     b"READY": AttemptEnd.HEALTHY,
     b"AILING": AttemptEnd.UNHEALTHY,
 }
-NOTES = {
+STATUS_SERVED = AttemptEnd.SERVED  # a module constant, since access through the enum is slow
+
+ATTRIBUTE_FILL_NOTE = "res"
+ATTRIBUTE_LOAD_REPORT = "gauges"
+ATTRIBUTE_DATE = "dated"
+ATTRIBUTE_TAG = "digest"
+FILL_NOTES: Final = {
     "h": FillNote.HIT,
     "f": FillNote.FILLED_FROM_SOURCE,
     "o": FillNote.FILLED_FROM_ORIGIN,
@@ -37,145 +74,179 @@
     "n": FillNote.FILL_LIMIT_REACHED,
     "x": FillNote.ORIGIN_FAILED,
 }
+NO_FILL_NOTE = FillNote.NONE
 
 
 class UpstreamAnswer(NamedTuple):
+    """An upstream's answer to one command.
+
+    Attributes:
+        operation_id: The id that the command had.
+        end: How the operation ended.
+        fill_note: Where the body came from, or why there is none.
+        load_report: The upstream's load by gauge name; empty if it sent none.
+        produced_unix_ms: Unix time in milliseconds at which the copy was made; 0: unknown.
+        has_tag: Whether the copy has an entity tag.
+        body: The response's body.
+        tag: The copy's entity tag.
+    """
+
     operation_id: str
     end: AttemptEnd
     fill_note: FillNote
     load_report: dict[str, float]
-    produced_unix_ms: int  # the Unix millisecond of the copy; 0: not told
+    produced_unix_ms: int
     has_tag: bool
     body: bytes
     tag: str = ""
 
 
-class UnparsableError(Exception):
-    """The bytes are no answer; nothing after them can be read."""
-
-
 def command(*items: bytes) -> bytes:
+    """Encodes a command as a RESP array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
-def want(name: str, fields: dict[str, str], body: bytes) -> bytes:
-    text = ",".join(f"{key}={value}" for key, value in fields.items()) or "-"
-    return command(b"want", name.encode(), text.encode(), body)
+def encode_request(operation_id: str, fields: dict[str, str], body: bytes) -> bytes:
+    """Encodes a request for an object."""
+    text = ",".join(f"{key}={value}" for key, value in fields.items()) or NO_ATTRIBUTES
+    return command(COMMAND_REQUEST, operation_id.encode(), text.encode(), body)
 
 
-def never_mind(name: str) -> bytes:
-    return command(b"never_mind", name.encode())
+def encode_cancel(operation_id: str) -> bytes:
+    """Encodes the notice that nobody waits for an operation any more."""
+    return command(COMMAND_CANCEL, operation_id.encode())
 
 
-def busy(tag: str) -> bytes:
-    return command(b"busy", tag.encode())
+def encode_health_check(operation_id: str) -> bytes:
+    """Encodes a health check."""
+    return command(COMMAND_HEALTH_CHECK, operation_id.encode())
 
 
-def _loads(text: str) -> dict[str, float]:
-    found = {}
+# earlier names of the functions above
+want = encode_request
+never_mind = encode_cancel
+busy = encode_health_check
+
+
+def _decode_load_report(text: str) -> dict[str, float]:
+    report = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
         try:
-            found[name] = float(value)
+            report[name] = float(value)
         except ValueError:
-            found[name] = -1.0
-        if not 0 <= found[name] < MOST_FIGURE:
-            raise UnparsableError(f"the load report '{text[:60]}'")
-    return found
-
-
-def _answer(items: list[bytes]) -> UpstreamAnswer:
-    ending = ENDINGS.get(items[1]) if 2 <= len(items) <= 4 else None
-    if ending is None or (ending is AttemptEnd.SERVED and len(items) < 4):
-        raise UnparsableError(f"an answer {[item[:20] for item in items[:2]]} of {len(items)} items")
-    note, dated, digest = FillNote.NONE, 0, ""
-    load: dict[str, float] = {}
+            report[name] = -1.0
+        if not 0 <= report[name] < MAX_LOAD_VALUE:
+            raise UnparsableError(f"the load report '{text[:MAX_ERROR_EXCERPT]}'")
+    return report
+
+
+def _decode_answer(items: list[bytes]) -> UpstreamAnswer:
+    count = len(items)
+    end = ANSWER_STATUSES.get(items[1]) if MIN_ANSWER_ITEMS <= count <= MAX_ANSWER_ITEMS else None
+    if end is None or (end is STATUS_SERVED and count <= BODY_INDEX):
+        raise UnparsableError(f"an answer {[item[:20] for item in items[:2]]} of {count} items")
     try:
-        name, text = items[0].decode(), items[2].decode() if len(items) > 2 else "-"
+        operation_id = items[0].decode()
+        attributes = items[2].decode() if count > 2 else NO_ATTRIBUTES  # noqa: PLR2004 - the third item
     except UnicodeDecodeError:
         raise UnparsableError("an answer that is not text") from None
-    if text and text != "-":
-        for part in text.split(","):
+    fill_note = NO_FILL_NOTE
+    load_report: dict[str, float] = {}
+    produced_unix_ms = 0
+    tag = ""
+    if attributes and attributes != NO_ATTRIBUTES:
+        for part in attributes.split(","):
             key, _, value = part.partition("=")
-            if key == "res":
-                note = NOTES.get(value, FillNote.NONE)
-            elif key == "gauges" and value:
-                load = _loads(value)
-            elif key == "dated" and value.isdigit() and len(value) < 16:
-                dated = int(value)
-            elif key == "digest":
-                digest = value
-    return UpstreamAnswer(
-        name, ending, note, load, dated, bool(digest), items[3] if len(items) > 3 else b"", digest
-    )
+            if key == ATTRIBUTE_FILL_NOTE:
+                fill_note = FILL_NOTES.get(value, NO_FILL_NOTE)
+            elif key == ATTRIBUTE_LOAD_REPORT and value:
+                load_report = _decode_load_report(value)
+            elif key == ATTRIBUTE_DATE and value.isdigit() and len(value) <= MAX_DATE_DIGITS:
+                produced_unix_ms = int(value)
+            elif key == ATTRIBUTE_TAG:
+                tag = value
+    body = items[BODY_INDEX] if count > BODY_INDEX else b""
+    return UpstreamAnswer(operation_id, end, fill_note, load_report, produced_unix_ms, bool(tag), body, tag)
 
 
 class UpstreamWire:
-    """Fed the bytes of one connection in any pieces."""
+    """Decodes the bytes of one upstream's connection, which may arrive in any pieces."""
 
-    __slots__ = ("_items", "_items_left", "_length", "_bytes_needed", "_pieces", "_item_size")
+    __slots__ = ("_bytes_needed", "_item_size", "_items", "_length", "_missing_items", "_pieces")
 
     def __init__(self) -> None:
-        self._pieces: list[bytes] = []  # what came since the last step
-        self._length = 0  # of all pieces
-        self._bytes_needed = 1  # bytes to hold before the next step
-        self._items_left = 0  # items that the answer begun still lacks; 0: none is begun
-        self._items: list[bytes] = []
-        self._item_size = -1  # of the item begun; -1: its line is not whole
+        self._pieces: list[bytes] = []  # not decoded yet; joined only once enough has arrived
+        self._length = 0  # bytes of all pieces
+        self._bytes_needed = 1  # bytes to hold before more can be decoded
+        self._missing_items = 0  # items that the answer begun still lacks; 0: none is begun
+        self._items: list[bytes] = []  # complete items of the answer begun
+        self._item_size = -1  # bytes of the item begun; -1: its length is not read yet
 
     def has_partial_answer(self) -> bool:
-        """True while an answer has begun and is not whole."""
-        return bool(self._length or self._items_left)
+        """Whether an answer has begun and is not complete."""
+        return bool(self._length or self._missing_items)
 
     def feed(self, data: memoryview) -> tuple[list[UpstreamAnswer], UnparsableError | None]:
-        """The answers that are whole now, and what made the rest unreadable, if anything did."""
+        """Adds bytes.
+
+        Returns:
+            The answers that are complete now, and the error that made the rest unreadable, if any.
+        """
         self._pieces.append(bytes(data))
         self._length += len(data)
         if self._length < self._bytes_needed:
             return [], None
         held = self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
-        out: list[UpstreamAnswer] = []
-        at, fault = 0, None
+        answers: list[UpstreamAnswer] = []
+        offset = 0
+        error = None
         try:
-            at = self._parse(held, out)
+            offset = self._decode(held, answers)
         except UnparsableError as found:
-            fault = found
-        self._length = len(held) - at
-        self._pieces = [held[at:]] if self._length else []
-        return out, fault
-
-    def _parse(self, held: bytes, out: list[UpstreamAnswer]) -> int:
-        """Takes all whole answers; returns where it stopped."""
-        at = 0
+            error = found
+        self._length = len(held) - offset
+        self._pieces = [held[offset:]] if self._length else []
+        return answers, error
+
+    def _decode(self, held: bytes, answers: list[UpstreamAnswer]) -> int:
+        """Decodes all complete answers; returns the offset at which it stopped."""
+        offset = 0
         while True:
             if self._item_size >= 0:
-                end = at + self._item_size
-                if len(held) < end + 2:
-                    self._bytes_needed = self._item_size + 2
-                    return at
-                if held[end : end + 2] != b"\r\n":
+                end = offset + self._item_size
+                if len(held) < end + CRLF_BYTES:
+                    self._bytes_needed = self._item_size + CRLF_BYTES
+                    return offset
+                if held[end : end + CRLF_BYTES] != CRLF:
                     raise UnparsableError("an item of another length")
-                self._items.append(held[at:end])
-                at, self._item_size = end + 2, -1
-                self._items_left -= 1
-                if not self._items_left:
+                self._items.append(held[offset:end])
+                offset = end + CRLF_BYTES
+                self._item_size = -1
+                self._missing_items -= 1
+                if not self._missing_items:
                     items, self._items = self._items, []
-                    out.append(_answer(items))
+                    answers.append(_decode_answer(items))
                 continue
-            end = held.find(b"\r\n", at, at + MOST_LINE)
+            end = held.find(CRLF, offset, offset + MAX_LINE_BYTES)
             if end < 0:
-                if len(held) - at >= MOST_LINE:
+                if len(held) - offset >= MAX_LINE_BYTES:
                     raise UnparsableError("a line too long")
-                self._bytes_needed = len(held) - at + 1
-                return at
-            mark, most = (b"$", MOST_ITEM) if self._items_left else (b"*", MOST_ITEMS)
-            number = held[at + 1 : end]
-            if held[at : at + 1] != mark or not number.isdigit() or int(number) > most:
-                raise UnparsableError(f"a line {held[at:end]!r}")
-            at = end + 2
-            if self._items_left:
-                self._item_size = int(number)
-            elif int(number):
-                self._items_left = int(number)
-            else:
-                raise UnparsableError("an empty answer")
+                self._bytes_needed = len(held) - offset + 1
+                return offset
+            self._decode_length(held[offset:end])
+            offset = end + CRLF_BYTES
+
+    def _decode_length(self, line: bytes) -> None:
+        """Reads the line that begins an item, or an answer if none is begun."""
+        is_item = self._missing_items > 0
+        marker, maximum = (ITEM_MARKER, MAX_ITEM_BYTES) if is_item else (ARRAY_MARKER, MAX_ITEMS)
+        number = line[1:]
+        if line[:1] != marker or not number.isdigit() or int(number) > maximum:
+            raise UnparsableError(f"a line {line!r}")
+        if is_item:
+            self._item_size = int(number)
+        elif int(number):
+            self._missing_items = int(number)
+        else:
+            raise UnparsableError("an empty answer")
