--- a/ironhinge/wirehost/__init__.py
+++ b/ironhinge/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts instances of the decision module on the simulator's wire: a codec and a host, and no decision."""
+"""Hosts router instances for the simulator: a codec and a host; nothing is decided here."""
--- a/ironhinge/wirehost/__main__.py
+++ b/ironhinge/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ironhinge.wirehost`: the wire on standard input and output."""
+"""Entry point of `python -m ironhinge.wirehost`: serves the simulator on standard input and output."""
 
 import sys
 
--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -1,19 +1,25 @@
-"""Translates between the wire's words and units (microseconds) and the interface's (tenths of a millisecond).
+"""Translates between the simulator's messages and the types of `ironhinge.interface`.
 
-A field of the wrong shape raises `Malformed`, naming event and field; settings and lists are read by `facts`.
+The simulator's words and units (microseconds) end here: further in, times are ticks of a tenth of a
+millisecond. A field of the wrong shape raises `MalformedMessageError`, which names the event and the field.
+Settings and endpoint lists are read by `ironhinge.config`.
 """
 
 from __future__ import annotations
 
 import base64
 import binascii
-from typing import Any
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any, Final
 
 from .. import interface
 from ..config import MICROSECONDS_PER_TICK, REQUIRED, Fields, MalformedMessageError
 from ..interface import AttemptResult, FillNote
 
-RESULTS = {
+EndpointLists = Mapping[int, tuple[interface.Endpoint, ...]]  # the numbered lists that have come so far
+Body = dict[str, Any]
+
+RESULTS: Final = {
     "S": AttemptResult.DONE,
     "E": AttemptResult.ERROR,
     "F": AttemptResult.REJECTED,
@@ -25,125 +31,230 @@
     "M": AttemptResult.MISS,
 }
 
+# What an event about the endpoint list says of it.
+FULL_LIST = "whole"
+LIST_CHANGES = "update"
+LIST_UNAVAILABLE = ""
+LIST_SCOPES: Final = {
+    "update": LIST_CHANGES,
+    "replace": FULL_LIST,
+    "restored": FULL_LIST,
+    "unavailable": LIST_UNAVAILABLE,
+}
+
+# Bits of an attempt's options.
+OPTION_JOIN_FILL = 1
+OPTION_SOURCE_CACHED_ONLY = 2
+OPTION_REVALIDATE = 8
+
+ALL_PEERS = "*"
 
-def _fill_note(number: int) -> FillNote:
+
+def _decode_fill_note(number: int) -> FillNote:
     return FillNote(number) if number < FillNote.UNKNOWN else FillNote.UNKNOWN
 
 
-def happening(event: Fields, lists: dict[int, tuple[interface.Endpoint, ...]]) -> interface.Event | None:
-    """One event in the interface's words; None for an event that the interface does not know."""
-    name = event.context
-    if name == "QUERY":
-        return interface.RequestReceived(
-            event.text("tid"),
-            event.integer("object"),
-            event.integer("range-no"),
-            event.integer("label-no"),
-            event.number("size-kb"),
-            event.duration_floor("budget", REQUIRED),
-            event.integer("cls"),
-            event.boolean("again-by-client"),
-            event.boolean("is-write"),
-        )
-    if name == "REPORT_BACK":
-        return interface.AttemptFinished(
-            event.text("tid"),
-            event.integer("leg"),
-            event.text("node"),
-            event.keyword("reason", RESULTS),
-            event.duration_floor("lag"),
-            event.boolean("finished"),
-            _fill_note(event.integer("remark")),
-            event.duration_floor("ttfb"),
-            event.load_report(),
-        )
-    if name == "MEMBERSHIP":
-        scope = event.keyword(
-            "scope", {"update": "update", "replace": "whole", "restored": "whole", "unavailable": ""}
-        )
-        if not scope:
-            return interface.DiscoveryFailed()
-        number = event.integer("list")
-        if number not in lists:
-            raise MalformedMessageError(f"{name}: field 'list' names the list {number}, which has not come")
-        return interface.EndpointsUpdated(scope == "whole", lists[number])
-    if name == "VANISHED":
-        return interface.ClientDisconnected(event.text("tid"))
-    if name == "INVALIDATED":
-        return interface.PurgeNotified(
-            event.integer("object") if event.has("object") else None,
-            event.integer("set-no"),
-            event.duration_floor("age"),
-        )
-    if name == "ALARM":
-        return interface.TimerFired(event.text("ref"))
-    if name == "STARTED":
-        return interface.ResponseStarted(event.text("tid"))
-    if name == "STATUS_BACK":
-        return interface.HealthCheckFinished(
-            event.text("node"),
-            event.keyword("reason", RESULTS),
-            event.duration_floor("lag"),
-            event.load_report(),
-        )
-    if name == "FROM_PEER":
-        try:
-            return interface.GossipReceived(
-                event.integer("who"), base64.b64decode(event.text("bytes", ""), validate=True)
-            )
-        except binascii.Error:
-            raise MalformedMessageError(f"{name}: field 'bytes' is not base64") from None
-    return None
-
-
-def message(director: int, act: interface.Command) -> dict[str, dict[str, Any]]:
-    """One action in the wire's words."""
-    if isinstance(act, interface.SendAttempt):
-        name, body = (
-            "ISSUE",
-            {
-                "tid": act.request_id,
-                "node": act.endpoint_id,
-                "try-until": act.deadline * MICROSECONDS_PER_TICK,
-            },
+def _decode_request(event: Fields, lists: EndpointLists) -> interface.Event:
+    return interface.RequestReceived(
+        request_id=event.text("tid"),
+        object_id=event.integer("object"),
+        part=event.integer("range-no"),
+        group=event.integer("label-no"),
+        size=event.number("size-kb"),
+        time_remaining=event.duration_floor("budget", REQUIRED),
+        class_index=event.integer("cls"),
+        is_client_retry=event.boolean("again-by-client"),
+        is_write=event.boolean("is-write"),
+    )
+
+
+def _decode_attempt_finished(event: Fields, lists: EndpointLists) -> interface.Event:
+    return interface.AttemptFinished(
+        request_id=event.text("tid"),
+        attempt_number=event.integer("leg"),
+        endpoint_id=event.text("node"),
+        result=event.keyword("reason", RESULTS),
+        duration=event.duration_floor("lag"),
+        request_closed=event.boolean("finished"),
+        fill_note=_decode_fill_note(event.integer("remark")),
+        time_to_first_byte=event.duration_floor("ttfb"),
+        load_report=event.load_report(),
+    )
+
+
+def _decode_endpoints(event: Fields, lists: EndpointLists) -> interface.Event:
+    scope = event.keyword("scope", LIST_SCOPES)
+    if scope == LIST_UNAVAILABLE:
+        return interface.DiscoveryFailed()
+    number = event.integer("list")
+    if number not in lists:
+        raise MalformedMessageError(
+            f"{event.context}: field 'list' names the list {number}, which has not come"
         )
-    elif isinstance(act, interface.SendAttemptWithFill):
-        opts = act.may_join_fill * 1 + act.source_cached_only * 2 + act.revalidates * 8
-        name, body = (
-            "ANSWER_FROM",
-            {
-                "tid": act.request_id,
-                "try-until": act.deadline * MICROSECONDS_PER_TICK,
-                "opts": opts,
-                "supplier": act.source_id,
-                "admit": act.admission_rank,
-                "age": act.max_copy_age * MICROSECONDS_PER_TICK,
-                "node": act.endpoint_id,
-            },
+    return interface.EndpointsUpdated(scope == FULL_LIST, lists[number])
+
+
+def _decode_client_disconnected(event: Fields, lists: EndpointLists) -> interface.Event:
+    return interface.ClientDisconnected(event.text("tid"))
+
+
+def _decode_purge(event: Fields, lists: EndpointLists) -> interface.Event:
+    return interface.PurgeNotified(
+        object_id=event.integer("object") if event.has("object") else None,
+        group=event.integer("set-no"),
+        age=event.duration_floor("age"),
+    )
+
+
+def _decode_timer_fired(event: Fields, lists: EndpointLists) -> interface.Event:
+    return interface.TimerFired(event.text("ref"))
+
+
+def _decode_response_started(event: Fields, lists: EndpointLists) -> interface.Event:
+    return interface.ResponseStarted(event.text("tid"))
+
+
+def _decode_health_check(event: Fields, lists: EndpointLists) -> interface.Event:
+    return interface.HealthCheckFinished(
+        endpoint_id=event.text("node"),
+        result=event.keyword("reason", RESULTS),
+        duration=event.duration_floor("lag"),
+        load_report=event.load_report(),
+    )
+
+
+def _decode_gossip(event: Fields, lists: EndpointLists) -> interface.Event:
+    try:
+        return interface.GossipReceived(
+            sender=event.integer("who"),
+            data=base64.b64decode(event.text("bytes", ""), validate=True),
         )
-    elif isinstance(act, interface.RejectRequest):
-        name, body = "DECLINE", {"tid": act.request_id, "backoff": act.retry_after * MICROSECONDS_PER_TICK}
-    elif isinstance(act, interface.FailRequest):
-        name, body = "ERROR", {"tid": act.request_id}
-    elif isinstance(act, interface.CancelAttempt):
-        name, body = "CALL_OFF", {"tid": act.request_id, "leg": act.attempt_number}
-    elif isinstance(act, interface.SetTimer):
-        name, body = "REMIND", {"offset": act.delay * MICROSECONDS_PER_TICK, "ref": act.token}
-    elif isinstance(act, interface.SetWatch):
-        name, body = "WATCH", {"active": act.enabled}
-    elif isinstance(act, interface.RequestFullList):
-        name, body = "SNAPSHOT", {}
-    elif isinstance(act, interface.SendHealthCheck):
-        name, body = "TOUCH", {"node": act.endpoint_id}
-    elif isinstance(act, interface.SendGossip):
-        target: Any = "*" if act.peer is None else act.peer
-        name, body = "POST", {"target": target, "bytes": base64.b64encode(act.data).decode("ascii")}
-    elif isinstance(act, interface.WriteLog):
-        name, body = "DEBUG", {"msg": act.text}
-    else:  # copies of our own: no shelf stands on this wire, so that the module never says it
-        raise TypeError(f"{type(act).__name__} has no word on this wire")
-    return {name: {"director": director, **body}}
-
-
-def messages(director: int, acts: list[interface.Command]) -> list[dict[str, dict[str, Any]]]:
-    return [message(director, act) for act in acts]
+    except binascii.Error:
+        raise MalformedMessageError(f"{event.context}: field 'bytes' is not base64") from None
+
+
+EVENT_DECODERS: Final[dict[str, Callable[[Fields, EndpointLists], interface.Event]]] = {
+    "QUERY": _decode_request,
+    "REPORT_BACK": _decode_attempt_finished,
+    "MEMBERSHIP": _decode_endpoints,
+    "VANISHED": _decode_client_disconnected,
+    "INVALIDATED": _decode_purge,
+    "ALARM": _decode_timer_fired,
+    "STARTED": _decode_response_started,
+    "STATUS_BACK": _decode_health_check,
+    "FROM_PEER": _decode_gossip,
+}
+
+
+def decode_event(event: Fields, lists: EndpointLists) -> interface.Event | None:
+    """Decodes one event.
+
+    Args:
+        event: The event's fields; their context is the event's name.
+        lists: The numbered endpoint lists that an event may refer to.
+
+    Returns:
+        The event; None if its name is unknown.
+
+    Raises:
+        MalformedMessageError: A field is missing or malformed.
+    """
+    decode = EVENT_DECODERS.get(event.context)
+    return None if decode is None else decode(event, lists)
+
+
+def _encode_attempt(command: interface.SendAttempt) -> Body:
+    return {
+        "tid": command.request_id,
+        "node": command.endpoint_id,
+        "try-until": command.deadline * MICROSECONDS_PER_TICK,
+    }
+
+
+def _encode_attempt_with_fill(command: interface.SendAttemptWithFill) -> Body:
+    options = (
+        command.may_join_fill * OPTION_JOIN_FILL
+        + command.source_cached_only * OPTION_SOURCE_CACHED_ONLY
+        + command.revalidates * OPTION_REVALIDATE
+    )
+    return {
+        "tid": command.request_id,
+        "try-until": command.deadline * MICROSECONDS_PER_TICK,
+        "opts": options,
+        "supplier": command.source_id,
+        "admit": command.admission_rank,
+        "age": command.max_copy_age * MICROSECONDS_PER_TICK,
+        "node": command.endpoint_id,
+    }
+
+
+def _encode_rejection(command: interface.RejectRequest) -> Body:
+    return {"tid": command.request_id, "backoff": command.retry_after * MICROSECONDS_PER_TICK}
+
+
+def _encode_failure(command: interface.FailRequest) -> Body:
+    return {"tid": command.request_id}
+
+
+def _encode_cancel(command: interface.CancelAttempt) -> Body:
+    return {"tid": command.request_id, "leg": command.attempt_number}
+
+
+def _encode_timer(command: interface.SetTimer) -> Body:
+    return {"offset": command.delay * MICROSECONDS_PER_TICK, "ref": command.token}
+
+
+def _encode_watch(command: interface.SetWatch) -> Body:
+    return {"active": command.enabled}
+
+
+def _encode_full_list_request(command: interface.RequestFullList) -> Body:
+    return {}
+
+
+def _encode_health_check(command: interface.SendHealthCheck) -> Body:
+    return {"node": command.endpoint_id}
+
+
+def _encode_gossip(command: interface.SendGossip) -> Body:
+    target = ALL_PEERS if command.peer is None else command.peer
+    return {"target": target, "bytes": base64.b64encode(command.data).decode("ascii")}
+
+
+def _encode_log_line(command: interface.WriteLog) -> Body:
+    return {"msg": command.text}
+
+
+# The name and the encoder of each command. There is none for the router's own copies: the simulator has no
+# local store, so that the decisions never use one.
+COMMAND_ENCODERS: Final[dict[type, tuple[str, Callable[[Any], Body]]]] = {
+    interface.SendAttempt: ("ISSUE", _encode_attempt),
+    interface.SendAttemptWithFill: ("ANSWER_FROM", _encode_attempt_with_fill),
+    interface.RejectRequest: ("DECLINE", _encode_rejection),
+    interface.FailRequest: ("ERROR", _encode_failure),
+    interface.CancelAttempt: ("CALL_OFF", _encode_cancel),
+    interface.SetTimer: ("REMIND", _encode_timer),
+    interface.SetWatch: ("WATCH", _encode_watch),
+    interface.RequestFullList: ("SNAPSHOT", _encode_full_list_request),
+    interface.SendHealthCheck: ("TOUCH", _encode_health_check),
+    interface.SendGossip: ("POST", _encode_gossip),
+    interface.WriteLog: ("DEBUG", _encode_log_line),
+}
+
+
+def encode_command(instance: int, command: interface.Command) -> dict[str, Body]:
+    """Encodes one command of an instance.
+
+    Raises:
+        TypeError: The simulator's protocol has no message for the command.
+    """
+    found = COMMAND_ENCODERS.get(type(command))
+    if found is None:
+        raise TypeError(f"{type(command).__name__} has no word on this wire")
+    name, encode = found
+    return {name: {"director": instance, **encode(command)}}
+
+
+def encode_commands(instance: int, commands: Iterable[interface.Command]) -> list[dict[str, Body]]:
+    """Encodes the commands of an instance, in order."""
+    return [encode_command(instance, command) for command in commands]
--- a/ironhinge/wirehost/host.py
+++ b/ironhinge/wirehost/host.py
@@ -1,4 +1,4 @@
-"""Reads batches, hands each event to its instance and writes one reply a batch."""
+"""Runs router instances for the simulator: reads batches of events, writes one reply per batch."""
 
 from __future__ import annotations
 
@@ -18,81 +18,133 @@
 from ..routing import Router
 from . import codec
 
+EXIT_OK = 0
+EXIT_MALFORMED_BATCH = 2
+
+# Events that concern the host; all others go to an instance's router.
+EVENT_ENDPOINT_LIST = "MANIFEST"
+EVENT_START_INSTANCE = "SPAWN"
+EVENT_STOP_INSTANCE = "STOP"
+
+Message = dict[str, Any]  # one event or command in JSON
+
 
 class Host:
-    """The instances of this process and the numbered lists of nodes, which belong to the process."""
+    """The router instances of this process.
+
+    Attributes:
+        errors: Gets the text of each fault, and tracebacks of faults in the decisions.
+        routers: The instances by number.
+        endpoint_lists: The numbered endpoint lists, which all instances share.
+    """
 
     def __init__(self, errors: TextIO):
         self.errors = errors
         self.routers: dict[int, Router] = {}
         self.endpoint_lists: dict[int, tuple[interface.Endpoint, ...]] = {}
 
-    def handle_batch(self, line: bytes) -> dict[str, Any]:
+    def handle_batch(self, line: bytes) -> Message:
+        """Handles the events of one batch in order.
+
+        Args:
+            line: The batch in JSON.
+
+        Returns:
+            The reply: the batch's number, and the commands of all its events.
+
+        Raises:
+            MalformedMessageError: The batch itself can't be read. Faults of single events are in the reply.
+        """
         try:
-            whole = Fields("batch", json.loads(line))
+            batch = Fields("batch", json.loads(line))
         except ValueError as fault:
             raise MalformedMessageError(f"batch: not JSON in UTF-8 ({fault})") from None
-        wall, number = whole.integer("wall", REQUIRED), whole.integer("seq", REQUIRED)
-        outbox: list[dict[str, Any]] = []
-        for event in whole.array("input"):
-            outbox.extend(self.handle_event(wall // MICROSECONDS_PER_TICK, event))
+        wall_time_us = batch.integer("wall", REQUIRED)
+        number = batch.integer("seq", REQUIRED)
+        outbox: list[Message] = []
+        for event in batch.array("input"):
+            outbox.extend(self.handle_event(wall_time_us // MICROSECONDS_PER_TICK, event))
         return {"seq": number, "outbox": outbox}
 
-    def handle_event(self, now: int, event: Any) -> list[dict[str, Any]]:
+    def handle_event(self, now: int, event: Any) -> list[Message]:
+        """Handles one event; a fault of its instance becomes a fatal reply.
+
+        Args:
+            now: The time in ticks of a tenth of a millisecond.
+            event: An object whose one key is the event's name.
+
+        Returns:
+            The commands that answer it.
+
+        Raises:
+            MalformedMessageError: The event is not such an object, or names no instance.
+        """
         if not isinstance(event, dict) or len(event) != 1:
             raise MalformedMessageError("batch: an entry of field 'input' is not an object with one key")
         ((name, values),) = event.items()
         fields = Fields(name, values)
-        if name == "MANIFEST":
+        if name == EVENT_ENDPOINT_LIST:
             self.endpoint_lists[fields.integer("list")] = read_endpoints(fields)
             return []
-        director = fields.integer("director", REQUIRED)
+        instance = fields.integer("director", REQUIRED)
         try:
-            return codec.messages(director, self.deliver(now, director, fields))
+            return codec.encode_commands(instance, self.deliver(now, instance, fields))
         except MalformedMessageError as fault:
-            return [self.fatal_reply(director, str(fault))]
-        except (
-            Exception
-        ) as fault:  # the instance is at fault: say so on the wire, and where on standard error
+            return [self.fatal_reply(instance, str(fault))]
+        except Exception as fault:  # noqa: BLE001 - a fault of one instance must not end the others
             text = f"{name}: the decision code failed: {type(fault).__name__}: {fault}"
-            reply = self.fatal_reply(director, text)
+            reply = self.fatal_reply(instance, text)
             self.errors.write(traceback.format_exc())
             return [reply]
 
-    def deliver(self, now: int, director: int, fields: Fields) -> list[interface.Command]:
+    def deliver(self, now: int, instance: int, fields: Fields) -> list[interface.Command]:
+        """Starts or stops an instance, or passes an event to it; returns its commands.
+
+        An unknown event is reported on `errors` and skipped.
+
+        Raises:
+            MalformedMessageError: A field is malformed, or names what does not exist.
+        """
         name = fields.context
-        if name == "SPAWN":
-            router = self.routers[director] = Router(
-                read_deployment(fields.nested("settings")), fields.integer("seed")
-            )
-            return router.handle(now, interface.InstanceStarted())
-        if name == "STOP":
-            self.routers.pop(director, None)
+        if name == EVENT_START_INSTANCE:
+            return self._start_instance(now, instance, fields)
+        if name == EVENT_STOP_INSTANCE:
+            self.routers.pop(instance, None)
             return []
-        happened = codec.happening(fields, self.endpoint_lists)
-        if happened is None:
+        event = codec.decode_event(fields, self.endpoint_lists)
+        if event is None:
             self.errors.write(f"ironhinge: {name}: unknown event, passed over\n")
             return []
-        if director not in self.routers:
+        if instance not in self.routers:
             raise MalformedMessageError(
-                f"{name}: field 'director' names instance {director}, which has not started"
+                f"{name}: field 'director' names instance {instance}, which has not started"
             )
-        router = self.routers[director]
-        if type(happened) is interface.RequestReceived and happened.class_index >= len(
+        router = self.routers[instance]
+        if type(event) is interface.RequestReceived and event.class_index >= len(
             router.deployment.request_classes
         ):
             raise MalformedMessageError(
-                f"{name}: field 'cls' names class {happened.class_index}, which the settings lack"
+                f"{name}: field 'cls' names class {event.class_index}, which the settings lack"
             )
-        return router.handle(now, happened)
+        return router.handle(now, event)
+
+    def _start_instance(self, now: int, instance: int, fields: Fields) -> list[interface.Command]:
+        deployment = read_deployment(fields.nested("settings"))
+        router = self.routers[instance] = Router(deployment, fields.integer("seed"))
+        return router.handle(now, interface.InstanceStarted())
 
-    def fatal_reply(self, director: int, text: str) -> dict[str, Any]:
+    def fatal_reply(self, instance: int, text: str) -> Message:
+        """Reports a fault on `errors`; returns the message that ends the instance."""
         self.errors.write(f"ironhinge: {text}\n")
-        return {"FATAL": {"director": director, "msg": text}}
+        return {"FATAL": {"director": instance, "msg": text}}
 
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
-    """Answers batches until input ends; 2 when a batch cannot be read."""
+    """Answers batches, one a line, until the input ends.
+
+    Returns:
+        The exit code: 0, or 2 if a batch can't be read.
+    """
     host = Host(errors)
     for line in source:
         if not line.strip():
@@ -101,7 +153,7 @@
             reply = host.handle_batch(line)
         except MalformedMessageError as fault:
             errors.write(f"ironhinge: {fault}\n")
-            return 2
+            return EXIT_MALFORMED_BATCH
         sink.write(json.dumps(reply, separators=(",", ":")).encode() + b"\n")
         sink.flush()
-    return 0
+    return EXIT_OK
