--- a/ironhinge/net/system_calls.py
+++ b/ironhinge/net/system_calls.py
@@ -149,7 +149,12 @@
 )
 
 
-def _make_table(rules: Iterable[Rule]) -> dict[tuple[Call, int], Remedy]:
+def make_remedy_table(rules: Iterable[Rule]) -> dict[tuple[Call, int], Remedy]:
+    """Indexes rules by call and errno value.
+
+    Raises:
+        RemedyTableError: Two rules disagree.
+    """
     table: dict[tuple[Call, int], Remedy] = {}
     for call, remedy, errors in rules:
         for error in errors:
@@ -166,7 +171,7 @@
     return errno.errorcode.get(error, str(error))
 
 
-REMEDIES = _make_table(_RULES)
+REMEDIES = make_remedy_table(_RULES)
 UNKNOWN_ERROR_REMEDY = Remedy.PAUSE  # an error that no man page lists may pass; it must not cost a request
 
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""The byte-fed machines, the ring and the endings."""
+"""The incremental decoders, the ring buffer, and the ends of attempts."""
 
 from random import Random
 
@@ -7,31 +7,32 @@
 from ironhinge.config import EndpointListUpdate, PurgeUpdate
 from ironhinge.net import client_wire, discovery_wire, upstream_wire
 from ironhinge.net.attempt_end import RESULTS, AttemptEnd
+from ironhinge.net.errors import FieldError, NetworkError, RingBufferError, UnparsableError
 from ironhinge.net.ring_buffer import RingBuffer
 
 
-def fed(make, data, cuts):
-    """What a machine makes of the data, cut at the given places."""
-    wire, out, faults = make(), [], []
+def decode(make_wire, data, cuts):
+    """Returns what a decoder makes of the data, cut at the given places, and the texts of its errors."""
+    wire, messages, errors = make_wire(), [], []
     for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
-        got = wire.feed(memoryview(data)[start:end])
-        messages, fault = got if isinstance(got, tuple) else (got, None)
-        out += messages
-        if fault is not None:
-            faults.append(str(fault))
+        result = wire.feed(memoryview(data)[start:end])
+        found, error = result if isinstance(result, tuple) else (result, None)
+        messages += found
+        if error is not None:
+            errors.append(str(error))
             break
-    return out, faults
+    return messages, errors
 
 
-def same_at_every_cut(make, data):
-    whole = fed(make, data, [])
+def decode_at_every_cut(make_wire, data):
+    whole = decode(make_wire, data, [])
     for cut in range(1, len(data)):
-        assert fed(make, data, [cut]) == whole, f"cut at {cut}"
-    assert fed(make, data, range(1, len(data))) == whole
+        assert decode(make_wire, data, [cut]) == whole, f"cut at {cut}"
+    assert decode(make_wire, data, range(1, len(data))) == whole
     return whole
 
 
-def req_bytes(stream, fields, body=b""):
+def request_bytes(stream, fields, body=b""):
     packed = bytes([len(fields)])
     for name, value in fields:
         packed += bytes([len(name)]) + name + len(value).to_bytes(2, "big") + value
@@ -43,15 +44,15 @@
     return (len(payload) + 5).to_bytes(4, "big") + bytes([kind]) + stream.to_bytes(4, "big") + payload
 
 
-def test_clients_frames_are_the_same_at_every_cut():
+def test_client_frames_decode_equally_at_every_cut():
     data = (
         frame_bytes(1, 0, b"\0")
-        + req_bytes(1, [(b"route", b"film"), (b"entity", b"7f3a9c21e0b4d655")], b"body")
+        + request_bytes(1, [(b"route", b"film"), (b"entity", b"7f3a9c21e0b4d655")], b"body")
         + frame_bytes(9, 1)
         + frame_bytes(6, 4)
-        + req_bytes(2, [])
+        + request_bytes(2, [])
     )
-    out, _ = same_at_every_cut(client_wire.ClientWire, data)
+    out, _ = decode_at_every_cut(client_wire.ClientWire, data)
     assert out == [
         client_wire.ReadinessQuery(0),
         client_wire.RequestFrame(1, {"route": "film", "entity": "7f3a9c21e0b4d655"}, b"body"),
@@ -63,18 +64,16 @@
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
 def test_lengths_out_of_bounds_lose_the_framing(length):
-    out, _ = same_at_every_cut(
+    out, _ = decode_at_every_cut(
         client_wire.ClientWire, frame_bytes(9, 3) + length.to_bytes(4, "big") + b"x" * 30
     )
-    assert (
-        out[0] == client_wire.RequestCancelled(3)
-        and isinstance(out[1], client_wire.FramingLost)
-        and len(out) == 2
-    )
+    assert out[0] == client_wire.RequestCancelled(3)
+    assert isinstance(out[1], client_wire.FramingLost)
+    assert len(out) == 2
 
 
 @pytest.mark.parametrize(
-    "payload, word",
+    ("payload", "word"),
     [
         (b"", "count"),
         (b"\2\1a\0\1b", "cut short"),
@@ -85,29 +84,57 @@
     ],
 )
 def test_unreadable_fields_are_named_and_the_framing_holds(payload, word):
-    out, _ = fed(client_wire.ClientWire, frame_bytes(7, 5, payload) + frame_bytes(9, 6), [])
-    assert isinstance(out[0], client_wire.MalformedRequest) and out[0].stream == 5 and word in out[0].text
+    out, _ = decode(client_wire.ClientWire, frame_bytes(7, 5, payload) + frame_bytes(9, 6), [])
+    assert isinstance(out[0], client_wire.MalformedRequest)
+    assert out[0].stream == 5
+    assert word in out[0].text
     assert out[1] == client_wire.RequestCancelled(6)
 
 
+@pytest.mark.parametrize(
+    ("read", "fields", "text"),
+    [
+        (client_wire.text_of, {}, "field 'x' is missing"),
+        (client_wire.number_of, {}, "field 'x' is missing"),
+        (client_wire.number_of, {"x": "-1"}, "field 'x' is not a number"),
+        (client_wire.count_of, {"x": "1.5"}, "field 'x' is not a whole number"),
+        (lambda fields, name: client_wire.count_of(fields, name, 7), {"x": "8"}, "field 'x' is over 7"),
+        (client_wire.digits_of, {"x": "7f3a"}, "field 'x' is not 16 hex digits"),
+        (client_wire.tag_of, {"x": "?"}, "field 'x' is not a tag"),
+    ],
+)
+def test_field_errors_name_the_field_and_what_was_expected(read, fields, text):
+    with pytest.raises(FieldError, match=f"^{text}$") as caught:
+        read(fields, "x")
+    assert isinstance(caught.value, NetworkError)
+    assert isinstance(caught.value, ValueError)
+
+
+def test_absent_fields_have_defaults():
+    assert client_wire.number_of({}, "x", 2.5) == 2.5
+    assert client_wire.count_of({}, "x") == 0
+    assert client_wire.tag_of({}, "x") == ""
+
+
 def test_generated_answers_round_trip():
-    chance = Random(5)
+    generator = Random(5)
     for _ in range(50):
-        fields = {f"n{i}": "v" * chance.randrange(300) for i in range(chance.randrange(4))}
-        body = chance.randbytes(chance.choice([0, 1, 70_000]))
-        stream, code = chance.randrange(2**32), chance.choice([1, 2, 3])
+        fields = {f"n{i}": "v" * generator.randrange(300) for i in range(generator.randrange(4))}
+        body = generator.randbytes(generator.choice([0, 1, 70_000]))
+        stream, code = generator.randrange(2**32), generator.choice([1, 2, 3])
         data = b"".join(client_wire.answer(stream, code, fields, body))
         assert int.from_bytes(data[:4], "big") == len(data) - 4
         assert (data[4], int.from_bytes(data[5:9], "big"), data[9]) == (8, stream, code)
         read, end = client_wire.read_fields(data[10:])
-        assert read == fields and data[10 + end :] == body
+        assert read == fields
+        assert data[10 + end :] == body
 
 
 def resp(*items):
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%s\r\n" % (len(item), item) for item in items)
 
 
-def test_nodes_answers_are_the_same_at_every_cut():
+def test_upstream_answers_decode_equally_at_every_cut():
     data = (
         resp(b"a1", b"ACK", b"digest=4b,dated=1764576000123,res=f,gauges=inflight:7;util:0.61", b"by\r\ntes")
         + resp(b"a2", b"NOENT", b"-", b"")
@@ -115,12 +142,13 @@
         + resp(b"a4", b"AGAIN", b"-")
         + resp(b"p1", b"AILING", b"gauges=util:1", b"")
     )
-    out, faults = same_at_every_cut(upstream_wire.UpstreamWire, data)
-    assert not faults and [each.operation_id for each in out] == ["a1", "a2", "a3", "a4", "p1"]
+    out, errors = decode_at_every_cut(upstream_wire.UpstreamWire, data)
+    assert not errors
+    assert [answer.operation_id for answer in out] == ["a1", "a2", "a3", "a4", "p1"]
     assert out[0] == upstream_wire.UpstreamAnswer(
         "a1", AttemptEnd.SERVED, 2, {"inflight": 7.0, "util": 0.61}, 1764576000123, True, b"by\r\ntes", "4b"
     )
-    assert [each.end for each in out[1:]] == [
+    assert [answer.end for answer in out[1:]] == [
         AttemptEnd.MISS,
         AttemptEnd.NOT_MODIFIED,
         AttemptEnd.REJECTED,
@@ -146,25 +174,27 @@
         resp(b"\377", b"ACK", b"-", b"x"),
     ],
 )
-def test_answers_that_are_none_are_found_at_every_cut(bad):
-    out, faults = same_at_every_cut(upstream_wire.UpstreamWire, resp(b"a0", b"EIO", b"-", b"") + bad)
-    assert [each.end for each in out] == [AttemptEnd.ERROR] and len(faults) == 1
+def test_unparsable_answers_are_detected_at_every_cut(bad):
+    out, errors = decode_at_every_cut(upstream_wire.UpstreamWire, resp(b"a0", b"EIO", b"-", b"") + bad)
+    assert [answer.end for answer in out] == [AttemptEnd.ERROR]
+    assert len(errors) == 1
 
 
-def test_long_answers_pass_in_pieces():
-    """Guards against looking at the same bytes again and again while a body comes."""
+def test_long_answers_decode_in_pieces():
+    """A body that arrives in pieces must not be scanned from its start with each piece."""
     body = Random(1).randbytes(240_000)
     data = resp(b"a1", b"ACK", b"digest=4b,dated=5", body)
-    out, _ = fed(upstream_wire.UpstreamWire, data, range(1000, len(data), 1000))
+    out, _ = decode(upstream_wire.UpstreamWire, data, range(1000, len(data), 1000))
     assert out[0].body == body
 
 
 def test_commands_are_arrays_of_bulk_strings():
-    assert upstream_wire.want("a1", {"kind": "film", "seg": "3"}, b"\r\n") == resp(
+    assert upstream_wire.encode_request("a1", {"kind": "film", "seg": "3"}, b"\r\n") == resp(
         b"want", b"a1", b"kind=film,seg=3", b"\r\n"
     )
-    assert upstream_wire.want("a1", {}, b"") == resp(b"want", b"a1", b"-", b"")
-    assert upstream_wire.never_mind("a1") == resp(b"never_mind", b"a1")
+    assert upstream_wire.encode_request("a1", {}, b"") == resp(b"want", b"a1", b"-", b"")
+    assert upstream_wire.encode_cancel("a1") == resp(b"never_mind", b"a1")
+    assert upstream_wire.encode_health_check("p1") == resp(b"busy", b"p1")
 
 
 def record(name, state=0, weight=1500, started=0):
@@ -184,7 +214,7 @@
     return len(payload).to_bytes(4, "big") + payload
 
 
-def test_the_coordinators_frames_are_the_same_at_every_cut():
+def test_discovery_frames_decode_equally_at_every_cut():
     data = (
         event(4, 0)
         + event(5, 1, record(0x00C41F7A) + record(2, 1))
@@ -192,9 +222,12 @@
         + event(7, 3, (2**60).to_bytes(8, "big") + (1764576000123).to_bytes(8, "big"))
         + event(8, 4, (17).to_bytes(2, "big") + (5).to_bytes(8, "big"))
     )
-    out, faults = same_at_every_cut(discovery_wire.DiscoveryWire, data)
-    assert not faults and isinstance(out[0], discovery_wire.Keepalive)
-    assert isinstance(out[1], EndpointListUpdate) and out[1].is_full and not out[2].is_full
+    out, errors = decode_at_every_cut(discovery_wire.DiscoveryWire, data)
+    assert not errors
+    assert isinstance(out[0], discovery_wire.Keepalive)
+    assert isinstance(out[1], EndpointListUpdate)
+    assert out[1].is_full
+    assert not out[2].is_full
     row, address, started = out[1].records[0]
     assert (row.id, row.state, row.zone, row.kind, row.cell, row.weight) == (
         "s-00c41f7a",
@@ -204,8 +237,10 @@
         3,
         1.5,
     )
-    assert address == ("10.1.0.9", 7001) and started == 0
-    assert out[1].records[1].endpoint.state == "draining" and out[2].records[0].endpoint.state == "gone"
+    assert address == ("10.1.0.9", 7001)
+    assert started == 0
+    assert out[1].records[1].endpoint.state == "draining"
+    assert out[2].records[0].endpoint.state == "gone"
     assert out[2].records[0].started_unix_ms == 99
     assert out[3:] == [PurgeUpdate(7, 2**60, 0, 1764576000123), PurgeUpdate(8, None, 17, 5)]
 
@@ -213,37 +248,58 @@
 @pytest.mark.parametrize(
     "bad", [event(9, 7), event(9, 2, b"x" * 26), event(9, 3, b"x"), event(9, 1, record(1, 3)), b"\0\0\0\0"]
 )
-def test_frames_of_the_coordinator_that_are_none_are_found_at_every_cut(bad):
-    out, faults = same_at_every_cut(discovery_wire.DiscoveryWire, event(8, 0) + bad)
-    assert len(out) == 1 and len(faults) == 1
+def test_unparsable_discovery_frames_are_detected_at_every_cut(bad):
+    out, errors = decode_at_every_cut(discovery_wire.DiscoveryWire, event(8, 0) + bad)
+    assert len(out) == 1
+    assert len(errors) == 1
+
+
+def test_unparsable_input_of_either_protocol_is_one_kind_of_error():
+    assert upstream_wire.UnparsableError is UnparsableError
+    assert discovery_wire.UnparsableError is UnparsableError
+    assert issubclass(UnparsableError, NetworkError)
 
 
-def test_the_ring_holds_what_a_plain_queue_of_bytes_holds():
-    chance, ring, model = Random(3), RingBuffer(64), b""
+def test_the_ring_buffer_behaves_like_a_plain_queue_of_bytes():
+    generator, ring, model = Random(3), RingBuffer(64), b""
     for _ in range(5000):
-        data = chance.randbytes(chance.randrange(100))
-        if chance.random() < 0.5:
-            done = ring.write(memoryview(data))
-            assert done == min(len(data), 64 - len(model))
-            model += data[:done]
+        data = generator.randbytes(generator.randrange(100))
+        if generator.random() < 0.5:
+            copied = ring.write(memoryview(data))
+            assert copied == min(len(data), 64 - len(model))
+            model += data[:copied]
         else:
-            room = ring.writable()
-            count = min(len(room), len(data))
-            room[:count] = data[:count]
+            free = ring.writable()
+            count = min(len(free), len(data))
+            free[:count] = data[:count]
             ring.commit_write(count)
             model += data[:count]
         got = bytes(ring.readable())
-        assert model.startswith(got) and bool(got) == bool(model) and ring.used == len(model)
-        count = chance.randrange(len(got) + 1)
+        assert model.startswith(got)
+        assert bool(got) == bool(model)
+        assert ring.used == len(model)
+        count = generator.randrange(len(got) + 1)
         ring.consume(count)
         model = model[count:]
-    with pytest.raises(ValueError):
+    with pytest.raises(RingBufferError, match="consume 65 bytes"):
         ring.consume(65)
-    with pytest.raises(ValueError):
+    with pytest.raises(RingBufferError, match="commit 65 bytes"):
         ring.commit_write(65)
 
 
-def test_only_what_proves_that_nothing_ran_is_told_so():
+@pytest.mark.parametrize("count", [65, -1])
+def test_the_ring_buffer_rejects_counts_beyond_what_it_holds(count):
+    ring = RingBuffer(64)
+    with pytest.raises(RingBufferError, match=f"consume {count} bytes, 0 are held"):
+        ring.consume(count)
+    with pytest.raises(RingBufferError, match=f"unwrite {count} bytes, 0 are held"):
+        ring.unwrite(count)
+    with pytest.raises(RingBufferError, match=f"commit {count} bytes, 64 of 64 are free"):
+        ring.commit_write(count)
+    assert issubclass(RingBufferError, ValueError)
+
+
+def test_only_ends_that_prove_that_nothing_ran_are_reported_as_such():
     proven = {"miss", "full", "unconnected", "cut", "unsent"}
     never_ran = {
         AttemptEnd.MISS,
@@ -254,6 +310,7 @@
         AttemptEnd.NOT_SENT,
         AttemptEnd.CUT_BEFORE_SEND,
     }
-    assert {ending for ending in AttemptEnd if RESULTS[ending] in proven} == never_ran
+    assert {end for end in AttemptEnd if RESULTS[end] in proven} == never_ran
     assert RESULTS[AttemptEnd.RESET] == RESULTS[AttemptEnd.CLOSED] == "reset"
-    assert RESULTS[AttemptEnd.TIMED_OUT] == "timeout" and RESULTS[AttemptEnd.CANCELLED] == "cancelled"
+    assert RESULTS[AttemptEnd.TIMED_OUT] == "timeout"
+    assert RESULTS[AttemptEnd.CANCELLED] == "cancelled"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter on odd and malformed input."""
+"""The simulator's host on unusual and malformed input."""
 
 import io
 import json
@@ -8,27 +8,33 @@
 from ironhinge.wirehost.host import serve
 
 
-def talk(*batches):
+def run_host(*batches):
     errors, sink = io.StringIO(), io.BytesIO()
     code = serve(io.BytesIO(b"".join(json.dumps(b).encode() + b"\n" for b in batches)), sink, errors)
     return code, [json.loads(line) for line in sink.getvalue().splitlines()], errors.getvalue()
 
 
 def test_empty_batches_are_answered():
-    code, replies, errors = talk({"wall": 8412250, "seq": 1, "input": []})
+    code, replies, errors = run_host({"wall": 8412250, "seq": 1, "input": []})
     assert (code, replies, errors) == (0, [{"seq": 1, "outbox": []}], "")
 
 
-def test_malformed_batch_is_named():
-    code, replies, errors = talk({"wall": 1, "input": []})
-    assert code == 2 and not replies and "batch" in errors and "'seq'" in errors
+def test_a_malformed_batch_ends_the_host_and_names_the_field():
+    code, replies, errors = run_host({"wall": 1, "input": []})
+    assert code == 2
+    assert not replies
+    assert "batch" in errors
+    assert "'seq'" in errors
 
 
-def test_fault_of_an_instance_is_fatal_and_named():
-    code, replies, errors = talk({"wall": 1, "seq": 1, "input": [{"QUERY": {"director": 3, "tid": "a"}}]})
+def test_a_malformed_event_is_fatal_to_its_instance_and_named():
+    code, replies, errors = run_host({"wall": 1, "seq": 1, "input": [{"QUERY": {"director": 3, "tid": "a"}}]})
     ((fatal,),) = [r["outbox"] for r in replies]
-    assert code == 0 and fatal["FATAL"]["director"] == 3
-    assert "QUERY" in errors and "'budget'" in errors and "Traceback" not in errors
+    assert code == 0
+    assert fatal["FATAL"]["director"] == 3
+    assert "QUERY" in errors
+    assert "'budget'" in errors
+    assert "Traceback" not in errors
 
 
 SETTINGS = {
@@ -53,15 +59,19 @@
     }
 
 
-def ask(tid):
+def request(tid):
     return {"QUERY": {"director": 0, "tid": tid, "budget": 2000000, "a-field-of-tomorrow": True}}
 
 
-def test_unknown_and_absent_fields_are_no_fault():
-    code, (reply,), errors = talk(started(ask("q"), {"COMET": {"director": 0}}))
+def test_unknown_events_and_fields_and_absent_fields_are_accepted():
+    code, (reply,), errors = run_host(started(request("q"), {"COMET": {"director": 0}}))
     ((name, body),) = reply["outbox"][0].items()
-    assert code == 0 and name == "ANSWER_FROM" and body["node"] == "a:1" and body["supplier"] == "o:1"
-    assert 1000050 < body["try-until"] <= 3000000 and "COMET" in errors
+    assert code == 0
+    assert name == "ANSWER_FROM"
+    assert body["node"] == "a:1"
+    assert body["supplier"] == "o:1"
+    assert 1000050 < body["try-until"] <= 3000000
+    assert "COMET" in errors
 
 
 def test_list_numbers_are_resolved_in_the_order_of_events():
@@ -70,12 +80,12 @@
         {"MANIFEST": {"list": 0, "rows": rows}},
         {"MEMBERSHIP": {"director": 0, "scope": "replace", "list": 0}},
     ]
-    _, (reply,), _ = talk(started(ask("q"), *again, ask("r")))
+    _, (reply,), _ = run_host(started(request("q"), *again, request("r")))
     assert [act["ANSWER_FROM"]["node"] for act in reply["outbox"]] == ["a:1", "b:1"]
 
 
 @pytest.mark.parametrize(
-    "event, field",
+    ("event", "field"),
     [
         ({"QUERY": {"director": 0, "tid": 7, "budget": 5}}, "tid"),
         ({"QUERY": {"director": 0, "tid": "q", "budget": True}}, "budget"),
@@ -89,6 +99,8 @@
     ],
 )
 def test_malformed_fields_are_named(event, field):
-    _, (reply,), errors = talk(started(event))
-    assert "FATAL" in reply["outbox"][-1] and next(iter(event)) in errors and f"'{field}'" in errors
+    _, (reply,), errors = run_host(started(event))
+    assert "FATAL" in reply["outbox"][-1]
+    assert next(iter(event)) in errors
+    assert f"'{field}'" in errors
     assert "Traceback" not in errors
