--- a/ironhinge/net/acceptor.py
+++ b/ironhinge/net/acceptor.py
@@ -100,17 +100,17 @@
             elif not await self._wait_to_accept(remedy):
                 return
 
-    async def drain_backlog(self, within: float) -> None:
+    async def drain_backlog(self, max_wait: float) -> None:
         """Accepts what waits in the backlog, then closes the listener at a moment when the backlog is empty.
 
         Closing a listener resets the connections in its backlog, which the peers take for established; a
         later peer is refused and connects elsewhere.
 
         Args:
-            within: Seconds after which the listener is closed in any case.
+            max_wait: Seconds after which the listener is closed in any case.
         """
         host = self._host
-        deadline = monotonic() + within
+        deadline = monotonic() + max_wait
         while monotonic() < deadline:
             if host.open_sockets >= host.descriptor_limit:
                 self._reclaim_descriptor(True)
--- a/ironhinge/net/client_wire.py
+++ b/ironhinge/net/client_wire.py
@@ -150,9 +150,9 @@
     return answer(0, ABORTED, {}, text.encode())
 
 
-def ready(stream: int, yes: bool) -> tuple[bytes, ...]:
+def ready(stream: int, is_ready: bool) -> tuple[bytes, ...]:
     """Encodes the response to a readiness query."""
-    return frame(READINESS_REPORT, stream, bytes((READY if yes else NOT_READY,)) + write_fields({}))
+    return frame(READINESS_REPORT, stream, bytes((READY if is_ready else NOT_READY,)) + write_fields({}))
 
 
 def no_more() -> tuple[bytes, ...]:
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -52,26 +52,26 @@
 class Receiver(Protocol):
     """Handles the events of one connection."""
 
-    def on_connected(self, link: Connection) -> None:
+    def on_connected(self, connection: Connection, /) -> None:
         """The connection is established."""
 
-    def on_data(self, link: Connection, data: memoryview) -> None:
+    def on_data(self, connection: Connection, data: memoryview, /) -> None:
         """Bytes have arrived; `data` is valid during the call only."""
 
-    def on_closed(self, link: Connection, ending: AttemptEnd) -> None:
+    def on_closed(self, connection: Connection, end: AttemptEnd, /) -> None:
         """The connection has ended; called once."""
 
 
 class NullReceiver:
     """The receiver of a connection that has ended: ignores everything."""
 
-    def on_connected(self, link: Connection) -> None:
+    def on_connected(self, connection: Connection, /) -> None:
         """Ignores the event."""
 
-    def on_data(self, link: Connection, data: memoryview) -> None:
+    def on_data(self, connection: Connection, data: memoryview, /) -> None:
         """Ignores the event."""
 
-    def on_closed(self, link: Connection, ending: AttemptEnd) -> None:
+    def on_closed(self, connection: Connection, end: AttemptEnd, /) -> None:
         """Ignores the event."""
 
 
@@ -263,7 +263,7 @@
             self.manager.finishing_count += 1
             self.manager.unflushed[self] = None
 
-    def close(self, ending: AttemptEnd) -> None:
+    def close(self, end: AttemptEnd) -> None:
         """Closes the connection now and notifies its receiver, once."""
         if self.is_closed:
             return
@@ -279,7 +279,7 @@
         self._release_socket()
         self.manager.unflushed.pop(self, None)
         self.manager.connections.pop(self, None)
-        self.receiver.on_closed(self, ending)
+        self.receiver.on_closed(self, end)
         self._count_queued(-self.queued_bytes)
         self.pending_frames.clear()
         self.buffered_frames.clear()
--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -61,10 +61,10 @@
         backlog_empty_at: No connection has waited in the listen backlog for longer (monotonic seconds).
     """
 
-    def __init__(self, tasks: TaskGroup, limits: ResourceLimits, poll: TimedSelector):
+    def __init__(self, task_group: TaskGroup, limits: ResourceLimits, selector: TimedSelector):
         super().__init__(limits.descriptors)
-        self.task_group = tasks
-        self.selector = poll
+        self.task_group = task_group
+        self.selector = selector
         self.on_call_failed: Callable[[Call, str, Remedy], None] = _ignore_call_failure
         self.calls = SocketCalls(lambda call, error, remedy: self.on_call_failed(call, error, remedy))
         self.shed_idle: Callable[[], None] = _shed_nothing
@@ -94,14 +94,14 @@
     # Connecting
 
     def connect(
-        self, receiver: Receiver, address: Address, within: float, needed: bool = False
+        self, receiver: Receiver, address: Address, timeout: float, needed: bool = False
     ) -> Connection:
         """Starts to connect.
 
         Args:
             receiver: Handles the events of the connection, also a failure to connect.
             address: The peer.
-            within: Seconds until the attempt to connect fails.
+            timeout: Seconds until the attempt to connect fails.
             needed: The connection may use the reserved descriptors.
 
         Returns:
@@ -111,20 +111,20 @@
         self.connections[connection] = None
 
         async def connect_and_read() -> None:
-            await self._connect(connection, address, within, needed)
+            await self._connect(connection, address, timeout, needed)
             self.flush()
             await connection.read_loop()
 
         self.task_group.start_soon(connection.run_task, connect_and_read, connection.cancel_scope)
         return connection
 
-    async def _connect(self, connection: Connection, address: Address, within: float, needed: bool) -> None:
+    async def _connect(self, connection: Connection, address: Address, max_wait: float, needed: bool) -> None:
         """Connects, or closes the connection with the reason.
 
         A shortage on this machine must not count against the peer: the attempt is repeated until its time is
         up.
         """
-        deadline = monotonic() + within
+        deadline = monotonic() + max_wait
         backoff = Backoff()
         while not connection.is_closed:
             remedy = await self._try_to_connect(connection, address, deadline, needed)
@@ -151,9 +151,9 @@
         remedy = self.calls.connect(connection.sock, address)
         if remedy is not Remedy.WAIT:
             return remedy
-        with anyio.move_on_after(max(0.0, deadline - monotonic())) as timeout:
+        with anyio.move_on_after(max(0.0, deadline - monotonic())) as scope:
             await self.calls.writable(connection.sock)
-        return Remedy.UNREACHABLE if timeout.cancelled_caught else self.calls.connected(connection.sock)
+        return Remedy.UNREACHABLE if scope.cancelled_caught else self.calls.connected(connection.sock)
 
     async def _open_socket(self, connection: Connection, needed: bool) -> Remedy:
         """Gives a connection a socket; if there is none, returns why."""
@@ -203,10 +203,10 @@
         listener: socket.socket,
         make_receiver: Callable[[], Receiver],
         reclaim_descriptor: DescriptorReclaimer,
-        within: float,
+        max_wait: float,
     ) -> None:
-        """Accepts what waits in the backlog and closes the listener, after `within` seconds at the latest."""
-        await Acceptor(self, listener, make_receiver, reclaim_descriptor).drain_backlog(within)
+        """Accepts what waits in the backlog and closes the listener, after `max_wait` seconds at most."""
+        await Acceptor(self, listener, make_receiver, reclaim_descriptor).drain_backlog(max_wait)
 
     def adopt(self, sock: socket.socket, receiver: Receiver) -> None:
         """Takes over an accepted socket and starts to read it."""
--- a/ironhinge/net/descriptor_budget.py
+++ b/ironhinge/net/descriptor_budget.py
@@ -66,10 +66,10 @@
         excess = self.descriptors_in_use() - RECLAIM_THRESHOLD * CLIENT_SHARE * self.descriptor_limit
         return max(1, int(excess))
 
-    def connections_per_upstream(self, nodes: int) -> int:
+    def connections_per_upstream(self, upstream_count: int) -> int:
         """Returns how many connections each upstream may have: an equal part of what clients may not use.
 
         Args:
-            nodes: Number of upstreams.
+            upstream_count: Number of upstreams that are connected.
         """
-        return max(1, int((1 - CLIENT_SHARE) * self.descriptor_limit) // max(1, nodes))
+        return max(1, int((1 - CLIENT_SHARE) * self.descriptor_limit) // max(1, upstream_count))
--- a/ironhinge/net/discovery_wire.py
+++ b/ironhinge/net/discovery_wire.py
@@ -46,9 +46,9 @@
 DiscoveryEvent = Keepalive | EndpointListUpdate | PurgeUpdate
 
 
-def hello(number: int) -> bytes:
+def hello(last_index: int) -> bytes:
     """Encodes what a client sends first: the index of the last event that it has."""
-    return number.to_bytes(INDEX_BYTES, "big")
+    return last_index.to_bytes(INDEX_BYTES, "big")
 
 
 def _decode_record(values: tuple[Any, ...]) -> EndpointRecord:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,6 +1,7 @@
 """Unix time while the wall clock is stepped, slewed or wrong."""
 
 import pytest
+from loguru import logger
 
 from ironhinge.net.clock import MILLISECOND, SECOND, Clock
 
@@ -75,3 +76,31 @@
     time.advance(100 * SECOND)
     assert time.clock.age_of_event(time.true_ms() - 90_000, 5 * SECOND) >= 90 * SECOND - 10
     assert time.elapsed - time.clock.start_instant(time.true_ms() - 90_000, 5 * SECOND) >= 90 * SECOND - 10
+
+
+@pytest.fixture
+def log_lines():
+    lines = []
+    sink = logger.add(lines.append, format="{message}")
+    yield lines
+    logger.remove(sink)
+
+
+def test_a_step_of_the_wall_clock_is_logged_once(log_lines):
+    time = FakeTime()
+    time.wall_error = 7 * SECOND
+    time.advance(5 * SECOND)
+    assert log_lines == ["wall_clock_stepped offset_s=7.0 followed=no\n"]
+
+
+@pytest.mark.parametrize(
+    ("wall_error", "line"),
+    [
+        (-60 * SECOND, "unix_time_corrected reason=event_in_future correction_s=60.0\n"),
+        (60 * SECOND, "unix_time_corrected reason=event_too_old correction_s=-60.0\n"),
+    ],
+)
+def test_a_correction_of_unix_time_is_logged_with_its_reason(log_lines, wall_error, line):
+    time = FakeTime(wall_error)
+    time.clock.age_of_event(time.true_ms(), time.elapsed)
+    assert log_lines == [line]
