--- a/ironhinge/net/acceptor.py
+++ b/ironhinge/net/acceptor.py
@@ -26,8 +26,8 @@
 class DescriptorReclaimer(Protocol):
     """Closes an idle client's connection to free its descriptor; False if there is none to close."""
 
-    def __call__(self, pressing: bool) -> bool:
-        """Closes one connection; `pressing`: no descriptor is left."""
+    def __call__(self, is_full: bool, /) -> bool:
+        """Closes one connection; `is_full`: no descriptor is left."""
 
 
 class AcceptingHost(Protocol):
@@ -128,7 +128,7 @@
         self._listener.close()
 
     async def _wait_for_descriptor(self) -> None:
-        self._log_shortage(f"{self._host.open_sockets} connections are open")
+        self._log_shortage(f"full open_sockets={self._host.open_sockets}")
         while self._reclaim_descriptor(True):
             pass
         await anyio.sleep(FULL_RETRY_INTERVAL)
@@ -140,7 +140,7 @@
         if remedy is Remedy.SKIP:
             await lowlevel.checkpoint()
         elif remedy is Remedy.DESCRIPTORS:
-            self._log_shortage("the system has no descriptor left")
+            self._log_shortage("system_out_of_descriptors")
             self._reclaim_descriptor(True)
             await anyio.sleep(self._backoff.next())
         elif remedy is Remedy.PAUSE:
@@ -163,7 +163,7 @@
     def _log_shortage(self, reason: str) -> None:
         """Logs the start of a shortage, once."""
         if not self._host.is_short_of_descriptors:
-            logger.warning("accepting pauses: {}", reason)
+            logger.warning("accepting_paused reason={}", reason)
             self._host.is_short_of_descriptors = True
 
     def _log_recovery(self) -> None:
--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -122,7 +122,7 @@
         self._health_check_count += 1
         upstream = self.pool.upstreams[command.endpoint_id]
         check = UpstreamOperation(f"probe-{self._health_check_count}", upstream, self._clock.now())
-        frame = (upstream_wire.busy(check.operation_id),)
+        frame = (upstream_wire.encode_health_check(check.operation_id),)
         self._start(check, check.started_at + self._config.transport.connect_timeout, lambda: frame)
 
     def _start(
@@ -151,7 +151,7 @@
         if attempt.is_finished:
             return ()
         set_time_left(fields, attempt.deadline - now)
-        return (upstream_wire.want(attempt.operation_id, fields, attempt.request.body),)
+        return (upstream_wire.encode_request(attempt.operation_id, fields, attempt.request.body),)
 
     def finish_operation(
         self,
@@ -207,7 +207,7 @@
         self._diagnostics.counters[end.name] += 1
         if end not in DELIVERED:
             self._diagnostics.event_log.record(
-                EventKind.ATTEMPT_ENDED, request.request_id, end.name, attempt.upstream.id
+                EventKind.ATTEMPT_FAILED, request.request_id, end.name, attempt.upstream.id
             )
         request.attempt = None
         if end is AttemptEnd.SERVED and answer is not None:
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -198,7 +198,7 @@
             self.phase = Phase.ANNOUNCED
             self.close_cause = cause
             self.connection.write(client_wire.no_more())
-            self._record(EventKind.CLIENT_ANNOUNCED)
+            self._record(EventKind.CLIENT_GOAWAY_SENT)
         if notice is None:
             self.close_not_before, self.quiet_period = None, 0
         elif self.close_not_before is None:
@@ -320,7 +320,7 @@
         self._host.on_client_closed(self)
         self._record(EventKind.CLIENT_CLOSED, end.name)
         if connection.discarded_bytes:
-            self._record(EventKind.REQUEST_UNREAD, f"{connection.discarded_bytes} bytes")
+            self._record(EventKind.INPUT_DISCARDED, f"{connection.discarded_bytes} bytes")
         for request in list(self.open_requests.values()):
             self._host.event_log.record(
                 EventKind.REQUEST_UNANSWERED, request.request_id, end.name, self._name()
--- a/ironhinge/net/diagnostics.py
+++ b/ironhinge/net/diagnostics.py
@@ -34,7 +34,7 @@
 
     def on_call_failed(self, call: Call, error: str, remedy: Remedy) -> None:
         """A system call failed otherwise than calls do on an ordinary day."""
-        self.event_log.record(EventKind.CALL_FAILED, call.name, error, remedy.name)
+        self.event_log.record(EventKind.SYSTEM_CALL_FAILED, call.name, error, remedy.name)
         text = f"system_call_failed call={call.name.lower()} error={error} remedy={remedy.name.lower()}"
         self.warn(f"{call.name} {error}", text)
         if remedy is Remedy.BUG:
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -151,7 +151,7 @@
         now = self.clock.now()
         if self.admission_deadline is not None and now > self.admission_deadline:
             # hardly any time is left: it is answered at once, and sent nowhere
-            self.event_log.record(EventKind.REQUEST_REFUSED, f"client {client.number}", "shutdown")
+            self.event_log.record(EventKind.REQUEST_REJECTED, f"client {client.number}", "shutdown")
             client.connection.write(client_wire.answer(message.stream, client_wire.DENIED, {}))
             return
         try:
@@ -192,7 +192,7 @@
             return
         request.is_closed = request.client_left = True
         self.diagnostics.counters["clients_left"] += 1
-        self.event_log.record(EventKind.REQUEST_LEFT, request.request_id, "client")
+        self.event_log.record(EventKind.REQUEST_CANCELLED, request.request_id, "client")
         self.report(ClientDisconnected(request.request_id))
         if request.attempt is not None and request.attempt.withdraw():
             # also where the settings allow no cancellation of what has begun: what waits for its connection
@@ -217,7 +217,7 @@
         outcome = client_wire.CODES[code]
         self.diagnostics.counters[outcome] += 1
         if code != client_wire.DONE:
-            kind = EventKind.REQUEST_REFUSED if code == client_wire.DENIED else EventKind.REQUEST_FAILED
+            kind = EventKind.REQUEST_REJECTED if code == client_wire.DENIED else EventKind.REQUEST_FAILED
             self.event_log.record(kind, request_id, f"after {request.attempt_count} attempts")
         logger.debug(
             "request_finished request={} outcome={} attempts={}", request_id, outcome, request.attempt_count
--- a/ironhinge/net/event_log.py
+++ b/ironhinge/net/event_log.py
@@ -33,14 +33,6 @@
     INPUT_DISCARDED = "input_discarded"  # bytes arrived after our side was shut down
     ATTEMPT_FAILED = "attempt_failed"  # an attempt ended without a response to deliver
 
-    # earlier names of the members above
-    CALL_FAILED = SYSTEM_CALL_FAILED
-    CLIENT_ANNOUNCED = CLIENT_GOAWAY_SENT
-    REQUEST_REFUSED = REQUEST_REJECTED
-    REQUEST_LEFT = REQUEST_CANCELLED
-    REQUEST_UNREAD = INPUT_DISCARDED
-    ATTEMPT_ENDED = ATTEMPT_FAILED
-
 
 class Event(NamedTuple):
     """One event.
--- a/ironhinge/net/upstream.py
+++ b/ironhinge/net/upstream.py
@@ -135,7 +135,7 @@
         two must not be in flight together: so this is written at once and not just queued.
         """
         self.retired_ids[operation.operation_id] = operation.deadline + SECOND
-        return self.connection.write_now((upstream_wire.never_mind(operation.operation_id),))
+        return self.connection.write_now((upstream_wire.encode_cancel(operation.operation_id),))
 
     def is_idle(self) -> bool:
         """Whether it is up and carries nothing."""
--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -16,13 +16,10 @@
     "UnparsableError",
     "UpstreamAnswer",
     "UpstreamWire",
-    "busy",
     "command",
     "encode_cancel",
     "encode_health_check",
     "encode_request",
-    "never_mind",
-    "want",
 ]
 
 CRLF = b"\r\n"
@@ -122,12 +119,6 @@
     return command(COMMAND_HEALTH_CHECK, operation_id.encode())
 
 
-# earlier names of the functions above
-want = encode_request
-never_mind = encode_cancel
-busy = encode_health_check
-
-
 def _decode_load_report(text: str) -> dict[str, float]:
     report = {}
     for part in text.split(";"):
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -53,7 +53,7 @@
     return b"".join(client_wire.frame(7, stream, client_wire.write_fields(fields)))
 
 
-def no_room(pressing):
+def no_room(is_full):
     """Nobody can be ended to make room."""
     return False
 
@@ -380,7 +380,7 @@
             driver, heard = ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()), []
             listener = listen(Address("127.0.0.1", 0))
             at = listener.getsockname()
-            tasks.start_soon(driver.accept, listener, Heard, lambda pressing: False)
+            tasks.start_soon(driver.accept, listener, Heard, no_room)
             await anyio.wait_all_tasks_blocked()
             peers = [socket.create_connection(at) for _ in range(3)]  # no turn for accept
             await driver.close_listener(listener, lambda: heard.append(Heard()) or heard[-1], no_room, 5.0)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -382,7 +382,7 @@
         assert client.answer(stream)[0] in (DONE, DENIED)
     other = FakeClient(one.program.port)
     assert other.answer(other.ask(patience=900))[0] in (DONE, DENIED) and one.program.process.poll() is None
-    assert "accepting pauses" in one.program.text()
+    assert "accepting_paused" in one.program.text()
 
 
 def test_a_feed_that_cant_be_read_is_called_again(world):
