--- a/ironhinge/routing/cache_selection.py
+++ b/ironhinge/routing/cache_selection.py
@@ -60,9 +60,10 @@
     def select_cache(self, now: int, request: RequestState, checked: dict[Upstream, bool]) -> CacheChoice:
         """The first eligible caches, given those that were checked already."""
         first = None
+        is_restricted = request.may_have_run is not None  # before that, every cache is allowed
         failed, tried, is_eligible = request.failed, request.tried, self._eligibility.is_eligible
         for cache in self._upstreams.candidates.in_order(request.hash_key):
-            if cache in failed or not may_retry_on(now, request, cache):
+            if cache in failed or (is_restricted and not may_retry_on(now, request, cache)):
                 continue
             if not (checked[cache] if cache in checked else is_eligible(now, request, cache)):
                 continue
--- a/ironhinge/routing/congestion_estimate.py
+++ b/ironhinge/routing/congestion_estimate.py
@@ -65,5 +65,9 @@
         if not self.weighted_in_flight:
             return seen
         uncongested = self.uncongested_in_flight * fade
-        in_flight_then = max(self.weighted_in_flight / self.expected_time, uncongested)
-        return max(1.0, seen * max(in_flight, uncongested) / in_flight_then)
+        in_flight_then = self.weighted_in_flight / self.expected_time
+        # comparisons, as this runs for each cache that is checked and a call of max costs more than the rest
+        most_now = in_flight if in_flight > uncongested else uncongested
+        most_then = in_flight_then if in_flight_then > uncongested else uncongested
+        slowdown = seen * most_now / most_then
+        return slowdown if slowdown > 1.0 else 1.0
--- a/ironhinge/routing/liveness.py
+++ b/ironhinge/routing/liveness.py
@@ -26,6 +26,8 @@
         A fill source is only suspected where the cache that asked it is alive. An upstream that is found
         unresponsive may come back warming up before the endpoint list says so.
         """
+        if not upstream.in_flight:
+            return False
         last_response_at = upstream.last_response_at
         for attempt in reversed(upstream.in_flight.values()):  # the latest first
             if attempt.sent_at < last_response_at:
