--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -19,7 +19,7 @@
 from ironhinge.net.director import Director
 from ironhinge.net.socket_calls import datagrams
 from ironhinge.net.timed_selector import TimedSelector
-from ironhinge.routing.router import Router
+from ironhinge.routing import Router
 
 from .helpers import PATIENCE, FakeNode, configuration, endpoint, resp
 
@@ -433,7 +433,7 @@
                 listed(i + 2, new, endpoint(f"s-{i + 15:08x}", "127.0.0.1:9", status="DELETED"))
             )
             director.close_idle_connections()
-        assert len(director.pool.upstreams) == len(router.nodes) == 3
+        assert len(director.pool.upstreams) == len(router.upstreams.by_id) == 3
 
     play(router, scene)
 
--- a/tests/test_local_copies.py
+++ b/tests/test_local_copies.py
@@ -54,11 +54,11 @@
     )
     router_under_test.handle(0, req("s"))
     assert router_under_test.handle(10, interface.LocalCopyFinished("s", True)) == []
-    assert "s" not in router_under_test.reqs
+    assert "s" not in router_under_test.requests
     router_under_test.handle(0, req("t"))
     router_under_test.handle(1, interface.ClientDisconnected("t"))
     assert router_under_test.handle(10, interface.LocalCopyFinished("t", False)) == []
-    assert "t" not in router_under_test.reqs
+    assert "t" not in router_under_test.requests
     assert router_under_test.handle(11, interface.LocalCopyFinished("t", False)) == []
 
 
--- a/tests/test_traffic_budgets.py
+++ b/tests/test_traffic_budgets.py
@@ -107,7 +107,7 @@
                 fills += 1
                 break
             ledger.handle(0, AttemptEnded(command.request_id, "miss", 0, None, 1, False))
-            number_of_attempt = one.reqs[command.request_id].dispatches - 1
+            number_of_attempt = one.requests[command.request_id].attempt_count - 1
             commands = one.handle(0, outcome(command, "miss", number_of_attempt))
         if commands and type(commands[0]) is interface.RejectRequest:
             rejected += 1
@@ -131,7 +131,7 @@
         commands = plain.handle(step * 50, event)
         assert watched.handle(step * 50, event) == commands
         in_flight += [
-            (command, plain.reqs[command.request_id].dispatches - 1)
+            (command, plain.requests[command.request_id].attempt_count - 1)
             for command in commands
             if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill)
         ]
