--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -10,7 +10,7 @@
 from .congestion import CongestionControl
 from .liveness import LivenessMonitor
 from .outlier_detection import OutlierDetector
-from .request_state import RequestState
+from .request_state import ROUND_TRIP_BATCHES, RequestState
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Attempt, Upstream
 
@@ -108,4 +108,4 @@
 
     def _is_too_quick_for_source(self, event: AttemptFinished) -> bool:
         """Whether the answer came too soon for a source to have been asked."""
-        return event.duration <= 2 * self._deployment.time_granularity
+        return event.duration <= ROUND_TRIP_BATCHES * self._deployment.time_granularity
--- a/ironhinge/routing/outlier_detection.py
+++ b/ironhinge/routing/outlier_detection.py
@@ -17,8 +17,9 @@
 RECOVERY_FACTOR = 0.5  # of the failure rate of an ejected upstream, for each success of its trials
 MIN_EJECTION = 0.25  # length of the first ejection, in longest client timeouts; each next is twice as long
 MAX_EJECTION = 4.0  # of the same
-MIN_JITTER = 0.75  # ejections are spread from this to 1.25 of their length, so that routers' trials fall
-# apart in time
+# Ejections are spread from 0.75 to 1.25 of their length, so that the trials of many routers do not coincide.
+MIN_JITTER = 0.75
+JITTER_RANGE = 0.5
 
 
 class OutlierDetector:
@@ -59,5 +60,5 @@
             return
         upstream.failure_rate = max(upstream.failure_rate, EJECTION_FAILURE_RATE)
         upstream.ejection_length = min(MAX_EJECTION, max(MIN_EJECTION, 2 * upstream.ejection_length))
-        length = upstream.ejection_length * (MIN_JITTER + self._random.next_float() / 2)
+        length = upstream.ejection_length * (MIN_JITTER + JITTER_RANGE * self._random.next_float())
         upstream.ejected_until = now + int(length * self._longest_client_timeout)
--- a/ironhinge/routing/request_state.py
+++ b/ironhinge/routing/request_state.py
@@ -7,6 +7,8 @@
 from .request_rates import AdmissionRank, ObjectKey
 from .upstreams import Attempt, Path, Upstream
 
+# An attempt and its result each wait for a batch of events; batches are the time granularity apart.
+ROUND_TRIP_BATCHES = 2
 PRIOR_TRANSFERS = 20  # transfers that the first guess of a class's transfer time, its target, counts for
 
 
--- a/ironhinge/routing/retries.py
+++ b/ironhinge/routing/retries.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from ..interface import DedupScope, Idempotency
-from .request_state import RequestState
+from .request_state import ROUND_TRIP_BATCHES, RequestState
 from .upstreams import Upstream
 
 ATTEMPT_TIME_MULTIPLE = 1.5  # an attempt may take this many times its transfer time before it can time out
@@ -44,7 +44,7 @@
     An attempt that can be repeated leaves time for another one before the client gives up, in case its
     upstream never answers.
     """
-    last = request.client_deadline - 2 * time_granularity
+    last = request.client_deadline - ROUND_TRIP_BATCHES * time_granularity
     if not request.request_class.is_idempotent:
         return last
     time_for_another = int(ATTEMPT_TIME_MULTIPLE * request.transfer_time)
--- a/ironhinge/routing/router.py
+++ b/ironhinge/routing/router.py
@@ -50,7 +50,7 @@
 from .outlier_detection import OutlierDetector
 from .purges import PurgeLog
 from .request_rates import NOT_KEPT, AdmissionRank, RecentRequests
-from .request_state import RequestClassState, RequestState
+from .request_state import ROUND_TRIP_BATCHES, RequestClassState, RequestState
 from .retries import may_retry_on
 from .slow_start import SlowStart
 from .upstream_registry import UpstreamRegistry
@@ -176,7 +176,8 @@
         max_age = self.purges.max_copy_age(now, request) or freshness_lifetime
         if max_age and age > max_age:
             return False
-        return now + 2 * self.deployment.time_granularity < request.client_deadline
+        round_trip = ROUND_TRIP_BATCHES * self.deployment.time_granularity
+        return now + round_trip < request.client_deadline
 
     def on_local_copy(self, now: int, event: LocalCopyFinished) -> None:
         """Routes a request whose local copy could not be read in time: nothing but that time is lost."""
@@ -262,7 +263,7 @@
         deployment = self.deployment
         if request.attempt_count >= deployment.max_attempts:
             return False
-        shortest = max(request.transfer_time, 2 * deployment.time_granularity)
+        shortest = max(request.transfer_time, ROUND_TRIP_BATCHES * deployment.time_granularity)
         return now + shortest < request.client_deadline
 
     def _plan_attempt(self, now: int, request: RequestState) -> AttemptPlan | None:
--- a/ironhinge/routing/slow_start.py
+++ b/ironhinge/routing/slow_start.py
@@ -113,6 +113,7 @@
         routers, window = limits.routers, self._overload_window
         rate = self._allowed_rate(now, upstream, limits)
         most_requests = rate * routers * window / cost  # of all routers together, within the window
+        # half of what the rule leaves besides, which is (1 - SAFETY_SHARE) n + 2 sqrt(n) + 2 for n requests
         max_tokens = cost * ((1 - SAFETY_SHARE) * most_requests / 2 + most_requests**0.5 + 1) / routers
         if upstream.tokens is None:
             tokens = -self._random.next_float() * cost
