--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,7 @@
 """A small deployment, random happenings for it, the slow plain model of the rules, and stand-ins for all that
 a director talks to."""
 
+import contextlib
 import json
 import os
 import queue
@@ -45,43 +46,43 @@
         )
         for i, (idempotency, dedup_scope) in enumerate(IDEMPOTENCY)
     )
-    facts = dict(
-        request_classes=vhosts,
-        zone=0,
-        router_count=2,
-        local_router_count=2,
-        hub_by_zone=(1, 1),
-        ingress_bandwidth=(),
-        parent_kind=PARENT,
-        origin_kind=ORIGIN,
-        direct_to_source=True,
-        sibling_fill="location",
-        coalesces_fills=True,
-        fill_note_level="all",
-        transfer_rate=5000.0,
-        weight_kind="rough",
-        load_report_fields=("in_hand",),
-        watch_required=False,
-        discovery_poll_interval=0,
-        max_attempts=6,
-        health_checks_allowed=False,
-        gossip_allowed=False,
-        cancellation_allowed=True,
-        max_retry_after=10000,
-        slow_start_min_share=0.2,
-        slow_start_duration=150000,
-        overload_multiple=2.0,
-        overload_window=20000,
-        parent_slow_start_min_share=0.1,
-        parent_slow_start_duration=200000,
-        parent_overload_multiple=2.0,
-        origin_overload_multiple=2.5,
-        drain_grace=5000,
-        purge_grace=3000,
-        purge_retention=60000,
-        time_granularity=20,
-        prices=(),
-    )
+    facts = {
+        "request_classes": vhosts,
+        "zone": 0,
+        "router_count": 2,
+        "local_router_count": 2,
+        "hub_by_zone": (1, 1),
+        "ingress_bandwidth": (),
+        "parent_kind": PARENT,
+        "origin_kind": ORIGIN,
+        "direct_to_source": True,
+        "sibling_fill": "location",
+        "coalesces_fills": True,
+        "fill_note_level": "all",
+        "transfer_rate": 5000.0,
+        "weight_kind": "rough",
+        "load_report_fields": ("in_hand",),
+        "watch_required": False,
+        "discovery_poll_interval": 0,
+        "max_attempts": 6,
+        "health_checks_allowed": False,
+        "gossip_allowed": False,
+        "cancellation_allowed": True,
+        "max_retry_after": 10000,
+        "slow_start_min_share": 0.2,
+        "slow_start_duration": 150000,
+        "overload_multiple": 2.0,
+        "overload_window": 20000,
+        "parent_slow_start_min_share": 0.1,
+        "parent_slow_start_duration": 200000,
+        "parent_overload_multiple": 2.0,
+        "origin_overload_multiple": 2.5,
+        "drain_grace": 5000,
+        "purge_grace": 3000,
+        "purge_retention": 60000,
+        "time_granularity": 20,
+        "prices": (),
+    }
     return interface.Deployment(**{**facts, **other})
 
 
@@ -397,10 +398,8 @@
             threading.Thread(target=self._guarded, args=(conn,), daemon=True).start()
 
     def _guarded(self, conn):
-        try:
+        with contextlib.suppress(OSError, EOFError, ValueError):
             self.serve(conn)
-        except (OSError, EOFError, ValueError):
-            pass
 
     def refuse(self):
         """Takes no more connections, and resets those that it has."""
@@ -412,15 +411,13 @@
 
 def reset(conn):
     conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    try:
+    with contextlib.suppress(OSError):
         conn.shutdown(socket.SHUT_RD)
-    except OSError:
-        pass
     conn.close()
 
 
 def body_of(obj, part):
-    return ("%s/%s " % (obj, part)).encode() * 400
+    return (f"{obj}/{part} ").encode() * 400
 
 
 class FakeNode(StandIn):
@@ -538,7 +535,7 @@
         self.stream += 1
         values = {
             "route": "film",
-            "trace": "%016x" % self.traces.getrandbits(64),
+            "trace": f"{self.traces.getrandbits(64):016x}",
             "patience": "15000",
             "entity": "7f3a9c21e0b4d655",
             "part": "3",
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -113,7 +113,8 @@
 
     async def scene(director, client, until):
         director.admit(client, came(1))
-        assert client.connection.frames == [b"".join(client_wire.answer(1, 3, {}))] and not director.requests
+        assert client.connection.frames == [b"".join(client_wire.answer(1, 3, {}))]
+        assert not director.requests
         director.admit(client, came(2))
         director.manager.flush()
         await until(lambda: len(client.connection.frames) == 2)
@@ -136,11 +137,9 @@
         director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
         assert client.connection.frames == [b"".join(client_wire.answer(1, 2, {"pause": "5"}))]
-        assert (
-            script.got(interface.AttemptFinished)[0].request_closed
-            and not director.requests
-            and not client.open_requests
-        )
+        assert script.got(interface.AttemptFinished)[0].request_closed
+        assert not director.requests
+        assert not client.open_requests
 
     play(script, scene)
 
@@ -155,8 +154,9 @@
         await until(lambda: script.got(interface.AttemptFinished))
 
     play(script, scene, (node, FakeNode()))
-    word, name, fields, _ = node.next()
-    assert name == TRACE and 8900 < int(fields.pop("ms")) <= 9000
+    _word, name, fields, _ = node.next()
+    assert name == TRACE
+    assert 8900 < int(fields.pop("ms")) <= 9000
     assert fields == {
         "kind": "film",
         "obj": "7f3a9c21e0b4d655",
@@ -172,7 +172,7 @@
     assert (end.result, end.request_closed, end.fill_note, end.load_report) == ("done", True, 1, None)
 
 
-@pytest.mark.parametrize("route, result", [("order", "done"), ("film", "error")])
+@pytest.mark.parametrize(("route", "result"), [("order", "done"), ("film", "error")])
 def test_only_copies_have_a_tag_and_a_date(route, result):
     """What answers a write is no copy; a read's bytes without them can't be told from spoilt ones."""
     node = FakeNode(lambda told: resp(told[1], "ACK", "res=h", b"written"))
@@ -234,16 +234,15 @@
         elif news == "move":
             event = {"index": 2, "endpoints": {"endpoints": [endpoint("s-00000001", "127.0.0.1:9")]}}
         elif news == "other":
-            event = {"index": 2, "evict": {"ref": "%016x" % 5, "unix_ms": 5}}
+            event = {"index": 2, "evict": {"ref": f"{5:016x}", "unix_ms": 5}}
         else:
             which = {"ref": "7f3a9c21e0b4d655"} if news == "purge" else {"shard": 17}
             event = {"index": 2, "evict": {**which, "unix_ms": 5}}
         told = read_director_config(configuration([], updates=[event]))
         director.discovery.apply(told.known[1])
         taken = [end.result for end in script.got(interface.AttemptFinished)]
-        assert taken == ([] if news == "other" else ["unsent"]) and bool(
-            waiting.connection.pending_frames
-        ) is (news == "other")
+        assert taken == ([] if news == "other" else ["unsent"])
+        assert bool(waiting.connection.pending_frames) is (news == "other")
 
     play(script, scene)
 
@@ -272,7 +271,9 @@
     play(script, scene, (node, node))
     assert [what.token for what in script.got(interface.TimerFired)] == ["a", "b"]
     (end,) = script.got(interface.AttemptFinished)
-    assert end.result == "timeout" and end.duration >= 390 and not end.request_closed
+    assert end.result == "timeout"
+    assert end.duration >= 390
+    assert not end.request_closed
     assert node.next("never_mind")[1] == TRACE
 
 
@@ -317,19 +318,17 @@
             director.attempts.abandon(req.attempt, AttemptEnd.TIMED_OUT)
         links = [each.connection for node in director.pool.upstreams.values() for each in node.connections]
         queued = [b"".join(frame.render()) for link in links for frame in link.pending_frames]
-        assert (
-            first.connection.is_closed
-            and first.connection.inbound.size == first.connection.outbound.size == 0
-        )
-        assert any(other.encode() in each for each in queued) and not any(
-            b"never_mind" in each for each in queued
-        )
+        assert first.connection.is_closed
+        assert first.connection.inbound.size == first.connection.outbound.size == 0
+        assert any(other.encode() in each for each in queued)
+        assert not any(b"never_mind" in each for each in queued)
 
     play(script, scene, nodes)
     reading.set()
     assert [end.result for end in script.got(interface.AttemptFinished)][:2] == ["timeout", "timeout"]
     if not stuck:
-        assert nodes[0].next("never_mind")[1] == TRACE and nodes[1].next("never_mind")[1] == other
+        assert nodes[0].next("never_mind")[1] == TRACE
+        assert nodes[1].next("never_mind")[1] == other
 
 
 def test_probes_and_datagrams():
@@ -372,10 +371,8 @@
         assert not director.requests
 
     play(script, scene, (node, node))
-    assert (
-        script.got(interface.AttemptFinished)[0].result == RESULTS[AttemptEnd.NOT_SENT]
-        and node.commands.empty()
-    )
+    assert script.got(interface.AttemptFinished)[0].result == RESULTS[AttemptEnd.NOT_SENT]
+    assert node.commands.empty()
 
 
 def test_a_wait_before_reading_counts_against_the_clients_patience():
@@ -389,7 +386,8 @@
         director.admit(client, came(2, patience="900", trace=TRACE[::-1]))
 
     first, second = (what.time_remaining for what in play(script, scene).got(interface.RequestReceived))
-    assert 7000 < first <= 7500 and 6000 < second <= 6500  # of 200 ms, and 100 more, the protocol leaves 50
+    assert 7000 < first <= 7500
+    assert 6000 < second <= 6500
 
 
 def test_a_start_told_again_is_the_same_instant():
@@ -496,7 +494,8 @@
         director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 4)
         director.admit(client, came(5, trace=f"{4:016x}"))
-        assert len(links) == 3 and sum(len(each.operations) for each in links) == 1
+        assert len(links) == 3
+        assert sum(len(each.operations) for each in links) == 1
 
     play(script, scene, nodes)
 
@@ -560,11 +559,14 @@
         def left():
             return [clients.index(one) for one in director.clients if one.phase is Phase.OPEN]
 
-        assert director.clients.reclaim_descriptor(False) and left() == [0, 1, 3, 4]
+        assert director.clients.reclaim_descriptor(False)
+        assert left() == [0, 1, 3, 4]
         assert not director.clients.reclaim_descriptor(False)
         director.manager.max_concurrent_closes = lambda: len(clients)  # as many as may be
-        assert director.clients.reclaim_descriptor(True) and left() == [0, 3, 4]
+        assert director.clients.reclaim_descriptor(True)
+        assert left() == [0, 3, 4]
         clients[3].on_data(clients[3].connection, memoryview(b"".join(client_wire.frame(9, 1))))
-        assert left() == [0, 4, 3] and not director.clients.reclaim_descriptor(True)
+        assert left() == [0, 4, 3]
+        assert not director.clients.reclaim_descriptor(True)
 
     play(script, scene)
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    "call, name",
+    ("call", "name"),
     [
         ("send", "ENOBUFS"),
         ("send", "ENOMEM"),
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    "call, name",
+    ("call", "name"),
     [
         ("connect", "EADDRNOTAVAIL"),
         ("connect", "ENETUNREACH"),
@@ -128,13 +128,14 @@
     """Ports, routes and buffers of this machine that are short for a moment: the node is asked anyway."""
     log = str(tmp_path / "failed")
     rule = {"call": call, "errno": name, "share": 0.5, "side": "made"}
-    program, node, _ = faulty({"calls": [rule], "log": log})
+    program, _node, _ = faulty({"calls": [rule], "log": log})
     client = FakeClient(program.port)
     for i in range(60):
         assert client.answer(client.ask(entity=f"{i:016x}", patience=3000))[0] == SERVED
     assert failed_calls(log)
     logged = program.text()
-    assert "REFUSED" not in logged and "NEVER_UP" not in logged
+    assert "REFUSED" not in logged
+    assert "NEVER_UP" not in logged
 
 
 @pytest.mark.parametrize("call", ["send", "recv_into"])
@@ -205,7 +206,8 @@
     first = client.sock.recv(1, socket.MSG_PEEK)  # the director's word that it ends, or the end itself
     time.sleep(SLOW_PATH)
     stream = client.ask()
-    assert first and client.answer(stream)[0] in ANSWERS
+    assert first
+    assert client.answer(stream)[0] in ANSWERS
 
 
 def purge_record(obj):
@@ -247,4 +249,5 @@
             assert all(client.answer(stream)[0] in ANSWERS for stream in streams)
             streams = []
     # at 20 transfers at full pace, a fifth of it cold, three times that: 12 at 80 ms each in its first second
-    assert len(cold.wanted) <= 40 and len(node.wanted) >= 100
+    assert len(cold.wanted) <= 40
+    assert len(node.wanted) >= 100
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -118,13 +118,16 @@
         link.send_pending()
         assert link.write_wait is not None  # the system takes no more
         begun = [frame for frame in frames if not link.withdraw(frame)]
-        assert 0 < len(begun) < 15 and begun == frames[: len(begun)]
+        assert 0 < len(begun) < 15
+        assert begun == frames[: len(begun)]
         last = link.write([b"last"])
         link.finish()
         link.manager.flush()
         data = await all_of(peer)
         expected = b"".join(bytes([65 + i]) * 3000 + b"." for i in range(len(begun)))
-        assert data == expected + b"last" and link.is_written(last) and not link.manager.queued_bytes
+        assert data == expected + b"last"
+        assert link.is_written(last)
+        assert not link.manager.queued_bytes
 
     connected(scene)
 
@@ -148,7 +151,8 @@
 
     play(script, scene, (node, node))
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["unsent", "done"]
-    assert node.next()[1] == TRACE[::-1] and node.wanted == {TRACE[::-1]}
+    assert node.next()[1] == TRACE[::-1]
+    assert node.wanted == {TRACE[::-1]}
 
 
 @pytest.mark.parametrize("by", ["sweep", "crowd"])
@@ -308,7 +312,8 @@
     until = time.monotonic() + PATIENCE
     while "config_reload_failed kept=old" not in program.text() and time.monotonic() < until:
         time.sleep(0.01)
-    assert FakeClient(program.port).is_ready() and "config_reload_failed kept=old" in program.text()
+    assert FakeClient(program.port).is_ready()
+    assert "config_reload_failed kept=old" in program.text()
 
 
 @pytest.mark.parametrize("named", ["digest=aaaa", "res=h"])
@@ -386,7 +391,8 @@
             await anyio.wait_all_tasks_blocked()
             peers = [socket.create_connection(at) for _ in range(3)]  # no turn for accept
             await driver.close_listener(listener, lambda: heard.append(Heard()) or heard[-1], no_room, 5.0)
-            assert len(heard) == 3 and all(each.link.is_connected for each in heard)
+            assert len(heard) == 3
+            assert all(each.link.is_connected for each in heard)
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(at)
             for peer in peers:
@@ -461,7 +467,8 @@
         with pytest.raises(EOFError):  # and not a reset
             client.frame()
         client.sock.close()
-    assert program.process.wait(timeout=PATIENCE) == 0 and time.monotonic() - began < 2.0
+    assert program.process.wait(timeout=PATIENCE) == 0
+    assert time.monotonic() - began < 2.0
     assert len(node.wanted) == 1
 
 
@@ -569,7 +576,8 @@
     assert [end.result for end in script.got(interface.AttemptFinished)] == [
         "done",
         "unsent",
-    ] and node.wanted == {other}
+    ]
+    assert node.wanted == {other}
 
 
 def test_the_time_an_attempt_names_is_what_is_left_when_it_is_written():
@@ -604,9 +612,8 @@
 
     play(script, scene)
     (end,) = script.got(interface.AttemptFinished)
-    assert (
-        end.result == "unsent" and end.duration < 10000
-    )  # long before its time-out, which would say the same
+    assert end.result == "unsent"
+    assert end.duration < 10000
 
 
 def test_a_repeat_is_to_begin_within_the_window_of_the_first():
@@ -687,7 +694,8 @@
         async with anyio.create_task_group() as tasks:
             one, heard = ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()), Heard()
             await one.close_listener(Backlog(), lambda: heard, no_room, 5.0)
-            assert heard.link is not None and not Backlog.found
+            assert heard.link is not None
+            assert not Backlog.found
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -70,13 +70,17 @@
     client, (cache,) = one.client, one.caches
     first = client.answer(client.ask())
     assert first == (DONE, {}, body_of(OBJ, "3"))
-    word, trace, fields, _ = cache.next()
-    assert fields["kind"] == "film" and fields["obj"] == OBJ and fields["seg"] == "3"
-    assert 0 < int(fields["ms"]) <= 15000 and len(trace) == 16
+    _word, trace, fields, _ = cache.next()
+    assert fields["kind"] == "film"
+    assert fields["obj"] == OBJ
+    assert fields["seg"] == "3"
+    assert 0 < int(fields["ms"]) <= 15000
+    assert len(trace) == 16
     while "shelf" not in fields:
         client.answer(client.ask())
         fields = cache.next()[2]
-    assert fields["parent"] == "s-000000ff" and (OBJ, "3") in cache.held
+    assert fields["parent"] == "s-000000ff"
+    assert (OBJ, "3") in cache.held
     assert client.answer(client.ask(have="4be0c1927d55a6f3")) == (DONE, {"same": "1"}, b"")
     assert cache.next()[2]["got"] == "4be0c1927d55a6f3"
 
@@ -105,7 +109,7 @@
     cache = one.caches[0]
     one.client.answer(one.client.ask())
     assert 0 < int(cache.next()[2]["accept"]) <= time.time() * 1000 - now + 1
-    one.client.answer(one.client.ask(group=3, entity="%016x" % 5))
+    one.client.answer(one.client.ask(group=3, entity=f"{5:016x}"))
     assert "accept" not in cache.next()[2]
     then = int(time.time() * 1000)
     assert one.coordinator.hellos.get(timeout=PATIENCE)[0] == 2
@@ -113,7 +117,7 @@
     fields = {}
     until = time.monotonic() + PATIENCE
     while "accept" not in fields and time.monotonic() < until:
-        one.client.answer(one.client.ask(group=3, entity="%016x" % 5))
+        one.client.answer(one.client.ask(group=3, entity=f"{5:016x}"))
         fields = cache.next()[2]
     assert 0 < int(fields["accept"]) <= time.time() * 1000 - then + 1
 
@@ -133,7 +137,8 @@
     assert known == 2  # told again from there: it is in the module
     for i in range(12):
         assert one.client.answer(one.client.ask(entity=f"{i:016x}"))[0] == DONE
-    assert first.commands.empty() and second.commands.qsize() >= 12
+    assert first.commands.empty()
+    assert second.commands.qsize() >= 12
     coordinator.tell(3, 2, list_record(one.name(second), second.address, 2))
     coordinator.tell(4, 2, list_record(one.name(first), first.address, 0))
     while first.commands.empty() and time.monotonic() < until:
@@ -155,9 +160,12 @@
     streams = [one.client.ask(entity=f"{i:016x}", patience=1500) for i in range(8)]
     codes = [one.client.answer(stream)[0] for stream in streams]
     if trouble == "silent":  # the module may find it too late for another dispatch
-        assert bad.next("never_mind")[1] in bad.wanted and DONE in codes and ABORTED not in codes
+        assert bad.next("never_mind")[1] in bad.wanted
+        assert DONE in codes
+        assert ABORTED not in codes
     else:
-        assert codes == [DONE] * 8 and (trouble == "refused" or bad.wanted)
+        assert codes == [DONE] * 8
+        assert trouble == "refused" or bad.wanted
 
 
 def test_what_may_have_run_is_not_sent_again_but_what_never_ran_is(world):
@@ -166,14 +174,16 @@
     one = world([bad, good])
     ends = [one.client.answer(one.client.ask(route="order", entity=f"{i:016x}", part=None)) for i in range(8)]
     codes = [code for code, _, _ in ends]
-    assert codes.count(ABORTED) == len(bad.wanted) == 1 and codes.count(DONE) == 7
+    assert codes.count(ABORTED) == len(bad.wanted) == 1
+    assert codes.count(DONE) == 7
 
 
 def test_no_answer_in_time_is_one_denial_before_the_client_timeout(world):
     one = world([FakeNode(lambda told: None)])
     began = time.monotonic()
     stream = one.client.ask(patience=400)
-    assert one.client.answer(stream)[0] == DENIED and time.monotonic() - began > 0.1
+    assert one.client.answer(stream)[0] == DENIED
+    assert time.monotonic() - began > 0.1
     assert one.client.answer(one.client.ask(patience=0))[0] == DENIED
     assert stream not in one.client.early
 
@@ -193,7 +203,8 @@
     assert cache.next("never_mind")[1] == name
     late[0][3].sendall(ack(name, b"late"))  # crosses: nobody may get it
     cache.act = cache.answer
-    assert client.answer(client.ask())[0] == DONE and not client.early
+    assert client.answer(client.ask())[0] == DONE
+    assert not client.early
 
 
 def test_a_late_answer_is_not_taken_for_a_later_dispatch(world):
@@ -225,7 +236,9 @@
     one.client.sock.sendall(payload)
     assert one.client.answer(stream)[0] == ABORTED
     kind, on, text = one.client.frame()
-    assert (kind, on) == (8, 0) and text[0] == ABORTED and len(text) > 5
+    assert (kind, on) == (8, 0)
+    assert text[0] == ABORTED
+    assert len(text) > 5
     with pytest.raises(EOFError):
         one.client.frame()
     one.caches[0].act = one.caches[0].answer
@@ -234,7 +247,7 @@
 
 
 @pytest.mark.parametrize(
-    "field, value",
+    ("field", "value"),
     [
         ("trace", "12"),
         ("trace", None),
@@ -255,7 +268,8 @@
 )
 def test_reqs_that_cant_be_read_are_aborted_with_the_field_named(serving, field, value):
     code, _, text = serving.client.answer(serving.client.ask(**{field: value}))
-    assert code == ABORTED and f"'{field}'" in text.decode()
+    assert code == ABORTED
+    assert f"'{field}'" in text.decode()
     assert serving.client.answer(serving.client.ask())[0] == DONE
 
 
@@ -266,7 +280,8 @@
         one.client.ask(entity=f"{i:016x}", patience=500)
     one.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 0)
     ends = [one.client.frame() for _ in range(33)]
-    assert [end[:2] for end in ends].count((8, 0)) == 1 and len({end[1] for end in ends}) == 33
+    assert [end[:2] for end in ends].count((8, 0)) == 1
+    assert len({end[1] for end in ends}) == 33
     with pytest.raises(EOFError):
         one.client.frame()
 
@@ -279,7 +294,8 @@
     one.program.process.send_signal(signal.SIGTERM)
     assert one.client.frame()[:2] == (3, 0)
     late = FakeClient(one.program.port)  # connections still come
-    assert late.frame()[:2] == (3, 0) and not late.is_ready()
+    assert late.frame()[:2] == (3, 0)
+    assert not late.is_ready()
     streams.append(one.client.ask())  # and so do reqs
     told.append(one.caches[0].next())
     for each in told:
@@ -298,7 +314,8 @@
     assert [one.client.answer(stream)[0] for stream in streams] == [DENIED] * 2
     assert 1 < time.monotonic() - began < 3.7
     one.client.sock.close()
-    assert one.program.process.wait(timeout=PATIENCE) == 0 and time.monotonic() - began < 3.9
+    assert one.program.process.wait(timeout=PATIENCE) == 0
+    assert time.monotonic() - began < 3.9
 
 
 def test_sighup_follows_the_coordinator_and_a_bad_file_changes_nothing(world):
@@ -367,7 +384,8 @@
     one = world([FakeNode(act)])
     for i in range(40):
         crowd.append(one.client.answer(one.client.ask(entity=f"{i:016x}")))
-    assert crowd == [(DONE, {}, b"good")] * 40 and len(one.caches[0].wanted) == 40
+    assert crowd == [(DONE, {}, b"good")] * 40
+    assert len(one.caches[0].wanted) == 40
 
 
 @pytest.mark.parametrize("held", [False, True])
@@ -381,7 +399,8 @@
     for client, stream in zip(crowd, streams, strict=True):
         assert client.answer(stream)[0] in (DONE, DENIED)
     other = FakeClient(one.program.port)
-    assert other.answer(other.ask(patience=900))[0] in (DONE, DENIED) and one.program.process.poll() is None
+    assert other.answer(other.ask(patience=900))[0] in (DONE, DENIED)
+    assert one.program.process.poll() is None
     assert "accepting_paused" in one.program.text()
 
 
@@ -430,9 +449,12 @@
         for word_used in ("serve", "check"):
             got = command(word_used, "--config", str(path))
             assert got.returncode == 2 and len(got.stderr.splitlines()) == 1, got.stderr
-            assert word in got.stderr and str(path) in got.stderr
+            assert word in got.stderr
+            assert str(path) in got.stderr
     path.write_text(json.dumps(good))
     got = command("serve", "--config", str(path), "--listen", "192.0.2.1:7001")  # an address that is not ours
-    assert got.returncode == 1 and got.stderr.splitlines()[-1].startswith("ironhinge: 192.0.2.1:7001: ")
+    assert got.returncode == 1
+    assert got.stderr.splitlines()[-1].startswith("ironhinge: 192.0.2.1:7001: ")
     got = command("check", PROXY_CONFIG=str(path))
-    assert got.returncode == 0 and "1 node" in got.stdout
+    assert got.returncode == 0
+    assert "1 node" in got.stdout
