--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -173,7 +173,7 @@
         copy: Copy | None = None
         self._concurrent_reads += 1
         try:
-            with anyio.move_on_after(self.config.patience / TICKS_PER_SECOND) as scope:
+            with anyio.move_on_after(self.config.read_timeout / TICKS_PER_SECOND) as scope:
                 copy = await anyio.to_thread.run_sync(
                     self.store.get, key, limiter=self._read_limiter, abandon_on_cancel=True
                 )
@@ -187,7 +187,7 @@
         else:
             self.counters.hits += 1
             self._hit_count(request, self._body_sizes.estimate(request.size)).hits += 1
-        self.context.runner.late(copy is None)
+        self.context.runner.report_latency(copy is None)
         return copy
 
     def store_copy(self, request: interface.RequestReceived, tag: str, produced_at: int, body: bytes) -> None:
@@ -276,7 +276,7 @@
     def _open_store(self, directory: StoreDirectory) -> Store:
         config, context = self.config, self.context
         purge_retention_ms = context.deployment.purge_retention // _TICKS_PER_MS
-        limits = StoreLimits(config.room, config.segment, config.entries, purge_retention_ms)
+        limits = StoreLimits(config.capacity, config.segment_size, config.max_entries, purge_retention_ms)
         return Store(directory, context.director_name.encode(), limits, context.unix_ms)
 
     def _open_admission(self) -> Admission:
@@ -284,8 +284,8 @@
         config = self.config
         write_rate = float(config.write or 0)
         policy = AdmissionPolicy(
-            capacity=int(config.room * _ADMITTED_SHARE),
-            table_size=min(_MAX_RANKED_PARTS, config.entries),
+            capacity=int(config.capacity * _ADMITTED_SHARE),
+            table_size=min(_MAX_RANKED_PARTS, config.max_entries),
             object_share=config.object_share,
             class_share=config.class_share,
             write_rate=write_rate,
@@ -357,7 +357,7 @@
 
     def _write_status(self) -> None:
         """Replaces the status file in one step."""
-        state = {**self.status(), "jobs": self.context.runner.plan.plain(self.context.now())}
+        state = {**self.status(), "jobs": self.context.runner.scheduler.status(self.context.now())}
         try:
             partial = self.path / _PARTIAL_STATUS_FILE
             partial.write_text(json.dumps(state))
--- a/ironhinge/jobs/runner.py
+++ b/ironhinge/jobs/runner.py
@@ -70,7 +70,7 @@
             budgets: What background work may use.
             clock: Returns the present instant, in ticks of a tenth of a millisecond.
         """
-        self.plan = JobScheduler(budgets, clock())
+        self.scheduler = JobScheduler(budgets, clock())
         self._clock = clock
         self._iterators: dict[str, Iterator[int]] = {}
         self._ready: deque[RunSlice] = deque()
@@ -80,7 +80,7 @@
 
     def submit(self, job: Job, work: Work) -> None:
         """Has a job run, unless one of its name has not ended yet."""
-        if job.name not in self.plan.jobs:
+        if job.name not in self.scheduler.jobs:
             self._iterators[job.name] = work()
             self._handle(JobSubmitted(job))
 
@@ -88,7 +88,7 @@
         """Ends a job after the slice that is running, if any."""
         self._handle(CancelRequested(name))
 
-    def late(self, late: bool) -> None:
+    def report_latency(self, late: bool) -> None:
         """Reports whether a request was late; background work shrinks while requests are."""
         self._handle(LatencyReported(late))
 
@@ -104,7 +104,7 @@
                 self._handle(TimePassed())
 
     def _handle(self, event: Event) -> None:
-        for command in self.plan.handle(self._clock(), event):
+        for command in self.scheduler.handle(self._clock(), event):
             self._perform(command)
 
     def _perform(self, command: Command) -> None:
--- a/ironhinge/jobs/scheduler.py
+++ b/ironhinge/jobs/scheduler.py
@@ -92,7 +92,7 @@
 
     def __init__(self, budgets: Budgets, now: int) -> None:
         self.budgets = budgets
-        self.share = 1.0
+        self.budget_share = 1.0
         self.jobs: dict[str, ScheduledJob] = {}
         self.ended: dict[str, str] = {}
         # Both budgets begin with what they give in a second, which is also the most that they hold.
@@ -129,10 +129,10 @@
             return JobStatus.WAITING_FOR_CPU_BUDGET.value
         return JobStatus.QUEUED.value
 
-    def plain(self, now: int) -> dict[str, object]:
+    def status(self, now: int) -> dict[str, object]:
         """Returns the scheduler's state as a JSON object, for people."""
         return {
-            "share": round(self.share, 3),
+            "share": round(self.budget_share, 3),
             "disk": int(self._disk_tokens),
             "cpu": round(self._cpu_tokens / TICKS_PER_SECOND, 4),
             "jobs": {
@@ -152,8 +152,8 @@
     def _refill(self, now: int) -> None:
         elapsed = max(0, now - self._refilled_at)
         self._refilled_at = max(now, self._refilled_at)
-        disk_rate = self.budgets.disk_bytes_per_second * self.share
-        cpu_rate = self.budgets.cpu_cores * self.share
+        disk_rate = self.budgets.disk_bytes_per_second * self.budget_share
+        cpu_rate = self.budgets.cpu_cores * self.budget_share
         self._disk_tokens = min(
             self.budgets.disk_bytes_per_second,
             self._disk_tokens + disk_rate * elapsed / TICKS_PER_SECOND,
@@ -217,9 +217,9 @@
 
     def _adjust_share(self, late: bool) -> None:
         if late:
-            self.share = max(MIN_SHARE, self.share * SHARE_DECREASE_FACTOR)
+            self.budget_share = max(MIN_SHARE, self.budget_share * SHARE_DECREASE_FACTOR)
         else:
-            self.share = min(1.0, self.share + SHARE_INCREASE)
+            self.budget_share = min(1.0, self.budget_share + SHARE_INCREASE)
 
     def _start_slices(self, now: int) -> list[Command]:
         commands: list[Command] = []
@@ -241,8 +241,8 @@
 
     def _ticks_until_repaid(self) -> float:
         """Returns how long it takes until no budget is in debt."""
-        disk_rate = self.budgets.disk_bytes_per_second * self.share
-        cpu_rate = self.budgets.cpu_cores * self.share
+        disk_rate = self.budgets.disk_bytes_per_second * self.budget_share
+        cpu_rate = self.budgets.cpu_cores * self.budget_share
         return max(-self._disk_tokens / disk_rate * TICKS_PER_SECOND, -self._cpu_tokens / cpu_rate)
 
     def _sort_key(self, now: int, scheduled: ScheduledJob) -> tuple[bool, int, float, str]:
--- a/ironhinge/settings/records.py
+++ b/ironhinge/settings/records.py
@@ -1,7 +1,8 @@
 """The records of settings that other packages read.
 
-Their fields are those of `schema.cue`, which has their bounds and defaults; they hold what an operator wrote
-or the schema gives. Sizes are bytes, rates bytes a second, spans ticks of a tenth of a millisecond.
+Their fields are those of `schema.cue`, which has their bounds and defaults; where a field has another name
+than its key, the key stands beside it. They hold what an operator wrote or the schema gives. Sizes are bytes,
+rates bytes a second, spans ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
 class Budget(msgspec.Struct, frozen=True):
     """A budget of the fills that match all it names; it has a rate, a sum, or both."""
 
-    ways: tuple[str, ...]
+    routes: tuple[str, ...] = msgspec.field(name="ways")
     scope: str
     ahead: float
     begin: str
-    into: str | None = None
-    out_of: str | None = None
-    vhosts: tuple[str, ...] | None = None
+    destination_zone: str | None = msgspec.field(name="into", default=None)
+    source_zone: str | None = msgspec.field(name="out_of", default=None)
+    request_classes: tuple[str, ...] | None = msgspec.field(name="vhosts", default=None)
     within: str | None = None
     rate: Rate | None = None
     burst: Size | None = None
@@ -51,10 +52,10 @@
 class Price(msgspec.Struct, frozen=True):
     """What a gigabyte of the fills costs that match all it names."""
 
-    ways: tuple[str, ...]
+    routes: tuple[str, ...] = msgspec.field(name="ways")
     per_gb: float
-    into: str | None = None
-    out_of: str | None = None
+    destination_zone: str | None = msgspec.field(name="into", default=None)
+    source_zone: str | None = msgspec.field(name="out_of", default=None)
 
 
 class Keep(msgspec.Struct, frozen=True):
@@ -75,14 +76,14 @@
     """How directors share budgets among them."""
 
     every: Span
-    give: float
+    grant_ratio: float = msgspec.field(name="give")
 
 
 class Traffic(msgspec.Struct, frozen=True):
     """The account of bytes that fills carry, and the budgets that they are held to."""
 
     period: Span
-    most_streams: int
+    max_streams: int = msgspec.field(name="most_streams")
     distributions: bool
     prices: tuple[Price, ...]
     budgets: dict[str, Budget] = {}
@@ -95,10 +96,10 @@
     """The tier of copies on disk."""
 
     folder: str
-    room: Size
-    segment: Size
-    entries: int
-    patience: Span
+    capacity: Size = msgspec.field(name="room")
+    segment_size: Size = msgspec.field(name="segment")
+    max_entries: int = msgspec.field(name="entries")
+    read_timeout: Span = msgspec.field(name="patience")
     object_share: float
     class_share: float
     background: Rate
--- a/ironhinge/settings/validation.py
+++ b/ironhinge/settings/validation.py
@@ -77,11 +77,11 @@
     """Yields the path and the value of each field that holds a name, with the names that it may hold."""
     for budget_name, budget in traffic.budgets.items():
         path = f"traffic.budgets.{budget_name}"
-        yield f"{path}.into", budget.into, zones
-        yield f"{path}.out_of", budget.out_of, zones
-        for index, vhost in enumerate(budget.vhosts or ()):
+        yield f"{path}.into", budget.destination_zone, zones
+        yield f"{path}.out_of", budget.source_zone, zones
+        for index, vhost in enumerate(budget.request_classes or ()):
             yield f"{path}.vhosts[{index}]", vhost, vhosts
     for index, price in enumerate(traffic.prices):
         path = f"traffic.prices[{index}]"
-        yield f"{path}.into", price.into, zones
-        yield f"{path}.out_of", price.out_of, zones
+        yield f"{path}.into", price.destination_zone, zones
+        yield f"{path}.out_of", price.source_zone, zones
--- a/ironhinge/traffic/budget_set.py
+++ b/ironhinge/traffic/budget_set.py
@@ -57,10 +57,10 @@
     def _applies(self, config: records.Budget, class_index: int, source: SourceEndpoint) -> bool:
         class_names = self._identity.request_classes
         return (
-            source.route in [ROUTES_BY_LABEL[label] for label in config.ways]
-            and config.into in (None, self._zone_name)
-            and config.out_of in (None, self._name_of_zone(source.zone))
-            and (config.vhosts is None or class_names[class_index] in config.vhosts)
+            source.route in [ROUTES_BY_LABEL[label] for label in config.routes]
+            and config.destination_zone in (None, self._zone_name)
+            and config.source_zone in (None, self._name_of_zone(source.zone))
+            and (config.request_classes is None or class_names[class_index] in config.request_classes)
         )
 
     def _name_of_zone(self, zone: int) -> str:
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -87,7 +87,7 @@
     if not settings:
         return None
     idle_timeout = max(each.idle for each in settings)
-    return StreamTracker(config.most_streams, idle_timeout, min(each.interval for each in settings))
+    return StreamTracker(config.max_streams, idle_timeout, min(each.interval for each in settings))
 
 
 class TrafficLedger:
@@ -306,7 +306,7 @@
             self.served_requests.pop(event.request_id, None)
         elif transferred:
             self.served_requests[event.request_id] = None
-            if len(self.served_requests) > self.config.most_streams:  # bounds the memory if ends get lost
+            if len(self.served_requests) > self.config.max_streams:  # bounds the memory if ends get lost
                 del self.served_requests[next(iter(self.served_requests))]
 
     def adopt(self, previous: TrafficLedger) -> None:
--- a/ironhinge/traffic/quota_exchange.py
+++ b/ironhinge/traffic/quota_exchange.py
@@ -103,7 +103,7 @@
         buckets = budget.regular.buckets
         if not requesting or budget.unmet_demand > 0 or not buckets:
             return
-        surplus = self._config.give * min(bucket.surplus(now) for bucket in buckets)
+        surplus = self._config.grant_ratio * min(bucket.surplus(now) for bucket in buckets)
         total_requested = sum(requested for requested, _ in requesting)
         for requested, peer in requesting:
             size = int(min(requested, surplus * requested / total_requested))
--- a/ironhinge/traffic/report.py
+++ b/ironhinge/traffic/report.py
@@ -158,9 +158,9 @@
 
 def _fits(price: records.Price, line: ReportLine) -> bool:
     return (
-        line.route in price.ways
-        and price.into in (None, line.destination)
-        and price.out_of in (None, line.source)
+        line.route in price.routes
+        and price.destination_zone in (None, line.destination)
+        and price.source_zone in (None, line.source)
     )
 
 
--- a/ironhinge/traffic/service.py
+++ b/ironhinge/traffic/service.py
@@ -233,7 +233,7 @@
     def _request_write(self) -> None:
         """Has a snapshot written in the background, unless the last one is still being written."""
         now = self._clocks.monotonic()
-        if SNAPSHOT_JOB not in self._runner.plan.jobs:
+        if SNAPSHOT_JOB not in self._runner.scheduler.jobs:
             self._write_requested_at = now
             job = Job(SNAPSHOT_JOB, SNAPSHOT_JOB_PRIORITY, deadline=now + SNAPSHOT_JOB_DEADLINE)
             self._runner.submit(job, self._write_job)
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -170,7 +170,7 @@
         assert tier.lookup(0, request) == 50
         assert await tier.read(request) is None
         assert tier.counters.slow_reads == 1
-        assert runner.plan.share < 1
+        assert runner.scheduler.budget_share < 1
         HangingDirectory.reads_allowed.set()
         copy = None
         while copy is None:  # reads hit again as soon as the disk answers
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -118,10 +118,10 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(runner.run)
             with anyio.fail_after(10):
-                while len(runner.plan.ended) < 2:  # noqa: ASYNC110 - the runner signals no end of a job
+                while len(runner.scheduler.ended) < 2:  # noqa: ASYNC110 - the runner signals no end of a job
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
-        return runner.plan.ended
+        return runner.scheduler.ended
 
     assert anyio.run(play) == {"failing": "failed: the disk is full", "good": "done"}
     assert ran == [0, 1, 2]
@@ -132,7 +132,7 @@
     scheduler.handle(0, JobSubmitted(Job("compact", 2)))
     scheduler.handle(0, JobSubmitted(Job("scrub")))
     scheduler.handle(0, SliceFinished("compact", 100, 10, True))
-    return scheduler.plain(10)
+    return scheduler.status(10)
 
 
 def test_the_status_has_its_published_form(status):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -59,7 +59,7 @@
     ).operations.traffic
     budget = traffic.budgets["a"]
     assert (budget.rate, budget.burst, budget.ahead) == (1_500_000, 2 * 2**30, 0.02)
-    assert budget.ways == ("other-hub",)
+    assert budget.routes == ("other-hub",)
     assert traffic.period == 30 * 864_000_000
 
 
