--- /dev/null
+++ b/ironhinge/lab/errors.py
@@ -0,0 +1,19 @@
+"""Exceptions that the laboratory raises. It must never define errors of the director itself."""
+
+from __future__ import annotations
+
+
+class LabError(Exception):
+    """Base of all errors that the laboratory raises."""
+
+
+class DirectorStartError(LabError, RuntimeError):
+    """A director process did not become ready within its time limit."""
+
+
+class PortsExhaustedError(LabError, RuntimeError):
+    """The port range reserved for a soak run has no free port left."""
+
+
+class MalformedCommandError(LabError, ValueError):
+    """The bytes that a director sent to a cache node are not a command of the protocol."""
--- a/ironhinge/lab/soak/directors.py
+++ b/ironhinge/lab/soak/directors.py
@@ -1,4 +1,7 @@
-"""The directors of a run: their processes one after another, signals, and what the system tells of them."""
+"""The director processes of a soak run: their start, signals, and resource use as the system reports it.
+
+It must never read what a director decides: a run is judged from the records of clients and stand-ins alone.
+"""
 
 from __future__ import annotations
 
@@ -9,149 +12,184 @@
 import sys
 import time
 from pathlib import Path as FilePath
-from typing import TYPE_CHECKING
+from typing import Any, Protocol
 
 from .clients import is_ready
-from .records import DirectorLife
-
-if TYPE_CHECKING:
-    from .run import Run
-
-INJECTION = str(FilePath(__file__).parent.parent / "injection")
-UP = 12.0  # seconds that a director may take to come up
-KILL_AFTER = 0.7  # seconds beyond the longest deadline, 3 s at most, after SIGTERM
+from .plan import Plan
+from .records import DirectorLife, Records
+from .servers import Discovery, Fleet
+
+INJECTION_FOLDER = str(FilePath(__file__).parent.parent / "injection")
+REPOSITORY_ROOT = FilePath(__file__).parents[3]
+START_TIMEOUT = 12.0  # seconds
+READINESS_TIMEOUT = 2.0  # seconds for one readiness query
+READINESS_INTERVAL = 0.03  # seconds between two queries
+KILL_DELAY = 0.7  # seconds after SIGTERM beyond the longest deadline
+LONGEST_DRAIN = 3.0  # seconds: longer deadlines do not delay the kill
+ACCEPTING_AFTER_TERM = 0.4  # seconds after SIGTERM in which clients still open connections
+EXIT_POLL_INTERVAL = 0.01  # seconds
+KB_PER_MB = 1024
 SET_PARENT_DEATH_SIGNAL = 1  # PR_SET_PDEATHSIG of prctl(2)
 
 
 def die_with_parent() -> None:
-    """Runs in a new process: it is killed when the one that started it ends, however that comes about. A
-    director that outlived its run would call at ports that are another's by then.
+    """Make the calling process die with its parent; runs in the child between fork and exec.
+
+    A director that outlived its run would connect to ports that belong to another run by then.
     """
     import ctypes
 
     ctypes.CDLL(None).prctl(SET_PARENT_DEATH_SIGNAL, signal.SIGKILL)
 
 
+class SoakEnvironment(Protocol):
+    """What a director process needs from the run that owns it."""
+
+    plan: Plan
+    records: Records
+    folder: FilePath
+    fleet: Fleet
+    discoveries: list[Discovery]
+
+    def configuration(self, director: Director) -> dict[str, Any]:
+        """Return the director's configuration document as of now."""
+        ...
+
+
 class Director:
-    """A director's processes, one after another at the same address."""
+    """The processes of one director, started one after another at the same address."""
 
-    def __init__(self, run: Run, number: int):
-        self.run, self.number = run, number
-        self.port = run.fleet.ports.next()
-        self.reached_at: dict[int, int] = {}  # by place of the client's path
+    def __init__(self, environment: SoakEnvironment, number: int) -> None:
+        self.environment = environment
+        self.number = number
+        self.port = environment.fleet.ports.next()
+        self.client_ports: dict[int, int] = {}  # by index of the client path
         self.life = 0
         self.process: asyncio.subprocess.Process | None = None
         self.record: DirectorLife | None = None
         self.accepting = False
-        self.told_port = 0  # where discovery was when its configuration was written
-        self.watch: asyncio.Task | None = None
+        self.configured_discovery_port = 0
+        self.exit_watch: asyncio.Task[None] | None = None
 
     @property
     def config(self) -> FilePath:
-        """Its configuration."""
-        return self.run.folder / f"n{self.number}.json"
+        """Path of the configuration file."""
+        return self.environment.folder / f"n{self.number}.json"
+
+    @property
+    def _discovery(self) -> Discovery:
+        return self.environment.discoveries[self.number]
 
     def current_life(self) -> int:
-        """Which of its processes runs, from 1."""
+        """Return the number of the current process, from 1."""
         return self.life
 
     def write_config(self) -> None:
-        """As the platform would at this moment."""
-        self.told_port = self.run.discoveries[self.number].port
-        self.config.write_text(json.dumps(self.run.configuration(self)))
+        """Write the configuration as the platform would at this moment."""
+        self.configured_discovery_port = self._discovery.port
+        self.config.write_text(json.dumps(self.environment.configuration(self)))
 
     async def start(self) -> None:
-        """Starts a process and waits until it is ready."""
+        """Start a process and wait until it is ready, has exited, or `START_TIMEOUT` is over."""
         self.life += 1
         self.write_config()
-        script = self.run.plan.scripts[self.number]
-        env = {**os.environ, "PROXY_CONFIG": str(self.config), "PYTHONPATH": INJECTION}
+        record = DirectorLife(self.number, self.life, time.monotonic())
+        record.log = str(self.environment.folder / f"n{self.number}.{self.life}.log")
+        self.record = record
+        self.environment.records.lives.append(record)
+        self.process = await self._spawn(record.log)
+        self.exit_watch = asyncio.ensure_future(self._record_exit(self.process, record))
+        while time.monotonic() < record.started_at + START_TIMEOUT and record.exited_at is None:
+            if await is_ready(self.port, READINESS_TIMEOUT):
+                self._mark_ready(record)
+                return
+            await asyncio.sleep(READINESS_INTERVAL)
+
+    async def _spawn(self, log_path: str) -> asyncio.subprocess.Process:
+        script = self.environment.plan.scripts[self.number]
+        env = {**os.environ, "PROXY_CONFIG": str(self.config), "PYTHONPATH": INJECTION_FOLDER}
         env["IRONHINGE_FAULTS"] = json.dumps(script)
         for name in ("PROXY_NAME", "PROXY_LISTEN"):
             env.pop(name, None)
-        record = DirectorLife(self.number, self.life, time.monotonic())
-        record.log = str(self.run.folder / f"n{self.number}.{self.life}.log")
-        self.record = record
-        self.run.records.lives.append(record)
-        root = FilePath(__file__).parents[3]
-        with open(record.log, "w") as log:
-            self.process = await asyncio.create_subprocess_exec(
+        with open(log_path, "w") as log:  # noqa: ASYNC230, PTH123 - one short open of a local file
+            return await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "ironhinge", "serve"),
                 stderr=log,
                 env=env,
-                cwd=root,
+                cwd=REPOSITORY_ROOT,
                 start_new_session=True,
                 preexec_fn=die_with_parent,
             )
-        self.watch = asyncio.ensure_future(self._wait(self.process, record))
-        while time.monotonic() < record.started_at + UP and record.exited_at is None:
-            if await is_ready(self.port, 2.0):
-                record.ready_at = time.monotonic()
-                self.accepting = True
-                if self.told_port != self.run.discoveries[self.number].port:  # it moved meanwhile
-                    self.write_config()
-                    self.send(signal.SIGHUP)
-                return
-            await asyncio.sleep(0.03)
 
-    async def _wait(self, process: asyncio.subprocess.Process, record: DirectorLife) -> None:
+    def _mark_ready(self, record: DirectorLife) -> None:
+        record.ready_at = time.monotonic()
+        self.accepting = True
+        if self.configured_discovery_port != self._discovery.port:  # it moved during the start
+            self.write_config()
+            self.send(signal.SIGHUP)
+
+    async def _record_exit(self, process: asyncio.subprocess.Process, record: DirectorLife) -> None:
         record.exit_code = await process.wait()
         record.exited_at = time.monotonic()
         self.accepting = False
-        self.run.discoveries[self.number].forget()
+        self._discovery.forget()
 
     def send(self, number: signal.Signals) -> None:
-        """A signal, if the process lives."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def restart(self) -> None:
-        """SIGTERM, SIGKILL as soon as the platform may, and the next process. New connections go on coming
-        for 0.4 s.
+        """Send SIGTERM, SIGKILL as soon as the platform may, and start the next process.
+
+        Clients go on opening connections for `ACCEPTING_AFTER_TERM` seconds.
         """
-        assert self.record is not None and self.watch is not None
+        assert self.record is not None
+        assert self.exit_watch is not None
         record = self.record
         record.terminated_at = time.monotonic()
         self.send(signal.SIGTERM)
-        longest = max(one.deadline for one in self.run.plan.classes)
-        kill_at = record.terminated_at + min(longest, 3.0) + KILL_AFTER
-        await asyncio.sleep(0.4)
+        longest = max(request_class.deadline for request_class in self.environment.plan.classes)
+        kill_at = record.terminated_at + min(longest, LONGEST_DRAIN) + KILL_DELAY
+        await asyncio.sleep(ACCEPTING_AFTER_TERM)
         self.accepting = False
-        while time.monotonic() < kill_at and record.exited_at is None:
-            await asyncio.sleep(0.01)
+        while time.monotonic() < kill_at and record.exited_at is None:  # noqa: ASYNC110 - a time limit too
+            await asyncio.sleep(EXIT_POLL_INTERVAL)
         if record.exited_at is None:
             record.killed_at = time.monotonic()
             self.send(signal.SIGKILL)
-        await self.watch
+        await self.exit_watch
         await self.start()
 
     async def kill(self) -> None:
-        """SIGKILL, and the next process."""
-        assert self.record is not None and self.watch is not None
+        """Send SIGKILL and start the next process."""
+        assert self.record is not None
+        assert self.exit_watch is not None
         self.record.killed_at = time.monotonic()
         self.send(signal.SIGKILL)
         self.accepting = False
-        await self.watch
+        await self.exit_watch
         await self.start()
 
-    async def pause(self, span: float) -> None:
-        """SIGSTOP, and SIGCONT later."""
+    async def pause(self, duration: float) -> None:
+        """Stop the process with SIGSTOP and continue it after `duration` seconds."""
         assert self.record is not None
         began = time.monotonic()
         self.send(signal.SIGSTOP)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         self.send(signal.SIGCONT)
         self.record.stops.append((began, time.monotonic()))
 
     def measure(self) -> None:
-        """Descriptors, memory and the connection to discovery, from the system."""
+        """Record the most descriptors and memory used so far, as /proc reports them."""
         process, record = self.process, self.record
         if process is None or record is None or process.returncode is not None:
             return
         try:
-            record.most_descriptors = max(record.most_descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
+            descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))  # noqa: PTH208 - names suffice
+            record.most_descriptors = max(record.most_descriptors, descriptors)
             for line in FilePath(f"/proc/{process.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM"):
-                    record.most_memory_mb = max(record.most_memory_mb, int(line.split()[1]) / 1024)
+                    record.most_memory_mb = max(record.most_memory_mb, int(line.split()[1]) / KB_PER_MB)
         except OSError:
-            pass  # it has just gone
+            pass  # the process has just exited
--- a/ironhinge/lab/soak/ports.py
+++ b/ironhinge/lab/soak/ports.py
@@ -6,6 +6,8 @@
 
 import socket
 
+from ..errors import PortsExhaustedError
+
 FIRST, EACH, RUNS = 12_000, 200, 100  # ports, and how many seeds may be played side by side
 
 
@@ -27,4 +29,4 @@
                     return port
                 except OSError:
                     continue
-        raise RuntimeError("no port is left for this run")
+        raise PortsExhaustedError("no port is left for this run")
--- a/ironhinge/lab/soak/run.py
+++ b/ironhinge/lab/soak/run.py
@@ -10,6 +10,7 @@
 from pathlib import Path as FilePath
 from random import Random
 
+from ..errors import DirectorStartError
 from .audit import Audit, Finding, Verdict, timeline
 from .clients import Client, crowd
 from .directors import Director
@@ -60,11 +61,11 @@
             self.discoveries.append(discovery)
             for place, path in enumerate(self.plan.client_paths):
                 port = director.port if path == STRAIGHT else await self.fleet.proxy(director.port, path)
-                director.reached_at[place] = port
+                director.client_ports[place] = port
         await asyncio.gather(*(director.start() for director in self.directors))
         if not all(director.accepting for director in self.directors):
             logs = "".join(FilePath(life.log).read_text()[-500:] for life in self.records.lives)
-            raise RuntimeError(f"a director did not come up: {logs}")
+            raise DirectorStartError(f"a director did not come up: {logs}")
 
     def configuration(self, director: Director) -> dict:
         """All that a director is told, as of now."""
@@ -142,17 +143,17 @@
 
     async def _end(self, director: Director) -> None:
         """The planned end of a run: all clients have gone, so the program has to end by itself."""
-        assert director.record is not None and director.watch is not None
+        assert director.record is not None and director.exit_watch is not None
         director.record.terminated_at = time.monotonic()
         director.send(signal.SIGTERM)
         try:
-            await asyncio.wait_for(asyncio.shield(director.watch), 6.0)
+            await asyncio.wait_for(asyncio.shield(director.exit_watch), 6.0)
         except TimeoutError:
             director.record.exit_code = -1
             director.send(signal.SIGKILL)
 
     def _where(self, director: Director, place: int):
-        return lambda: director.reached_at[place] if director.accepting else None
+        return lambda: director.client_ports[place] if director.accepting else None
 
     def _client(self, director: Director, number: int) -> Client:
         client = Client(self.plan, self.records, number, director.number, lambda: None, director.current_life)
--- a/ironhinge/lab/soak/wire.py
+++ b/ironhinge/lab/soak/wire.py
@@ -7,6 +7,8 @@
 import struct
 from typing import NamedTuple
 
+from ..errors import MalformedCommandError
+
 REQUEST, ANSWER, CANCEL, ASK_READY, TELL_READY, NO_MORE = 7, 8, 9, 1, 2, 3
 
 
@@ -76,7 +78,7 @@
         self._begun_at = 0.0
 
     def feed(self, data: bytes, now: float) -> list[Command]:
-        """Whole commands; ValueError where the bytes are none."""
+        """Whole commands; raises MalformedCommandError where the bytes are none."""
         if not self._held:
             self._begun_at = now
         self._held += data
@@ -94,7 +96,7 @@
         if end < 0:
             return 0, 0
         if self._held[at : at + 1] != mark:
-            raise ValueError(f"not a command: {self._held[at : at + 20]!r}")
+            raise MalformedCommandError(f"not a command: {self._held[at : at + 20]!r}")
         return int(self._held[at + 1 : end]), end + 2
 
     def _one(self) -> tuple[list[bytes], int]:
