--- a/benchmarks/disk_lab.py
+++ b/benchmarks/disk_lab.py
@@ -10,8 +10,8 @@
 import json
 import sys
 
-from ironhinge.lab.run import play
-from ironhinge.lab.scenes import SCENES
+from ironhinge.lab.run import RunOptions, run_scenario
+from ironhinge.lab.scenarios import SCENARIOS
 
 
 def main() -> None:
@@ -25,7 +25,7 @@
     wrong = requests = 0
     for seed in range(1, 2 if quick else 4):
         for name in sums:
-            found = play(SCENES["disk-restart"], seed, 20.0, 2, wipe=name == "empty")
+            found = run_scenario(SCENARIOS["disk-restart"], RunOptions(seed, 20.0, 2, wipe=name == "empty"))
             requests += found["requests"]
             wrong += abs(found["requests"] - found["final_answers"]) + found["doubled_answers"]
             wrong += found["spoiled_answers"]
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from ironhinge import interface
-from ironhinge.lab.run import play
-from ironhinge.lab.scenes import SCENES, scene
+from ironhinge.lab.run import RunOptions, run_scenario
+from ironhinge.lab.scenarios import SCENARIOS, scaled_scenario
 from ironhinge.settings.load import load_texts
 from ironhinge.traffic.ledger import Ledger
 from ironhinge.traffic.types import Ended, Sent, Tick
@@ -107,7 +107,9 @@
     for at in range(pairs):
         figures = {}
         for on in (False, True) if at % 2 else (True, False):
-            figures[on] = play(scene("calm", scale), 7 + at, seconds, 2, account=on)
+            figures[on] = run_scenario(
+                scaled_scenario("calm", scale), RunOptions(7 + at, seconds, 2, account=on)
+            )
             cpu[on].append(figures[on]["cpu_us_a_req"])
         ratios.append(figures[True]["cpu_us_a_req"] / figures[False]["cpu_us_a_req"])
         memory.append(figures[True]["memory_kb"] - figures[False]["memory_kb"])
@@ -125,7 +127,7 @@
     """How far the report is from what hubs carried, and whether budgets held."""
     out: dict[str, Any] = {}
     for name in ("calm", "hub-loss", "stream-budget"):
-        rows = [play(SCENES[name], seed, seconds, 2) for seed in range(1, seeds + 1)]
+        rows = [run_scenario(SCENARIOS[name], RunOptions(seed, seconds, 2)) for seed in range(1, seeds + 1)]
         out[name] = {
             "off_share_worst": max(row["off_share"] for row in rows),
             "within_budget": all(row["within_budget"] for row in rows),
@@ -141,7 +143,7 @@
 def streams(seeds: int, seconds: float) -> dict[str, Any]:
     """Streams begun that got all their parts, with places held against without, at half of the demand."""
     rows = {
-        name: [play(SCENES[name], seed, seconds, 2) for seed in range(1, seeds + 1)]
+        name: [run_scenario(SCENARIOS[name], RunOptions(seed, seconds, 2)) for seed in range(1, seeds + 1)]
         for name in ("stream-budget", "stream-plain")
     }
     out = {}
--- a/ironhinge/lab/cli.py
+++ b/ironhinge/lab/cli.py
@@ -1,4 +1,4 @@
-"""Owns the lab's commands."""
+"""The commands of the lab."""
 
 from __future__ import annotations
 
@@ -8,6 +8,11 @@
 
 import click
 
+from .errors import LabError
+
+MAX_ACCOUNT_ERROR = 0.01  # share by which the accounts may differ from what was carried
+INTERRUPTED = 130  # exit code after Ctrl-C
+
 
 @click.group()
 def lab() -> None:
@@ -17,10 +22,10 @@
 @lab.command()
 def scenes() -> None:
     """List what can be played."""
-    from .scenes import SCENES
+    from .scenarios import SCENARIOS
 
-    for one in SCENES.values():
-        click.echo(f"{one.name:15} {one.about}")
+    for scenario in SCENARIOS.values():
+        click.echo(f"{scenario.name:15} {scenario.description}")
 
 
 @lab.command()
@@ -33,47 +38,48 @@
 )
 @click.option("--share", is_flag=True, help="Directors may hand budget to one another.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
-def run(
+def run(  # noqa: PLR0913 - one argument for each option
     scenario: str, seed: int, seconds: float, directors: int, scale: float, share: bool, as_json: bool
 ) -> None:
-    """Play a scene: caches, hubs, an origin, a coordinator, clients and DIRECTORS real directors; then say
-    what crossed and what clients were answered. Code 1 where a rule of the lab does not hold.
+    """Play a scenario and print what crossed and what clients were answered.
+
+    Caches, hubs, an origin, a control plane and clients are stand-ins; DIRECTORS real directors are started.
+    Code 1 where a rule of the lab does not hold.
     """
-    from .run import play
-    from .scenes import SCENES, scene
+    from .run import RunOptions, run_scenario
+    from .scenarios import SCENARIOS, scaled_scenario
 
-    if scenario not in SCENES:
-        raise click.BadParameter(f"'{scenario}' is none of {', '.join(SCENES)}", param_hint="--scenario")
+    if scenario not in SCENARIOS:
+        raise click.BadParameter(f"'{scenario}' is none of {', '.join(SCENARIOS)}", param_hint="--scenario")
+    options = RunOptions(seed, seconds, directors, share=share)
     try:
-        figures = play(
-            scene(scenario, scale),
-            seed,
-            seconds,
-            directors,
-            lambda text: click.echo(text, err=True),
-            share=share,
-        )
+        figures = run_scenario(scaled_scenario(scenario, scale), options, _print_progress)
     except KeyboardInterrupt:
         click.echo("ended; nothing of it is left running", err=True)
-        sys.exit(130)
-    except (OSError, RuntimeError) as fault:
-        click.echo(f"ironhinge: {fault}", err=True)
+        sys.exit(INTERRUPTED)
+    except (OSError, RuntimeError, LabError) as error:
+        click.echo(f"ironhinge: {error}", err=True)
         sys.exit(1)
-    click.echo(json.dumps(figures) if as_json else table(figures))
-    sys.exit(0 if holds(figures) else 1)
+    click.echo(json.dumps(figures) if as_json else format_table(figures))
+    sys.exit(0 if all_rules_hold(figures) else 1)
+
+
+def _print_progress(text: str) -> None:
+    click.echo(text, err=True)
 
 
-def holds(figures: dict[str, Any]) -> bool:
-    """What a run has to show, whatever its scene."""
-    whole = figures["requests"] == figures["final_answers"] and not figures["doubled_answers"]
+def all_rules_hold(figures: dict[str, Any]) -> bool:
+    """Return whether a run shows what every run has to show, whatever its scenario."""
+    answered_once = figures["requests"] == figures["final_answers"] and not figures["doubled_answers"]
     return (
-        whole
+        answered_once
         and not figures["spoiled_answers"]
         and figures.get("within_budget", True)
-        and figures.get("off_share", 0.0) <= 0.01
+        and figures.get("off_share", 0.0) <= MAX_ACCOUNT_ERROR
         and not any(figures["director_exits"])
     )
 
 
-def table(figures: dict[str, Any]) -> str:
+def format_table(figures: dict[str, Any]) -> str:
+    """Return the figures, one a line."""
     return "\n".join(f"{name:22} {value}" for name, value in figures.items())
--- /dev/null
+++ b/ironhinge/lab/control_plane.py
@@ -0,0 +1,91 @@
+"""A stand-in for the platform's control plane: it tells directors of changes of the endpoint list."""
+
+from __future__ import annotations
+
+import asyncio
+import struct
+from collections.abc import Sequence
+from enum import IntEnum
+
+from .stand_ins import StandIn
+
+RECORD = struct.Struct(">I4sHBBBHIQ")
+LOOPBACK = bytes([127, 0, 0, 1])
+WEIGHT_MILLIS = 20_000  # of every node
+ENDPOINTS_EVENT = 2
+HEARTBEAT_EVENT = 0
+HEARTBEAT_INTERVAL = 0.5  # seconds
+FIRST_EVENT = 2  # the configuration has number 1
+
+
+class EndpointState(IntEnum):
+    """State of a node in the endpoint list."""
+
+    READY = 0
+    DRAINING = 1
+    GONE = 2
+
+
+class ControlPlane:
+    """Publishes changes of the endpoint list as numbered events."""
+
+    def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
+        """Create one that does not listen yet; zones and kinds are sent as indices of these names."""
+        self.zones = zones
+        self.kinds = kinds
+        self.port = 0
+        self._events: list[bytes] = []
+        self._changed = asyncio.Event()
+        self._server: asyncio.Server | None = None
+
+    async def start(self) -> None:
+        """Listen on a free port."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.port = self._server.sockets[0].getsockname()[1]
+
+    def close(self) -> None:
+        """Stop listening."""
+        if self._server is not None:
+            self._server.close()
+
+    def publish(self, nodes: list[StandIn], state: EndpointState) -> None:
+        """Publish that these nodes are in `state` from now on."""
+        number = len(self._events) + FIRST_EVENT
+        records = b"".join(self._record(node, state) for node in nodes)
+        self._events.append(_encode_event(number, ENDPOINTS_EVENT, records))
+        self._changed.set()
+
+    def _record(self, node: StandIn, state: EndpointState) -> bytes:
+        return RECORD.pack(
+            int(node.name[2:], 16),
+            LOOPBACK,
+            node.port,
+            state,
+            self.zones.index(node.zone),
+            self.kinds.index(node.kind),
+            0,
+            WEIGHT_MILLIS,
+            node.started_ms,
+        )
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            known = int.from_bytes(await reader.readexactly(8), "big")
+            while not writer.is_closing():
+                for event in self._events[max(0, known - 1) :]:
+                    writer.write(event)
+                known = max(known, len(self._events) + 1)
+                self._changed.clear()
+                try:
+                    await asyncio.wait_for(self._changed.wait(), HEARTBEAT_INTERVAL)
+                except TimeoutError:
+                    writer.write(_encode_event(known, HEARTBEAT_EVENT, b""))
+        except (OSError, EOFError, asyncio.CancelledError):
+            pass
+        finally:
+            writer.close()
+
+
+def _encode_event(number: int, kind: int, data: bytes) -> bytes:
+    payload = number.to_bytes(8, "big") + bytes([kind]) + data
+    return len(payload).to_bytes(4, "big") + payload
--- a/ironhinge/lab/errors.py
+++ b/ironhinge/lab/errors.py
@@ -17,3 +17,7 @@
 
 class MalformedCommandError(LabError, ValueError):
     """The bytes that a director sent to a cache node are not a command of the protocol."""
+
+
+class FillError(LabError, LookupError):
+    """A stand-in has no copy and could not fill one; the argument is the `res` note of its answer."""
--- /dev/null
+++ b/ironhinge/lab/load_generator.py
@@ -0,0 +1,359 @@
+"""Clients that send a scenario's requests, and statistics of the answers that they get.
+
+A client sends a request, waits, backs off for as long as it is told, retries, or cancels. Every answer is
+counted, so that a duplicate or missing one is seen. It must never know how a director works.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import struct
+from collections import Counter
+from dataclasses import dataclass, field
+from enum import IntEnum, StrEnum
+from random import Random
+from typing import NamedTuple
+
+from ..net.client_wire import read_fields, write_fields
+from .node_protocol import body_of
+from .scenarios import FILM, SOCKET_BYTES_PER_KB, ScenarioRequest
+
+PATIENCE = 3.0  # seconds that a client waits for a complete answer
+ANSWER_GRACE = 1.0  # seconds after which an overdue answer is counted as missing
+CARD_ATTEMPTS = 3
+PART_ATTEMPTS = 12  # for each part of a stream but the first, which is tried once
+DEFAULT_PART_INTERVAL = 0.5  # seconds
+IDLE_TIMEOUT = 3.0  # seconds after which a client closes an unused connection
+MAX_IDLE_CONNECTIONS = 64  # to one director
+CLOSE_CROSSING_WINDOW = 0.05  # seconds: a connection closed so soon has not read the request
+DEFAULT_BACKOFF = 0.1  # seconds, if the answer has no pause
+CONNECT_ROUNDS = 4  # through all directors
+GROUPS = 256
+TRACE_BITS = 64
+TRACE_SEED_MASK = 0x5EED  # keeps traces apart from the draws of the requests
+
+
+class FrameType(IntEnum):
+    """Types of client frames that are used here."""
+
+    NO_MORE_REQUESTS = 3
+    REQUEST = 7
+    ANSWER = 8
+    CANCEL = 9
+
+
+class RequestResult(StrEnum):
+    """How a request ended, as its client saw it."""
+
+    DONE = "done"
+    REJECTED = "denied"
+    FAILED = "aborted"
+    CANCELLED = "left"
+    UNANSWERED = "unanswered"
+    CROSSED_CLOSE = "crossed"  # the connection was closed before it could be read
+
+
+ANSWER_CODES = {1: RequestResult.DONE, 2: RequestResult.REJECTED, 3: RequestResult.FAILED}
+
+
+class Answer(NamedTuple):
+    """An answer frame."""
+
+    result: RequestResult
+    fields: dict[str, str]
+    body: bytes
+
+
+class RequestOutcome(NamedTuple):
+    """How a request ended, and the fields of its answer."""
+
+    result: RequestResult
+    fields: dict[str, str]
+
+    @property
+    def retry_after(self) -> float:
+        """Seconds to wait before a retry; 0 if the answer names no pause."""
+        return int(self.fields.get("pause", 0)) / 1000
+
+
+@dataclass(frozen=True, slots=True)
+class ClientRequest:
+    """One request as a client sends it."""
+
+    route: str
+    object_id: int
+    part: int
+    body_bytes: int
+    is_retry: bool
+    cancel_after: float  # seconds; 0 if the client waits
+
+    @property
+    def object_name(self) -> str:
+        """The object as the protocol names it."""
+        return f"{self.object_id:016x}"
+
+    def fields(self, trace: str) -> dict[str, str]:
+        """Return the fields of its frame."""
+        fields = {
+            "route": self.route,
+            "trace": trace,
+            "patience": str(int(PATIENCE * 1000)),
+            "entity": self.object_name,
+            "part": str(self.part),
+            "group": str(self.object_id % GROUPS),
+            "size": f"{self.body_bytes / SOCKET_BYTES_PER_KB:.1f}",
+        }
+        if self.is_retry:
+            fields["redo"] = "1"
+        return fields
+
+
+@dataclass(slots=True)
+class LoadStatistics:
+    """What all clients of a run saw."""
+
+    sent: int = 0
+    answers: int = 0
+    duplicate_answers: int = 0
+    corrupt_answers: int = 0
+    crossed_close: int = 0
+    unanswered: int = 0
+    cancelled: int = 0
+    unconnected: int = 0
+    results: Counter[RequestResult] = field(default_factory=Counter)  # of answered requests
+    latencies: list[float] = field(default_factory=list)  # seconds, of requests that were served
+    streams: int = 0
+    streams_started: int = 0
+    streams_completed: int = 0
+    streams_broken: int = 0
+    streams_rejected: int = 0
+
+
+class ClientConnection:
+    """A client's connection to a director, on which answers come by stream."""
+
+    def __init__(self, statistics: LoadStatistics) -> None:
+        """Create a connection that is not open yet."""
+        self.statistics = statistics
+        self.closing = False  # takes no new request: the director said so, or the connection has ended
+        self._last_stream = 0
+        self._waiting: dict[int, asyncio.Future[Answer]] = {}
+        self._abandoned: set[int] = set()  # streams whose answer may still arrive
+        self._writer: asyncio.StreamWriter
+        self._reading: asyncio.Task[None]
+
+    async def open(self, port: int) -> None:
+        """Connect.
+
+        Raises:
+            OSError: Nobody listens on the port.
+        """
+        reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
+        self._reading = asyncio.ensure_future(self._read(reader))
+
+    async def close(self) -> None:
+        """Close the connection."""
+        self._reading.cancel()
+        self._writer.close()
+
+    def _write_frame(self, kind: FrameType, stream: int, payload: bytes = b"") -> None:
+        self._writer.write(struct.pack(">IBI", 5 + len(payload), kind, stream) + payload)
+
+    async def _read(self, reader: asyncio.StreamReader) -> None:
+        try:
+            while True:
+                (length,) = struct.unpack(">I", await reader.readexactly(4))
+                self._handle_frame(await reader.readexactly(length))
+        except (OSError, EOFError):
+            pass
+        finally:
+            self.closing = True
+            for future in self._waiting.values():
+                if not future.done():
+                    future.set_exception(ConnectionResetError())
+            self._waiting.clear()
+
+    def _handle_frame(self, data: bytes) -> None:
+        kind, stream = data[0], int.from_bytes(data[1:5], "big")
+        if kind == FrameType.NO_MORE_REQUESTS:
+            self.closing = True
+        if kind != FrameType.ANSWER:
+            return
+        fields, end = read_fields(data[6:])
+        future = self._waiting.pop(stream, None)
+        if future is None:
+            if stream in self._abandoned:
+                self._abandoned.discard(stream)  # the answer crossed the cancellation
+            else:
+                self.statistics.duplicate_answers += 1
+        elif not future.done():
+            result = ANSWER_CODES.get(data[5], RequestResult.FAILED)
+            future.set_result(Answer(result, fields, data[6 + end :]))
+
+    async def send(self, request: ClientRequest, trace: str) -> RequestOutcome:
+        """Send one request and wait until it is answered, cancelled, overdue or lost."""
+        loop = asyncio.get_running_loop()
+        self._last_stream += 1
+        stream = self._last_stream
+        future = self._waiting[stream] = loop.create_future()
+        began = loop.time()
+        self.statistics.sent += 1
+        self._write_frame(FrameType.REQUEST, stream, write_fields(request.fields(trace)))
+        try:
+            if request.cancel_after:
+                await asyncio.wait_for(asyncio.shield(future), request.cancel_after)
+            answer = await asyncio.wait_for(future, PATIENCE + ANSWER_GRACE)
+        except TimeoutError:
+            return self._abandon(stream, request)
+        except ConnectionResetError:
+            return self._connection_lost(loop.time() - began)
+        return self._record_answer(answer, request, loop.time() - began)
+
+    def _abandon(self, stream: int, request: ClientRequest) -> RequestOutcome:
+        self._waiting.pop(stream, None)
+        self._abandoned.add(stream)
+        if not request.cancel_after:
+            self.statistics.unanswered += 1
+            return RequestOutcome(RequestResult.UNANSWERED, {})
+        self.statistics.cancelled += 1
+        self._write_frame(FrameType.CANCEL, stream)
+        return RequestOutcome(RequestResult.CANCELLED, {})
+
+    def _connection_lost(self, elapsed: float) -> RequestOutcome:
+        if elapsed <= CLOSE_CROSSING_WINDOW:
+            self.statistics.sent -= 1  # the caller sends it again, once
+            self.statistics.crossed_close += 1
+            return RequestOutcome(RequestResult.CROSSED_CLOSE, {})
+        self.statistics.unanswered += 1
+        return RequestOutcome(RequestResult.UNANSWERED, {})
+
+    def _record_answer(self, answer: Answer, request: ClientRequest, elapsed: float) -> RequestOutcome:
+        self.statistics.answers += 1
+        self.statistics.results[answer.result] += 1
+        if answer.result is RequestResult.DONE:
+            self.statistics.latencies.append(elapsed)
+            expected = body_of(request.object_name, str(request.part), request.body_bytes)
+            if answer.body != expected:
+                self.statistics.corrupt_answers += 1
+        return RequestOutcome(answer.result, answer.fields)
+
+
+class LoadGenerator:
+    """All clients of a run."""
+
+    def __init__(self, ports: list[int], seed: int) -> None:
+        """Create clients of the directors at these ports; `seed` makes the traces."""
+        self.ports = ports
+        self.statistics = LoadStatistics()
+        self._rng = Random(seed ^ TRACE_SEED_MASK)
+        # by director, with the time since when each has been idle
+        self._idle: dict[int, list[tuple[float, ClientConnection]]] = {}
+
+    async def send(self, request: ScenarioRequest) -> None:
+        """Send a request, or the requests of a stream, with the retries that a client makes.
+
+        Raises:
+            OSError: No director could be reached.
+        """
+        if request.route == FILM:
+            await self._send_stream(request)
+        else:
+            await self._send_card(request)
+
+    def _trace(self) -> str:
+        return f"{self._rng.getrandbits(TRACE_BITS):016x}"
+
+    async def _connect(self, viewer: int) -> ClientConnection:
+        """Open a connection to the viewer's director, or to the next one while that is down."""
+        count = len(self.ports)
+        for attempt in range(CONNECT_ROUNDS * count):
+            connection = ClientConnection(self.statistics)
+            try:
+                await connection.open(self.ports[(viewer + attempt) % count])
+            except ConnectionRefusedError:
+                if attempt % count == count - 1:
+                    await asyncio.sleep(DEFAULT_BACKOFF)
+            else:
+                return connection
+        raise ConnectionRefusedError
+
+    async def _idle_connection(self, director: int) -> ClientConnection:
+        """Return an open idle connection to a director, or a new one."""
+        idle = self._idle.setdefault(director, [])
+        oldest = asyncio.get_running_loop().time() - IDLE_TIMEOUT
+        while idle and (idle[0][0] < oldest or idle[0][1].closing):
+            await idle.pop(0)[1].close()
+        while idle and idle[-1][1].closing:
+            await idle.pop()[1].close()
+        return idle.pop()[1] if idle else await self._connect(director)
+
+    async def _send_card(self, request: ScenarioRequest) -> None:
+        director = request.viewer % len(self.ports)
+        connection = await self._idle_connection(director)
+        for attempt in range(CARD_ATTEMPTS):
+            card = ClientRequest(
+                request.route, request.object_id, 0, request.body_bytes, attempt > 0, request.cancel_after
+            )
+            trace = self._trace()
+            outcome = await connection.send(card, trace)
+            if outcome.result is RequestResult.CROSSED_CLOSE:
+                connection = await self._connect(director)
+                outcome = await connection.send(card, trace)
+            if outcome.result is not RequestResult.REJECTED:
+                break
+            await asyncio.sleep(outcome.retry_after or DEFAULT_BACKOFF)
+        idle = self._idle[director]
+        if outcome.result is not RequestResult.UNANSWERED and len(idle) < MAX_IDLE_CONNECTIONS:
+            idle.append((asyncio.get_running_loop().time(), connection))
+        else:
+            await connection.close()
+
+    async def _send_stream(self, request: ScenarioRequest) -> None:
+        """Request the parts of a stream in turn; without its first part a viewer gives up."""
+        connection = await self._connect(request.viewer)
+        self.statistics.streams += 1
+        loop = asyncio.get_running_loop()
+        interval = request.cancel_after or DEFAULT_PART_INTERVAL
+        try:
+            for part in range(request.part_count):
+                began = loop.time()
+                if connection.closing:
+                    await connection.close()
+                    connection = await self._connect(request.viewer)
+                result, connection = await self._send_part(request, part, connection)
+                if not self._record_part(part, result):
+                    return
+                if part + 1 < request.part_count:
+                    await asyncio.sleep(max(0.0, interval - (loop.time() - began)))
+            self.statistics.streams_completed += 1
+        finally:
+            await connection.close()
+
+    async def _send_part(
+        self, request: ScenarioRequest, part: int, connection: ClientConnection
+    ) -> tuple[RequestResult, ClientConnection]:
+        """Send one part until it is no longer rejected; return also the connection to go on with."""
+        for attempt in range(PART_ATTEMPTS if part else 1):
+            piece = ClientRequest(
+                request.route, request.object_id, part, request.body_bytes, attempt > 0, 0.0
+            )
+            outcome = await connection.send(piece, self._trace())
+            if outcome.result is RequestResult.CROSSED_CLOSE:
+                connection = await self._connect(request.viewer)
+                outcome = await connection.send(piece, self._trace())
+            if outcome.result is not RequestResult.REJECTED:
+                break
+            await asyncio.sleep(max(DEFAULT_BACKOFF, outcome.retry_after))
+        return outcome.result, connection
+
+    def _record_part(self, part: int, result: RequestResult) -> bool:
+        """Count the end of a part; return whether the stream goes on."""
+        if result is not RequestResult.DONE:
+            if part:
+                self.statistics.streams_broken += 1
+            else:
+                self.statistics.streams_rejected += 1
+            return False
+        if not part:
+            self.statistics.streams_started += 1
+        return True
--- /dev/null
+++ b/ironhinge/lab/node_protocol.py
@@ -0,0 +1,60 @@
+"""Commands and answers between a director and the nodes, as the stand-ins read and write them.
+
+The soak has a second, stricter reader of the same protocol in `soak/wire.py`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from enum import StrEnum
+
+
+class WireNote(StrEnum):
+    """The `res` field of an answer: where a copy came from, or who failed to provide one."""
+
+    HIT = "h"
+    JOINED_FILL = "j"
+    FILLED_FROM_SOURCE = "f"
+    FILLED_FROM_ORIGIN = "o"
+    SOURCE_MISS = "l"
+    SOURCE_UNAVAILABLE = "r"
+
+
+def body_of(object_name: str, part: str, size: int) -> bytes:
+    """Return the `size` bytes of a part; they name it, so that a wrong body is recognized."""
+    text = f"{object_name}/{part} ".encode()
+    return (text * (size // len(text) + 1))[:size]
+
+
+def bulk_string(item: bytes) -> bytes:
+    """Encode one item with its length."""
+    return b"$%d\r\n%b\r\n" % (len(item), item)
+
+
+def encode_array(*items: bytes) -> bytes:
+    """Encode a command or an answer."""
+    return b"*%d\r\n" % len(items) + b"".join(bulk_string(item) for item in items)
+
+
+async def read_array(reader: asyncio.StreamReader) -> list[bytes]:
+    """Read the items of one command or answer.
+
+    Raises:
+        EOFError: The connection ended before or within it.
+        OSError: The connection failed.
+        ValueError: A length is not a number.
+    """
+    items = []
+    for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
+        size = int((await reader.readuntil(b"\r\n"))[1:])
+        items.append((await reader.readexactly(size + 2))[:-2])
+    return items
+
+
+def parse_fields(text: bytes) -> dict[str, str]:
+    """Return the fields of a `name=value,...` item.
+
+    Raises:
+        ValueError: An entry has no `=`, or the text is not UTF-8.
+    """
+    return dict(entry.split("=", 1) for entry in text.decode().split(","))
--- /dev/null
+++ b/ironhinge/lab/report.py
@@ -0,0 +1,132 @@
+"""The figures of a run beside what the directors' traffic accounts report. Key names are a public format."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from .load_generator import LoadStatistics, RequestResult
+from .scenarios import Scenario
+from .stand_ins import NodeKind, StandInNetwork
+
+OWN_HUB, OTHER_HUB, ORIGIN = "s-000000a1", "s-000000b1", "s-000000c1"  # names of the stand-ins
+
+
+@dataclass(frozen=True, slots=True)
+class RunMeasurements:
+    """What a run has measured."""
+
+    scenario: Scenario
+    seed: int
+    directors: int
+    elapsed: float  # seconds
+    cpu_seconds: float  # of all directors while the load was played
+    memory_kb: int  # the largest peak of a director
+    exit_codes: list[int]
+    statistics: LoadStatistics
+    network: StandInNetwork
+    since_restart: dict[str, int] | None  # traffic since the first restart, if there was one
+    account_folder: Path | None  # of the directors' snapshots; None without accounts
+
+
+def build_report(run: RunMeasurements) -> dict[str, Any]:
+    """Return the figures of a run."""
+    carried = _carried_by_route(run.network)
+    report = _request_figures(run)
+    report |= {
+        "cpu_us_a_req": round(1e6 * run.cpu_seconds / max(1, run.statistics.sent), 1),
+        "memory_kb": run.memory_kb,
+        "director_exits": run.exit_codes,
+        "fills_cut": sum(node.cancelled_fills for node in run.network.nodes.values()),
+        "carried_by_way": carried,
+        "carried_bytes": sum(carried.values()),
+    }
+    if run.since_restart is not None:
+        report["after_restart"] = run.since_restart
+    if run.statistics.streams:
+        report |= _stream_figures(run.statistics)
+    if run.account_folder is not None:
+        report |= _account_figures(run, run.account_folder, carried)
+    return report
+
+
+def traffic_totals(network: StandInNetwork) -> dict[str, int]:
+    """Return the bytes that the origin sent, those that entered the branch, and the caches' requests."""
+    nodes = network.nodes.values()
+    return {
+        "origin": network.origin.bytes_sent,
+        "crossed": sum(node.bytes_to_branch for node in nodes if node.kind != NodeKind.CACHE),
+        "dispatches": sum(node.request_count for node in nodes if node.kind == NodeKind.CACHE),
+    }
+
+
+def _carried_by_route(network: StandInNetwork) -> dict[str, int]:
+    return {
+        "own-hub": network.nodes[OWN_HUB].bytes_to_branch,
+        "other-hub": network.nodes[OTHER_HUB].bytes_to_branch,
+        "origin": network.nodes[ORIGIN].bytes_to_branch,
+    }
+
+
+def _request_figures(run: RunMeasurements) -> dict[str, Any]:
+    statistics, latencies = run.statistics, sorted(run.statistics.latencies)
+    return {
+        "scenario": run.scenario.name,
+        "seed": run.seed,
+        "directors": run.directors,
+        "seconds": round(run.elapsed, 2),
+        "requests": statistics.sent - statistics.cancelled,
+        "final_answers": statistics.answers,
+        "doubled_answers": statistics.duplicate_answers,
+        "spoiled_answers": statistics.corrupt_answers,
+        "left": statistics.cancelled,
+        "done": statistics.results[RequestResult.DONE],
+        "denied": statistics.results[RequestResult.REJECTED],
+        "aborted": statistics.results[RequestResult.FAILED],
+        "first_ms_p50": _percentile_ms(latencies, 50),
+        "first_ms_p99": _percentile_ms(latencies, 99),
+    }
+
+
+def _percentile_ms(sorted_seconds: list[float], percent: int) -> float | None:
+    if not sorted_seconds:
+        return None
+    return round(1000 * sorted_seconds[len(sorted_seconds) * percent // 100], 1)
+
+
+def _stream_figures(statistics: LoadStatistics) -> dict[str, Any]:
+    started, completed = statistics.streams_started, statistics.streams_completed
+    return {
+        "streams": statistics.streams,
+        "streams_begun": started,
+        "streams_whole": completed,
+        "streams_refused": statistics.streams_rejected,
+        "streams_whole_share": round(completed / max(1, started), 4),
+    }
+
+
+def _account_figures(run: RunMeasurements, folder: Path, carried: dict[str, int]) -> dict[str, Any]:
+    # imported here: the traffic package needs libraries that a run without accounts does not
+    from ..traffic.keeper import read_folder
+    from ..traffic.report import collect
+
+    snapshots, unreadable = read_folder(folder)
+    account = collect(snapshots)
+    reported, scenario = account.total(), run.scenario
+    crossed = sum(carried[route] for route in scenario.budget_routes)
+    budget = int(scenario.budget_burst + scenario.budget_rate * run.elapsed)
+    # each director may let one transfer more begin than its budget covers
+    slack = max(run.network.body_sizes.values(), default=0) * run.directors
+    return {
+        "reported_bytes": reported,
+        "reported_by_way": account.by("way"),
+        "guessed_bytes": account.guessed(),
+        "forced_bytes": account.by("forced").get("forced", 0),
+        "off_share": round(abs(reported / max(1, sum(carried.values())) - 1), 5),
+        "snapshots_wrong": unreadable,
+        "crossed_bytes": crossed,
+        "budget_bytes": budget,
+        "budget_slack_bytes": slack,
+        "within_budget": crossed <= budget + slack,
+    }
--- a/ironhinge/lab/run.py
+++ b/ironhinge/lab/run.py
@@ -1,256 +1,122 @@
-"""Owns one run: stand-ins up, directors up, load and faults played, all of it down again, figures out.
+"""One run: stand-ins and directors are started, load and faults played, all of it stopped, figures returned.
 
-Whatever ends a run, no process and no folder of it stays.
+However a run ends, none of its processes and folders remains.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
-import os
 import shutil
 import signal
-import socket
-import sys
 import tempfile
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-from .nodes import LabNode, World
-from .people import Coordinator, People
-from .scenes import BYTES, CARD, FILM, Ask, Fault, Scene, asks
+from .control_plane import ControlPlane, EndpointState
+from .director_process import DirectorProcess, free_port
+from .director_settings import KINDS, ZONES, platform_settings
+from .load_generator import LoadGenerator
+from .report import ORIGIN, OTHER_HUB, OWN_HUB, RunMeasurements, build_report, traffic_totals
+from .scenarios import Fault, FaultAction, Scenario, ScenarioRequest, generate_requests
+from .stand_ins import NodeKind, StandIn, StandInNetwork, StandInSpec
+
+HUB_CACHE_FACTOR = 8  # a hub caches so many times what a cache does
+NODE_WEIGHT = 20
+DISCOVERY_DELAY = 0.3  # seconds until the control plane knows that a node was killed
+PROGRESS_INTERVAL = 200  # requests between two progress messages
+WITHOUT_ACCOUNT = "off"  # the scenario that is played without accounts
 
-ZONES = ["hub-a", "hub-b", "branch"]
-KINDS = ["std", "parent", "origin"]
-HERE = 2
-UP = 15.0  # seconds that a director may take to come up
 Progress = Callable[[str], None]
 
 
-def settings(scene: Scene, directors: int, peers: bool = False) -> dict[str, Any]:
-    """The platform's settings, as a director is told them."""
-    vhosts = [
-        {"name": CARD, "aim": 400_000, "deadline": 3_000_000, "semantics": "repeatable"},
-        {"name": FILM, "aim": 400_000, "deadline": 3_000_000, "semantics": "repeatable"},
-    ]
-    return {
-        "classes": vhosts,
-        "balancers": directors,
-        "zone": HERE,
-        "extra": {
-            "store-kind": 2,
-            "second-tier-kind": 1,
-            "note-level": "all",
-            "class-write": [False, False],
-            "segmented": [False, True],
-            "purge-settles": 6_000_000,
-            "obey-after": 300_000,
-            "one-flow-kb-per-s": scene.pace / BYTES,
-            "attached-to": [0, 1, 0],
-            "crew-by-zone": [0, 0, directors],
-            "parent-cold-from": 0.2,
-            "parent-warms-in": 2_000_000,
-            "parent-limit-factor": 3.0,
-            "joins": True,
-        },
-        "failure-domains": ZONES,
-        "shapes": KINDS,
-        "policy-limits": {
-            "conn-idle": 15_000_000,
-            "dial-timeout": 400_000,
-            "max-attempts": 6,
-            "max-retry-after": 1_000_000,
-            "may-cancel": True,
-            "multiplex": 32,
-            "retry-after": True,
-            "peers": peers,
-        },
-        "rules": {"cold-from": 0.2, "cold": 2_000_000, "fall": 1_000_000, "fall-multiple": 3.0},
-        "telemetry": {"fields": ["busy", "rif"], "how": "inline"},
-        "weight-kind": "nominal",
-        "granularity": 2000,
-    }
-
-
-def free_port() -> int:
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return sock.getsockname()[1]
-
-
-class DirectorProcess:
-    """A director as a program of its own."""
-
-    def __init__(self, folder: Path, name: str, told: dict[str, Any], operations: Path | None):
-        self.folder, self.name, self.told, self.operations = folder, name, told, operations
-        self.process: asyncio.subprocess.Process | None = None
-        self.port = 0
-        self.lives = 0
-        self.cpu = 0.0
-        self.memory_kb = 0
-
-    async def start(self) -> None:
-        """Comes up on a free port; one that another took meanwhile is changed for the next."""
-        for _ in range(5):
-            self.port = self.port or free_port()
-            config = self.folder / f"{self.name}.json"
-            config.write_text(json.dumps({**self.told, "listen": f"127.0.0.1:{self.port}"}))
-            args = [sys.executable, "-m", "ironhinge", "serve", "--config", str(config)]
-            if self.operations is not None:
-                args += ["--operations", str(self.operations)]
-            with open(self.folder / f"{self.name}.log", "a") as log:
-                env = {**os.environ, "PROXY_NAME": "", "PROXY_LISTEN": ""}
-                env.pop("PROXY_NAME"), env.pop("PROXY_LISTEN")
-                self.process = await asyncio.create_subprocess_exec(
-                    *args, stderr=log, stdin=asyncio.subprocess.DEVNULL, env=env, start_new_session=True
-                )
-            if await self._is_up():
-                return
-            self.port = 0
-        raise RuntimeError(f"{self.name} does not come up: {self.log()[-600:]}")
-
-    async def _is_up(self) -> bool:
-        until = time.monotonic() + UP
-        while time.monotonic() < until and self.process is not None and self.process.returncode is None:
-            # its own word for it: whoever answers on that port may be another run's
-            if self.log().count(f"serves on 127.0.0.1:{self.port}") > self.lives:
-                self.lives += 1
-                return True
-            await asyncio.sleep(0.03)
-        return False
-
-    def log(self) -> str:
-        return (self.folder / f"{self.name}.log").read_text()
-
-    def measure(self) -> None:
-        """CPU seconds and the most memory so far, from the system."""
-        if self.process is None or self.process.returncode is not None:
-            return
-        try:
-            stat = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-            self.cpu = (int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK")
-            for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
-                if line.startswith("VmHWM"):
-                    self.memory_kb = int(line.split()[1])
-        except (OSError, ValueError, IndexError):
-            pass  # it has just gone, or the system tells nothing
-
-    async def stop(self, by: signal.Signals = signal.SIGTERM) -> int:
-        """Ends it; -1 where it had to be forced."""
-        process = self.process
-        if process is None or process.returncode is not None:
-            return process.returncode if process and process.returncode is not None else 0
-        self.measure()
-        process.send_signal(by)
-        try:
-            return await asyncio.wait_for(process.wait(), 12.0)
-        except TimeoutError:
-            process.kill()
-            await process.wait()
-            return -1
+@dataclass(frozen=True, slots=True)
+class RunOptions:
+    """How a scenario is played."""
+
+    seed: int
+    seconds: float
+    directors: int
+    account: bool = True  # directors keep traffic accounts
+    share: bool = False  # directors may hand budget to one another
+    wipe: bool = False  # a restarted director begins with an empty disk
 
 
 class Run:
-    def __init__(
-        self,
-        scene: Scene,
-        seed: int,
-        seconds: float,
-        directors: int,
-        progress: Progress,
-        account: bool = True,
-        share: bool = False,
-        wipe: bool = False,
-    ):
-        self.scene, self.seed, self.seconds, self.count = scene, seed, seconds, directors
-        self.progress, self.account, self.share = progress, account and scene.name != "off", share
-        self.wipe = wipe  # whether a restart begins with an empty disk
-        self.marks: dict[str, int] = {}  # figures at the first restart
+    """The processes, sockets and files of one run."""
+
+    def __init__(self, scenario: Scenario, options: RunOptions, progress: Progress) -> None:
+        """Create a run; nothing is started yet, but its temporary folder exists."""
+        self.scenario, self.options, self.progress = scenario, options, progress
+        self.account = options.account and scenario.name != WITHOUT_ACCOUNT
         self.folder = Path(tempfile.mkdtemp(prefix="ironhinge-lab-"))
-        self.kept = self.folder / "kept"
-        self.world = World(scene.link)
-        self.coordinator = Coordinator(ZONES, KINDS)
+        self.account_folder = self.folder / "kept"
+        self.network = StandInNetwork(scenario.link_rate)
+        self.control_plane = ControlPlane(ZONES, KINDS)
         self.directors: list[DirectorProcess] = []
-        self.tasks: list[asyncio.Task[Any]] = []
-        self.people: People
+        self.load: LoadGenerator
+        self._tasks: list[asyncio.Task[None]] = []
+        self._totals_at_restart: dict[str, int] | None = None
 
-    async def __call__(self) -> dict[str, Any]:
+    async def execute(self) -> dict[str, Any]:
+        """Play the run and return its figures.
+
+        Raises:
+            DirectorStartError: A director did not come up.
+            OSError: A socket or file could not be used.
+        """
         try:
-            await self._up()
+            await self._start()
             return await self._play()
         finally:
-            await self._down()
-
-    # Up and down
-
-    async def _up(self) -> None:
-        scene, world = self.scene, self.world
-        cut = 8 * scene.room
-        for name, kind, zone, room in (
-            ("s-000000a1", "parent", "hub-a", cut),
-            ("s-000000b1", "parent", "hub-b", cut),
-            ("s-000000c1", "origin", "hub-a", 0),
-            *((f"s-{place + 1:08x}", "std", "branch", scene.room) for place in range(scene.caches)),
-        ):
-            await world.add(LabNode(world, name, kind, zone, room, scene.pace)).start()
-        await self.coordinator.start()
-        peers = [free_port() for _ in range(self.count)] if self.share else []
-        for place in range(self.count):
-            told: dict[str, Any] = {
-                "name": f"n{place}",
-                "seed": f"{self.seed * 1000 + place + 1:016x}",
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "known": {"index": 1, "updates": [{"index": 1, "endpoints": self._listing()}]},
-                "coordinator": f"127.0.0.1:{self.coordinator.port}",
-                "settings": settings(scene, self.count, self.share),
-            }
-            if peers:
-                told["peers"] = [f"127.0.0.1:{port}" for port in peers]
-                told["peer_listen"] = told["peers"][place]
-            operations = self._operations(f"n{place}")
-            self.directors.append(DirectorProcess(self.folder, f"n{place}", told, operations))
-        self.progress(f"{len(world.nodes)} stand-ins up, starting {self.count} directors")
+            await self._stop()
+
+    # Start and stop
+
+    async def _start(self) -> None:
+        await self._start_stand_ins()
+        await self.control_plane.start()
+        count = self.options.directors
+        gossip_ports = [free_port() for _ in range(count)] if self.options.share else []
+        for index in range(count):
+            name = f"n{index}"
+            config = self._director_config(index, gossip_ports)
+            self.directors.append(DirectorProcess(self.folder, name, config, self._write_operations(name)))
+        self.progress(f"{len(self.network.nodes)} stand-ins up, starting {count} directors")
         await asyncio.gather(*(director.start() for director in self.directors))
 
-    def _operations(self, name: str) -> Path | None:
-        if not self.account:
-            return None
-        path = self.folder / f"{name}.cue"
-        share = '    share: {every: "50ms"}\n' if self.share else ""
-        path.write_text(
-            f'traffic: {{\n    period: "1h"\n    keep: {{folder: "{self.kept}", every: "5s"}}\n{share}'
-            f"    budgets: {{\n{self.scene.budget}    }}\n}}\n" + self._disk(name)
-        )
-        return path
-
-    def _disk(self, name: str) -> str:
-        if not self.scene.disk:
-            return ""
-        folder = self.folder / "tier" / name
-        return f'disk: {{folder: "{folder}", room: "{self.scene.disk}", segment: "512KiB"}}\n'
-
-    def _given(self) -> dict[str, int]:
-        nodes = self.world.nodes.values()
-        return {
-            "origin": self.world.origin.given,
-            "crossed": sum(node.carried for node in nodes if node.kind != "std"),
-            "dispatches": sum(node.dispatches for node in nodes if node.kind == "std"),
+    async def _start_stand_ins(self) -> None:
+        scenario = self.scenario
+        hub_bytes, rate = HUB_CACHE_FACTOR * scenario.cache_bytes, scenario.transfer_rate
+        specs = [
+            StandInSpec(OWN_HUB, NodeKind.PARENT, "hub-a", hub_bytes, rate),
+            StandInSpec(OTHER_HUB, NodeKind.PARENT, "hub-b", hub_bytes, rate),
+            StandInSpec(ORIGIN, NodeKind.ORIGIN, "hub-a", 0, rate),
+        ]
+        for number in range(1, scenario.cache_count + 1):
+            cache = StandInSpec(f"s-{number:08x}", NodeKind.CACHE, "branch", scenario.cache_bytes, rate)
+            specs.append(cache)
+        for spec in specs:
+            await self.network.add(spec).start()
+
+    def _director_config(self, index: int, gossip_ports: list[int]) -> dict[str, Any]:
+        options = self.options
+        config: dict[str, Any] = {
+            "name": f"n{index}",
+            "seed": f"{options.seed * 1000 + index + 1:016x}",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": {"index": 1, "updates": [{"index": 1, "endpoints": self._endpoint_list()}]},
+            "coordinator": f"127.0.0.1:{self.control_plane.port}",
+            "settings": platform_settings(self.scenario, options.directors, options.share),
         }
+        if gossip_ports:
+            config["peers"] = [f"127.0.0.1:{port}" for port in gossip_ports]
+            config["peer_listen"] = config["peers"][index]
+        return config
 
-    async def _restart(self, place: int) -> None:
-        """A planned one: SIGTERM, all that was taken is answered, and up again at the same address."""
-        director = self.directors[place % self.count]
-        self.progress(f"restart {director.name}" + ", its disk empty" * self.wipe)
-        await director.stop()
-        if self.wipe:
-            shutil.rmtree(self.folder / "tier" / director.name, ignore_errors=True)
-        if not self.marks:
-            self.marks = self._given()
-        await director.start()
-
-    def _listing(self) -> dict[str, Any]:
+    def _endpoint_list(self) -> dict[str, Any]:
         return {
             "index": 1,
             "snapshot": True,
@@ -262,155 +128,156 @@
                     "type": node.kind,
                     "group": 0,
                     "status": "SERVING",
-                    "weight": 20,
+                    "weight": NODE_WEIGHT,
                     "since_ms": 0,
                 }
-                for node in self.world.nodes.values()
+                for node in self.network.nodes.values()
             ],
         }
 
-    async def _down(self) -> None:
-        for task in self.tasks:
+    def _write_operations(self, name: str) -> Path | None:
+        """Write a director's operations file; None without an account."""
+        if not self.account:
+            return None
+        path = self.folder / f"{name}.cue"
+        share = '    share: {every: "50ms"}\n' if self.options.share else ""
+        keep = f'    keep: {{folder: "{self.account_folder}", every: "5s"}}\n'
+        budgets = f"    budgets: {{\n{self.scenario.budget_settings}    }}\n"
+        traffic = f'traffic: {{\n    period: "1h"\n{keep}{share}{budgets}}}\n'
+        path.write_text(traffic + self._disk_settings(name))
+        return path
+
+    def _disk_folder(self, name: str) -> Path:
+        return self.folder / "tier" / name
+
+    def _disk_settings(self, name: str) -> str:
+        size = self.scenario.disk_size
+        if not size:
+            return ""
+        return f'disk: {{folder: "{self._disk_folder(name)}", room: "{size}", segment: "512KiB"}}\n'
+
+    async def _stop(self) -> None:
+        for task in self._tasks:
             task.cancel()
-        await asyncio.gather(*(each.stop(signal.SIGKILL) for each in self.directors), return_exceptions=True)
-        for node in self.world.nodes.values():
-            await node.end()
-        if self.coordinator.server is not None:
-            self.coordinator.server.close()
+        stops = (director.stop(signal.SIGKILL) for director in self.directors)
+        await asyncio.gather(*stops, return_exceptions=True)
+        for node in self.network.nodes.values():
+            await node.close()
+        self.control_plane.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
     # Load and faults
 
     async def _play(self) -> dict[str, Any]:
-        scene, began = self.scene, time.monotonic()
-        people = self.people = People([each.port for each in self.directors], self.seed)
-        wanted = asks(scene, self.seed, self.seconds)
-        for ask in wanted:
-            self.world.sizes[f"{ask.obj:016x}"] = ask.body
-        faults = [asyncio.ensure_future(self._fault(fault)) for fault in scene.faults]
-        self.tasks += faults
-        for director in self.directors:
-            director.measure()
-        begun = [each.cpu for each in self.directors]
-        playing: list[asyncio.Task[None]] = []
-        for ask in wanted:
-            wait = began + ask.at - time.monotonic()
-            if wait > 0:
-                await asyncio.sleep(wait)
-            playing.append(asyncio.ensure_future(self._one(people, ask)))
-            self.tasks = [task for task in self.tasks if not task.done()] + [playing[-1]]
-            if len(playing) % 200 == 0:
-                at = time.monotonic() - began
-                self.progress(f"{at:.0f} of {self.seconds:.0f} s, {people.tally.counts['sent']} reqs")
-        await asyncio.gather(*playing, return_exceptions=True)
+        began = time.monotonic()
+        self.load = LoadGenerator([director.port for director in self.directors], self.options.seed)
+        requests = generate_requests(self.scenario, self.options.seed, self.options.seconds)
+        for request in requests:
+            self.network.body_sizes[f"{request.object_id:016x}"] = request.body_bytes
+        faults = [asyncio.ensure_future(self._apply_fault(fault)) for fault in self.scenario.faults]
+        self._tasks += faults
+        cpu_before = self._total_cpu()
+        sending = await self._send_requests(requests, began)
+        await asyncio.gather(*sending, return_exceptions=True)
         await asyncio.gather(*faults, return_exceptions=True)
-        lasted = time.monotonic() - began
+        elapsed = time.monotonic() - began
+        self._total_cpu()
+        exit_codes = await asyncio.gather(*(director.stop() for director in self.directors))
+        cpu_after = sum(director.cpu_seconds for director in self.directors)
+        return build_report(self._measurements(elapsed, cpu_after - cpu_before, exit_codes))
+
+    async def _send_requests(self, requests: list[ScenarioRequest], began: float) -> list[asyncio.Task[None]]:
+        """Start to send each request at its time; return the tasks."""
+        sending: list[asyncio.Task[None]] = []
+        for request in requests:
+            delay = began + request.at - time.monotonic()
+            if delay > 0:
+                await asyncio.sleep(delay)
+            task = asyncio.ensure_future(self._send(request))
+            sending.append(task)
+            self._tasks = [running for running in self._tasks if not running.done()] + [task]
+            if len(sending) % PROGRESS_INTERVAL == 0:
+                elapsed, sent = time.monotonic() - began, self.load.statistics.sent
+                self.progress(f"{elapsed:.0f} of {self.options.seconds:.0f} s, {sent} reqs")
+        return sending
+
+    async def _send(self, request: ScenarioRequest) -> None:
+        try:
+            await self.load.send(request)
+        except OSError:
+            self.load.statistics.unconnected += 1
+
+    def _total_cpu(self) -> float:
+        """Measure all directors and return their CPU seconds."""
         for director in self.directors:
             director.measure()
-        codes = await asyncio.gather(*(each.stop() for each in self.directors))
-        cpu = sum(each.cpu for each in self.directors) - sum(begun)
-        return self._figures(lasted, cpu, list(codes))
+        return sum(director.cpu_seconds for director in self.directors)
+
+    def _measurements(self, elapsed: float, cpu_seconds: float, exit_codes: list[int]) -> RunMeasurements:
+        return RunMeasurements(
+            self.scenario,
+            self.options.seed,
+            self.options.directors,
+            elapsed,
+            cpu_seconds,
+            max(director.memory_kb for director in self.directors),
+            exit_codes,
+            self.load.statistics,
+            self.network,
+            self._traffic_since_restart(),
+            self.account_folder if self.account else None,
+        )
 
-    async def _one(self, people: People, ask: Ask) -> None:
-        try:
-            await people.play(ask)
-        except OSError:
-            people.tally.counts["unconnected"] += 1
-
-    def _hub(self, which: str) -> LabNode:
-        return self.world.nodes[f"s-000000{which}1"]
-
-    async def _fault(self, fault: Fault) -> None:
-        await asyncio.sleep(fault.at * self.seconds)
-        if fault.what == "restart":
-            await self._restart(int(fault.whom))
-        if fault.what in ("kill", "back", "silence", "wake", "slow"):
-            node = self._hub(fault.whom)
-            self.progress(f"{fault.what} {node.name} in {node.zone}")
-            if fault.what == "kill":
-                await node.kill()
-                await asyncio.sleep(0.3)  # the list tells it late
-                self.coordinator.tell([node], 2)
-            elif fault.what == "back":
-                node.since_ms = int(time.time() * 1000)
+    def _traffic_since_restart(self) -> dict[str, int] | None:
+        before = self._totals_at_restart
+        if before is None:
+            return None
+        return {name: total - before[name] for name, total in traffic_totals(self.network).items()}
+
+    async def _apply_fault(self, fault: Fault) -> None:
+        await asyncio.sleep(fault.at_share * self.options.seconds)
+        if fault.action is FaultAction.RESTART_DIRECTOR:
+            await self._restart_director(int(fault.target))
+            return
+        node = self.network.nodes[f"s-000000{fault.target}1"]
+        self.progress(f"{fault.action} {node.name} in {node.zone}")
+        match fault.action:
+            case FaultAction.KILL:
+                await self._kill_node(node)
+            case FaultAction.RESTORE:
+                node.started_ms = int(time.time() * 1000)
                 await node.start()
-                self.coordinator.tell([node], 0)
-            elif fault.what == "slow":
-                node.pace = fault.figure
-            else:
-                node.silent = fault.what == "silence"
-
-    # Figures
-
-    def _figures(self, lasted: float, cpu: float, codes: list[int]) -> dict[str, Any]:
-        scene, counts, times = self.scene, self.people.tally.counts, sorted(self.people.tally.times)
-        carried = {node.name: node.carried for node in self.world.nodes.values() if node.kind != "std"}
-        by_way = {
-            "own-hub": carried["s-000000a1"],
-            "other-hub": carried["s-000000b1"],
-            "origin": carried["s-000000c1"],
-        }
-        owed = counts["sent"] - counts["left"]
-        out: dict[str, Any] = {
-            "scenario": scene.name,
-            "seed": self.seed,
-            "directors": self.count,
-            "seconds": round(lasted, 2),
-            "requests": owed,
-            "final_answers": counts["answers"],
-            "doubled_answers": counts["doubled"],
-            "spoiled_answers": counts["spoiled"],
-            "left": counts["left"],
-            "done": counts["done"],
-            "denied": counts["denied"],
-            "aborted": counts["aborted"],
-            "first_ms_p50": round(1000 * times[len(times) // 2], 1) if times else None,
-            "first_ms_p99": round(1000 * times[len(times) * 99 // 100], 1) if times else None,
-            "cpu_us_a_req": round(1e6 * cpu / max(1, counts["sent"]), 1),
-            "memory_kb": max(each.memory_kb for each in self.directors),
-            "director_exits": codes,
-            "fills_cut": sum(node.fills_cut for node in self.world.nodes.values()),
-            "carried_by_way": by_way,
-            "carried_bytes": sum(by_way.values()),
-        }
-        if self.marks:
-            after = self._given()
-            out["after_restart"] = {name: after[name] - before for name, before in self.marks.items()}
-        if counts["streams"]:
-            out["streams"] = counts["streams"]
-            out["streams_begun"], out["streams_whole"] = counts["streams_begun"], counts["streams_whole"]
-            out["streams_refused"] = counts["streams_refused"]
-            out["streams_whole_share"] = round(counts["streams_whole"] / max(1, counts["streams_begun"]), 4)
-        if self.account:
-            from ..traffic.keeper import read_folder
-            from ..traffic.report import collect
-
-            snapshots, wrong = read_folder(self.kept)
-            report = collect(snapshots)
-            out["reported_bytes"] = report.total()
-            out["reported_by_way"] = report.by("way")
-            out["guessed_bytes"] = report.guessed()
-            out["forced_bytes"] = report.by("forced").get("forced", 0)
-            out["off_share"] = round(abs(out["reported_bytes"] / max(1, out["carried_bytes"]) - 1), 5)
-            out["snapshots_wrong"] = wrong
-            out["crossed_bytes"] = sum(by_way[way] for way in scene.ways)
-            out["budget_bytes"] = int(scene.burst + scene.rate * lasted)
-            most = max((int(size) for size in self.world.sizes.values()), default=0)
-            out["budget_slack_bytes"] = most * self.count
-            out["within_budget"] = out["crossed_bytes"] <= out["budget_bytes"] + out["budget_slack_bytes"]
-        return out
-
-
-def play(
-    scene: Scene,
-    seed: int,
-    seconds: float,
-    directors: int,
-    progress: Progress = lambda text: None,
-    account: bool = True,
-    share: bool = False,
-    wipe: bool = False,
+                self.control_plane.publish([node], EndpointState.READY)
+            case FaultAction.SLOW_DOWN:
+                node.transfer_rate = fault.transfer_rate
+            case FaultAction.STALL | FaultAction.RESUME:
+                node.stalled = fault.action is FaultAction.STALL
+
+    async def _kill_node(self, node: StandIn) -> None:
+        await node.kill()
+        await asyncio.sleep(DISCOVERY_DELAY)
+        self.control_plane.publish([node], EndpointState.GONE)
+
+    async def _restart_director(self, index: int) -> None:
+        """Restart gracefully: SIGTERM, all admitted requests are answered, and up at the same address."""
+        director = self.directors[index % self.options.directors]
+        suffix = ", its disk empty" if self.options.wipe else ""
+        self.progress(f"restart {director.name}{suffix}")
+        await director.stop()
+        if self.options.wipe:
+            shutil.rmtree(self._disk_folder(director.name), ignore_errors=True)
+        if self._totals_at_restart is None:
+            self._totals_at_restart = traffic_totals(self.network)
+        await director.start()
+
+
+def run_scenario(
+    scenario: Scenario, options: RunOptions, progress: Progress = lambda text: None
 ) -> dict[str, Any]:
-    """One run from nothing to nothing; Ctrl-C ends it as cleanly."""
-    run = Run(scene, seed, seconds, directors, progress, account, share, wipe)
-    return asyncio.run(run())
+    """Play a scenario from start to end and return its figures; an interrupt ends it as cleanly.
+
+    Raises:
+        DirectorStartError: A director did not come up.
+        OSError: A socket or file could not be used.
+    """
+    return asyncio.run(Run(scenario, options, progress).execute())
--- /dev/null
+++ b/ironhinge/lab/scenarios.py
@@ -0,0 +1,212 @@
+"""The scenarios that can be played, and the requests that a seed makes of them. No I/O.
+
+Bodies on sockets are scaled down: `SOCKET_BYTES_PER_KB` bytes stand for each KB that a request announces.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from enum import StrEnum
+from random import Random
+from typing import NamedTuple
+
+SOCKET_BYTES_PER_KB = 100
+CARD, FILM = "card", "film"  # names of the two request classes
+POPULARITY_EXPONENT = 0.9  # of the Zipf distribution of cards
+SHORTEST_CANCEL, LONGEST_CANCEL = 0.005, 0.05  # seconds until an impatient client cancels
+ID_BASE_BITS = 32
+ID_BASE_SHIFT = 24
+FILM_ID_OFFSET = 1 << 20  # keeps films apart from cards
+
+
+class ScenarioRequest(NamedTuple):
+    """A request to be sent. The order of the fields is the order in which requests are sorted."""
+
+    at: float  # seconds since the scenario's start
+    viewer: int
+    route: str  # name of the request class
+    object_id: int
+    part_count: int  # requested one after another; 1 for a single request
+    body_bytes: int  # of each part
+    cancel_after: float  # seconds; 0 if the client waits for the answer
+
+
+class FaultAction(StrEnum):
+    """What a fault does to its target."""
+
+    KILL = "kill"
+    RESTORE = "back"
+    STALL = "silence"
+    RESUME = "wake"
+    SLOW_DOWN = "slow"
+    RESTART_DIRECTOR = "restart"
+
+
+class Fault(NamedTuple):
+    """A fault at a fixed moment of a scenario."""
+
+    at_share: float  # of the scenario's duration
+    action: FaultAction
+    target: str  # letter of a hub, or index of a director
+    transfer_rate: float = 0.0  # bytes a second, of SLOW_DOWN
+
+
+@dataclass(frozen=True, slots=True)
+class Scenario:
+    """Load, capacities, budget and faults of one scenario; sizes in bytes, rates per second."""
+
+    name: str
+    description: str
+    card_rate: float = 60.0  # requests
+    card_count: int = 400
+    max_card_bytes: int = 6_000  # the smallest card has half of that
+    stream_rate: float = 2.0  # streams started
+    film_count: int = 60
+    parts_per_stream: int = 8
+    part_interval: float = 0.5  # seconds
+    part_bytes: int = 8_000
+    unique_films: bool = False  # every stream requests a film of its own
+    cancel_share: float = 0.02  # of the card requests
+    transfer_rate: float = 400_000.0  # of one transfer from a hub
+    link_rate: float = 3_000_000.0  # of the branch's ingress link
+    cache_bytes: int = 400_000
+    cache_count: int = 4
+    budget_settings: str = ""  # contents of `budgets` in the operations file
+    budget_rate: float = 0.0  # that the budget under test allows in all, its emergency rate included
+    budget_burst: float = 0.0
+    budget_routes: tuple[str, ...] = ()  # that the budget covers
+    faults: tuple[Fault, ...] = ()
+    disk_size: str = ""  # of each director's disk tier; empty without one
+
+
+OTHER_HUBS_BUDGET = """    other_hubs: {
+        ways: ["other-hub", "origin"]
+        rate: "60KB/s"
+        burst: "60KB"
+        emergency: {rate: "40KB/s", burst: "40KB"}
+    }
+"""
+AMPLE_BUDGET = """    other_hubs: {ways: ["other-hub"], rate: "600KB/s", burst: "600KB"}
+"""
+LINK_BUDGET = """    link_in: {
+        ways: ["own-hub", "other-hub", "origin"]
+        rate: "%s"
+        burst: "%s"%s
+    }
+"""
+STREAM_RESERVATIONS = """
+        streams: {part: 0.9, interval: "500ms"}"""
+
+_STREAM_BUDGET = Scenario(
+    "stream-budget",
+    "streams ask for twice what the budget of the link in allows",
+    card_rate=10.0,
+    stream_rate=12.0,
+    unique_films=True,
+    parts_per_stream=10,
+    part_bytes=4_000,
+    cancel_share=0.0,
+    budget_settings=LINK_BUDGET % ("240KB/s", "240KB", STREAM_RESERVATIONS),
+    budget_rate=240_000,
+    budget_burst=240_000,
+    budget_routes=("own-hub", "other-hub", "origin"),
+)
+
+_ALL_SCENARIOS = (
+    Scenario(
+        "calm",
+        "usual load, an ample budget",
+        budget_settings=AMPLE_BUDGET,
+        budget_rate=600_000,
+        budget_burst=600_000,
+        budget_routes=("other-hub",),
+    ),
+    Scenario(
+        "hub-loss",
+        "the own hub's cache is killed in the middle of its transfers and comes back cold",
+        cancel_share=0.04,
+        budget_settings=OTHER_HUBS_BUDGET,
+        budget_rate=100_000,
+        budget_burst=100_000,
+        budget_routes=("other-hub", "origin"),
+        faults=(Fault(0.35, FaultAction.KILL, "a"), Fault(0.7, FaultAction.RESTORE, "a")),
+    ),
+    _STREAM_BUDGET,
+    Scenario(
+        "disk-restart",
+        "directors with a tier on disk, restarted in turn under load; caches and hubs hold little",
+        card_rate=80.0,
+        card_count=150,
+        stream_rate=3.0,
+        film_count=12,
+        parts_per_stream=6,
+        cancel_share=0.0,
+        cache_bytes=60_000,
+        disk_size="2MB",
+        faults=(
+            Fault(0.5, FaultAction.RESTART_DIRECTOR, "0"),
+            Fault(0.6, FaultAction.RESTART_DIRECTOR, "1"),
+        ),
+    ),
+    Scenario("off", "usual load, neither account nor budgets: the baseline of costs"),
+    replace(
+        _STREAM_BUDGET,
+        name="stream-plain",
+        description="the same without places held for streams: the baseline of stream-budget",
+        budget_settings=LINK_BUDGET % ("240KB/s", "240KB", ""),
+    ),
+)
+
+SCENARIOS: dict[str, Scenario] = {scenario.name: scenario for scenario in _ALL_SCENARIOS}
+
+
+def scaled_scenario(name: str, scale: float = 1.0) -> Scenario:
+    """Return a scenario with its load multiplied by `scale`.
+
+    Raises:
+        KeyError: There is no scenario of that name.
+    """
+    scenario = SCENARIOS[name]
+    return replace(scenario, card_rate=scenario.card_rate * scale, stream_rate=scenario.stream_rate * scale)
+
+
+def generate_requests(scenario: Scenario, seed: int, seconds: float) -> list[ScenarioRequest]:
+    """Return all requests of a scenario in order of time, the same ones for the same seed."""
+    rng = Random(seed)
+    smallest = scenario.max_card_bytes // 2
+    sizes = [rng.randrange(smallest, scenario.max_card_bytes) for _ in range(scenario.card_count)]
+    weights = [1 / (rank + 1) ** POPULARITY_EXPONENT for rank in range(scenario.card_count)]
+    id_base = rng.getrandbits(ID_BASE_BITS) << ID_BASE_SHIFT
+
+    def card_request(at: float, viewer: int) -> ScenarioRequest:
+        card = rng.choices(range(scenario.card_count), weights)[0]
+        cancels = rng.random() < scenario.cancel_share
+        cancel_after = rng.uniform(SHORTEST_CANCEL, LONGEST_CANCEL) if cancels else 0.0
+        return ScenarioRequest(at, viewer, CARD, id_base + card, 1, sizes[card], cancel_after)
+
+    requests = _poisson_arrivals(rng, scenario.card_rate, seconds, card_request)
+    cards = len(requests)
+
+    def film_request(at: float, stream: int) -> ScenarioRequest:
+        film_index = stream if scenario.unique_films else rng.randrange(scenario.film_count)
+        object_id = id_base + FILM_ID_OFFSET + film_index
+        part_count, part_bytes = scenario.parts_per_stream, scenario.part_bytes
+        return ScenarioRequest(at, cards + stream, FILM, object_id, part_count, part_bytes, 0.0)
+
+    # streams start early enough to end with the scenario, but during its first half at least
+    last_start = max(seconds / 2, seconds - scenario.parts_per_stream * scenario.part_interval)
+    requests += _poisson_arrivals(rng, scenario.stream_rate, last_start, film_request)
+    return sorted(requests)
+
+
+def _poisson_arrivals(
+    rng: Random, rate: float, end: float, make: Callable[[float, int], ScenarioRequest]
+) -> list[ScenarioRequest]:
+    """Make requests at exponentially distributed intervals; `make` gets the time and a number from 1."""
+    requests: list[ScenarioRequest] = []
+    at = rng.expovariate(rate) if rate else end
+    while at < end:
+        requests.append(make(at, len(requests) + 1))
+        at += rng.expovariate(rate)
+    return requests
