--- a/ironhinge/lab/injection/sitecustomize.py
+++ b/ironhinge/lab/injection/sitecustomize.py
@@ -39,7 +39,7 @@
         """Parse a script; its time starts now."""
         document = json.loads(text)
         self._rng = random.Random(document.get("seed", 0))
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._rules: dict[str, list[dict[str, Any]]] = {}
         for rule in document.get("calls", []):
             self._rules.setdefault(rule["call"], []).append(rule)
@@ -74,7 +74,7 @@
         return float(sum(offset for at, offset in self._clock_steps if at <= now))
 
     def _elapsed(self) -> float:
-        return time.monotonic() - self._began
+        return time.monotonic() - self._started_at
 
     def _is_active(self, rule: dict[str, Any], side: str) -> bool:
         """Return whether a rule applies now to a socket of that side."""
--- a/ironhinge/lab/report.py
+++ b/ironhinge/lab/report.py
@@ -32,22 +32,22 @@
 
 def build_report(run: RunMeasurements) -> dict[str, Any]:
     """Return the figures of a run."""
-    carried = _carried_by_route(run.network)
+    route_bytes = _bytes_by_route(run.network)
     report = _request_figures(run)
     report |= {
         "cpu_us_a_req": round(1e6 * run.cpu_seconds / max(1, run.statistics.sent), 1),
         "memory_kb": run.memory_kb,
         "director_exits": run.exit_codes,
         "fills_cut": sum(node.cancelled_fills for node in run.network.nodes.values()),
-        "carried_by_way": carried,
-        "carried_bytes": sum(carried.values()),
+        "carried_by_way": route_bytes,
+        "carried_bytes": sum(route_bytes.values()),
     }
     if run.since_restart is not None:
         report["after_restart"] = run.since_restart
     if run.statistics.streams:
         report |= _stream_figures(run.statistics)
     if run.account_folder is not None:
-        report |= _account_figures(run, run.account_folder, carried)
+        report |= _account_figures(run, run.account_folder, route_bytes)
     return report
 
 
@@ -61,7 +61,7 @@
     }
 
 
-def _carried_by_route(network: StandInNetwork) -> dict[str, int]:
+def _bytes_by_route(network: StandInNetwork) -> dict[str, int]:
     return {
         "own-hub": network.nodes[OWN_HUB].bytes_to_branch,
         "other-hub": network.nodes[OTHER_HUB].bytes_to_branch,
@@ -106,7 +106,7 @@
     }
 
 
-def _account_figures(run: RunMeasurements, folder: Path, carried: dict[str, int]) -> dict[str, Any]:
+def _account_figures(run: RunMeasurements, folder: Path, route_bytes: dict[str, int]) -> dict[str, Any]:
     # imported here: the traffic package needs libraries that a run without accounts does not
     from ..traffic.keeper import read_folder
     from ..traffic.report import collect
@@ -114,7 +114,7 @@
     snapshots, unreadable = read_folder(folder)
     account = collect(snapshots)
     reported, scenario = account.total(), run.scenario
-    crossed = sum(carried[route] for route in scenario.budget_routes)
+    crossed = sum(route_bytes[route] for route in scenario.budget_routes)
     budget = int(scenario.budget_burst + scenario.budget_rate * run.elapsed)
     # each director may let one transfer more begin than its budget covers
     slack = max(run.network.body_sizes.values(), default=0) * run.directors
@@ -123,7 +123,7 @@
         "reported_by_way": account.by("way"),
         "guessed_bytes": account.guessed(),
         "forced_bytes": account.by("forced").get("forced", 0),
-        "off_share": round(abs(reported / max(1, sum(carried.values())) - 1), 5),
+        "off_share": round(abs(reported / max(1, sum(route_bytes.values())) - 1), 5),
         "snapshots_wrong": unreadable,
         "crossed_bytes": crossed,
         "budget_bytes": budget,
--- a/ironhinge/lab/run.py
+++ b/ironhinge/lab/run.py
@@ -169,7 +169,7 @@
     # Load and faults
 
     async def _play(self) -> dict[str, Any]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.load = LoadGenerator([director.port for director in self.directors], self.options.seed)
         requests = generate_requests(self.scenario, self.options.seed, self.options.seconds)
         for request in requests:
@@ -177,27 +177,29 @@
         faults = [asyncio.ensure_future(self._apply_fault(fault)) for fault in self.scenario.faults]
         self._tasks += faults
         cpu_before = self._total_cpu()
-        sending = await self._send_requests(requests, began)
+        sending = await self._send_requests(requests, started_at)
         await asyncio.gather(*sending, return_exceptions=True)
         await asyncio.gather(*faults, return_exceptions=True)
-        elapsed = time.monotonic() - began
+        elapsed = time.monotonic() - started_at
         self._total_cpu()
         exit_codes = await asyncio.gather(*(director.stop() for director in self.directors))
         cpu_after = sum(director.cpu_seconds for director in self.directors)
         return build_report(self._measurements(elapsed, cpu_after - cpu_before, exit_codes))
 
-    async def _send_requests(self, requests: list[ScenarioRequest], began: float) -> list[asyncio.Task[None]]:
+    async def _send_requests(
+        self, requests: list[ScenarioRequest], started_at: float
+    ) -> list[asyncio.Task[None]]:
         """Start to send each request at its time; return the tasks."""
         sending: list[asyncio.Task[None]] = []
         for request in requests:
-            delay = began + request.at - time.monotonic()
+            delay = started_at + request.at - time.monotonic()
             if delay > 0:
                 await asyncio.sleep(delay)
             task = asyncio.ensure_future(self._send(request))
             sending.append(task)
             self._tasks = [running for running in self._tasks if not running.done()] + [task]
             if len(sending) % PROGRESS_INTERVAL == 0:
-                elapsed, sent = time.monotonic() - began, self.load.statistics.sent
+                elapsed, sent = time.monotonic() - started_at, self.load.statistics.sent
                 self.progress(f"{elapsed:.0f} of {self.options.seconds:.0f} s, {sent} reqs")
         return sending
 
--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -186,7 +186,7 @@
         return any(
             other is not request
             and other.connection is connection
-            and other.begun_at < at
+            and other.started_at < at
             and (not other.answers or other.answers[0].at > at)
             for other in self.records.requests
         )
@@ -198,7 +198,7 @@
         if incarnation is None:
             return 0.0
         pauses = incarnation.pauses
-        return sum(end - begin for begin, end in pauses if end > request.begun_at and begin < until)
+        return sum(end - begin for begin, end in pauses if end > request.started_at and begin < until)
 
     def _lag(self, at: float) -> float:
         """Return how late the recording process was around a moment: its times are off by as much."""
@@ -344,7 +344,7 @@
 
 
 def _start_of(request: RequestRecord) -> float:
-    return request.written_at if request.written_at is not None else request.begun_at
+    return request.written_at if request.written_at is not None else request.started_at
 
 
 def _excused_by_kill(incarnation: DirectorIncarnation, arrived_at: float) -> bool:
--- a/ironhinge/lab/soak/client_connection.py
+++ b/ironhinge/lab/soak/client_connection.py
@@ -77,7 +77,7 @@
         self._last_stream += 1
         self.open_requests[self._last_stream] = self._sent_requests[self._last_stream] = request
         self.records.requests.append(request)
-        request.begun_at = time.monotonic()
+        request.started_at = time.monotonic()
         return wire.encode_request(self._last_stream, fields)
 
     def write(self, data: bytes) -> None:
--- a/ironhinge/lab/soak/clients.py
+++ b/ironhinge/lab/soak/clients.py
@@ -90,7 +90,7 @@
         connection = self._connection
         if connection is not None and not connection.closed.is_set():
             for request in list(connection.open_requests.values()):
-                await connection.wait(request, request.begun_at + request.patience + ANSWER_GRACE)
+                await connection.wait(request, request.started_at + request.patience + ANSWER_GRACE)
             connection.close()
 
     async def _usable_connection(self) -> ClientConnection | None:
--- a/ironhinge/lab/soak/directors.py
+++ b/ironhinge/lab/soak/directors.py
@@ -103,7 +103,7 @@
         self.exit_watch = asyncio.ensure_future(self._record_exit(self.process, record))
         while time.monotonic() < record.started_at + START_TIMEOUT and record.exited_at is None:
             if await is_ready(self.port, READINESS_TIMEOUT):
-                self._mark_ready(record)
+                self._record_ready(record)
                 return
             await asyncio.sleep(READINESS_INTERVAL)
 
@@ -123,7 +123,7 @@
                 preexec_fn=die_with_parent,
             )
 
-    def _mark_ready(self, record: DirectorIncarnation) -> None:
+    def _record_ready(self, record: DirectorIncarnation) -> None:
         record.ready_at = time.monotonic()
         self.accepting = True
         if self.configured_discovery_port != self.discovery.port:  # it moved during the start
--- a/ironhinge/lab/soak/faults.py
+++ b/ironhinge/lab/soak/faults.py
@@ -29,9 +29,9 @@
         self.caches = caches
         self.directors = directors
 
-    async def apply(self, event: FaultEvent, began: float) -> None:
-        """Wait until a fault is due, counted from `began` on the monotonic clock, and apply it."""
-        await asyncio.sleep(max(0.0, began + event.at - time.monotonic()))
+    async def apply(self, event: FaultEvent, started_at: float) -> None:
+        """Wait until a fault is due, counted from `started_at` on the monotonic clock, and apply it."""
+        await asyncio.sleep(max(0.0, started_at + event.at - time.monotonic()))
         match event.kind:
             case (
                 FaultKind.RESTART_DIRECTOR
--- a/ironhinge/lab/soak/records.py
+++ b/ironhinge/lab/soak/records.py
@@ -69,7 +69,7 @@
     class_name: str
     connection: ConnectionRecord
     patience: float  # seconds
-    begun_at: float = 0.0
+    started_at: float = 0.0
     written_at: float | None = None  # the last byte was given to the system
     cancelled_at: float | None = None  # by a frame, or by closing the connection
     answers: list[AnswerRecord] = field(default_factory=list)
--- a/ironhinge/lab/soak/servers.py
+++ b/ironhinge/lab/soak/servers.py
@@ -131,7 +131,7 @@
         elif word == b"want":
             fields = dict(entry.split("=", 1) for entry in command.items[2].decode().split(","))
             now = time.monotonic()
-            arrival = Arrival(self.name, request_id.decode(), command.begun_at, now, fields)
+            arrival = Arrival(self.name, request_id.decode(), command.first_byte_at, now, fields)
             self.fleet.records.arrivals.append(arrival)
             if not self.hanging:
                 task = asyncio.ensure_future(self._answer(arrival, writer))
--- a/ironhinge/lab/soak/timeline.py
+++ b/ironhinge/lab/soak/timeline.py
@@ -16,13 +16,13 @@
         return []
     entries = _client_entries(request) + _node_entries(request, records)
     entries += _director_entries(request.connection, records)
-    return [f"{at - request.begun_at:+9.3f} s  {text}" for at, text in sorted(entries)]
+    return [f"{at - request.started_at:+9.3f} s  {text}" for at, text in sorted(entries)]
 
 
 def _client_entries(request: RequestRecord) -> list[Entry]:
     connection = request.connection
     entries: list[Entry] = [
-        (request.begun_at, f"begun: class {request.class_name}, patience {request.patience:.3f} s")
+        (request.started_at, f"begun: class {request.class_name}, patience {request.patience:.3f} s")
     ]
     for at, text in (
         (connection.opened_at, f"connection {connection.number} opened to director {connection.director}"),
--- a/ironhinge/lab/soak/wire.py
+++ b/ironhinge/lab/soak/wire.py
@@ -110,7 +110,7 @@
     """A command from a director to a node."""
 
     items: list[bytes]
-    begun_at: float  # when its first byte arrived, in seconds
+    first_byte_at: float  # when its first byte arrived, in seconds
 
 
 class CommandReader:
@@ -118,7 +118,7 @@
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._begun_at = 0.0
+        self._first_byte_at = 0.0
 
     def feed(self, data: bytes, now: float) -> list[Command]:
         """Add bytes that arrived at `now` and return the commands that are complete.
@@ -128,16 +128,16 @@
             ValueError: A length is not a number.
         """
         if not self._buffer:
-            self._begun_at = now
+            self._first_byte_at = now
         self._buffer += data
         commands: list[Command] = []
         while True:
             items, size = self._first_array()
             if not size:
                 return commands
-            commands.append(Command(items, self._begun_at))
+            commands.append(Command(items, self._first_byte_at))
             self._buffer = self._buffer[size:]
-            self._begun_at = now
+            self._first_byte_at = now
 
     def _first_array(self) -> tuple[list[bytes], int]:
         """Return the items of the first array and its size in bytes; size 0 while it is incomplete."""
@@ -153,12 +153,12 @@
             at += size + 2
         return items, at
 
-    def _length_line(self, at: int, mark: bytes) -> tuple[int, int]:
+    def _length_line(self, at: int, prefix: bytes) -> tuple[int, int]:
         """Return the length in a line and where the next one starts; 0, 0 while it is incomplete."""
         end = self._buffer.find(b"\r\n", at)
         if end < 0:
             return 0, 0
-        if self._buffer[at : at + 1] != mark:
+        if self._buffer[at : at + 1] != prefix:
             raise MalformedCommandError(f"not a command: {self._buffer[at : at + 20]!r}")
         return int(self._buffer[at + 1 : end]), end + 2
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -186,7 +186,9 @@
     reader = CommandReader()
     data = encode_array(b"want", b"a", b"ms=1", b"")
     commands = [command for at, byte in enumerate(data) for command in reader.feed(bytes([byte]), at)]
-    assert [(command.items, command.begun_at) for command in commands] == [([b"want", b"a", b"ms=1", b""], 0)]
+    assert [(command.items, command.first_byte_at) for command in commands] == [
+        ([b"want", b"a", b"ms=1", b""], 0)
+    ]
     with pytest.raises(MalformedCommandError):
         reader.feed(b"GET / HTTP/1.1\r\n", 1.0)
 
