--- a/benchmarks/disk_lab.py
+++ b/benchmarks/disk_lab.py
@@ -12,8 +12,8 @@
 import sys
 from typing import Any
 
-from ironhinge.lab.run import play
-from ironhinge.lab.scenes import SCENES
+from ironhinge.lab.run import RunOptions, run_scenario
+from ironhinge.lab.scenarios import SCENARIOS
 
 SCENARIO = "disk-restart"
 SECONDS = 20.0
@@ -37,7 +37,8 @@
     bad = requests = 0
     for seed in range(1, seeds + 1):
         for name, totals in sums.items():
-            report = play(SCENES[SCENARIO], seed, SECONDS, DIRECTORS, wipe=name == "empty")
+            options = RunOptions(seed, SECONDS, DIRECTORS, wipe=name == "empty")
+            report = run_scenario(SCENARIOS[SCENARIO], options)
             requests += report["requests"]
             bad += bad_answers(report)
             for key, value in report["after_restart"].items():
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from ironhinge import interface
-from ironhinge.lab.run import play
-from ironhinge.lab.scenes import SCENES, scene
+from ironhinge.lab.run import RunOptions, run_scenario
+from ironhinge.lab.scenarios import SCENARIOS, scaled_scenario
 from ironhinge.settings.load import load_texts
 from ironhinge.traffic.ledger import TrafficLedger
 from ironhinge.traffic.types import (
@@ -137,8 +137,9 @@
     for index in range(pairs):
         figures = {}
         for is_on in (False, True) if index % 2 else (True, False):
-            scenario = scene("calm", LOAD_SCALE)
-            figures[is_on] = play(scenario, FIRST_SEED + index, seconds, DIRECTORS, account=is_on)
+            scenario = scaled_scenario("calm", LOAD_SCALE)
+            options = RunOptions(FIRST_SEED + index, seconds, DIRECTORS, account=is_on)
+            figures[is_on] = run_scenario(scenario, options)
             cpu[is_on].append(figures[is_on]["cpu_us_a_req"])
         ratios.append(figures[True]["cpu_us_a_req"] / figures[False]["cpu_us_a_req"])
         memory.append(figures[True]["memory_kb"] - figures[False]["memory_kb"])
@@ -156,7 +157,10 @@
     """How far the report is from what hubs carried, and whether budgets held."""
     out: dict[str, Any] = {}
     for name in ("calm", "hub-loss", "stream-budget"):
-        runs = [play(SCENES[name], seed, seconds, DIRECTORS) for seed in range(1, seeds + 1)]
+        runs = [
+            run_scenario(SCENARIOS[name], RunOptions(seed, seconds, DIRECTORS))
+            for seed in range(1, seeds + 1)
+        ]
         out[name] = {
             "off_share_worst": max(run["off_share"] for run in runs),
             "within_budget": all(run["within_budget"] for run in runs),
@@ -173,7 +177,10 @@
     """Streams begun that got all their segments, with reservations and without, at half of the demand."""
     out = {}
     for name in ("stream-budget", "stream-plain"):
-        runs = [play(SCENES[name], seed, seconds, DIRECTORS) for seed in range(1, seeds + 1)]
+        runs = [
+            run_scenario(SCENARIOS[name], RunOptions(seed, seconds, DIRECTORS))
+            for seed in range(1, seeds + 1)
+        ]
         begun = sum(run["streams_begun"] for run in runs)
         complete = sum(run["streams_whole"] for run in runs)
         out[name] = {
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -69,10 +69,10 @@
 def test_late_requests_shrink_background_work_and_it_grows_back(scheduler):
     for _ in range(10):
         scheduler.handle(0, LatencyReported(True))
-    assert scheduler.share == 1 / 16
+    assert scheduler.budget_share == 1 / 16
     for _ in range(100):
         scheduler.handle(0, LatencyReported(False))
-    assert scheduler.share == 1.0
+    assert scheduler.budget_share == 1.0
 
 
 def test_deadlines_and_aging_overtake_classes(scheduler):
