--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -133,7 +133,7 @@
 
     def on_data(self, connection: Connection, data: memoryview) -> None:
         """Bytes came; whole frames are handed on."""
-        if self.phase is Phase.HALF_CLOSED:
+        if self._drops_input():
             return
         had_partial_frame = bool(self.wire.buffered)
         self.last_received_at = self._host.clock.now()
@@ -141,11 +141,14 @@
         if messages or not had_partial_frame:
             self._restart_wait()
         for message in messages:
-            if self.phase is Phase.HALF_CLOSED:
+            if self._drops_input():  # the message before may have ended our side
                 return
             self._record_usage(message)
             self._on_message(message)
 
+    def _drops_input(self) -> bool:
+        return self.phase is Phase.HALF_CLOSED
+
     def _on_message(self, message: client_wire.Message) -> None:
         if isinstance(message, client_wire.RequestCancelled):
             self._cancel_request(message.stream)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,7 +18,7 @@
 from ironhinge.routing import Router
 
 PARENT, ORIGIN = 1, 2
-CACHES = ["c%d" % i for i in range(5)]
+CACHES = [f"c{i}" for i in range(5)]
 IDEMPOTENCY = (
     (Idempotency.IDEMPOTENT, DedupScope.ALL),
     (Idempotency.KEYED, DedupScope.CELL),
@@ -88,7 +88,9 @@
 
 def row(name, state="ready", started=0, weight=20.0):
     kind = ORIGIN if name == "o" else PARENT if name[0] == "p" else 0
-    return interface.Endpoint(name, state, int(name[1:] or 0) % 2, 1 if kind else 0, started, weight, kind)
+    return interface.Endpoint(
+        name, EndpointState(state), int(name[1:] or 0) % 2, 1 if kind else 0, started, weight, kind
+    )
 
 
 def router(facts=None, names=(*CACHES, "p0", "p1", "o")):
@@ -176,9 +178,8 @@
         assert now < act.deadline <= at + came.time_remaining
         ran = self.ran(act.request_id)
         if ran and vhost.idempotency != Idempotency.IDEMPOTENT:
-            assert vhost.idempotency == Idempotency.KEYED and now < ran[0][1] + vhost.dedup_window, (
-                "an effect twice"
-            )
+            assert vhost.idempotency == Idempotency.KEYED, "an effect twice"
+            assert now < ran[0][1] + vhost.dedup_window, "an effect twice"
             assert (
                 vhost.dedup_scope == "all" or self.rows[act.endpoint_id].cell == self.rows[ran[0][0]].cell
             ), "outside its group"
@@ -193,9 +194,8 @@
             and when + self.facts.purge_retention >= now
         ]
         if purges and act.endpoint_id != "o":
-            assert type(act) is interface.SendAttemptWithFill and 0 < act.max_copy_age <= max(
-                1, now - max(purges)
-            ), "an old copy would do"
+            assert type(act) is interface.SendAttemptWithFill, "an old copy would do"
+            assert 0 < act.max_copy_age <= max(1, now - max(purges)), "an old copy would do"
         if type(act) is interface.SendAttemptWithFill and vhost.freshness_lifetime:
             assert act.max_copy_age <= vhost.freshness_lifetime + vhost.stale_grace
         before.append([act.endpoint_id, now, None])
@@ -221,6 +221,29 @@
         ), "a cold node pushed over"
 
 
+def random_event(chance, rules, now, number):
+    """The next event from outside: a request, a client that leaves, a purge or a change of the list."""
+    dice = chance.random()
+    if dice < 0.7:
+        return req(
+            f"r{number + 1}",
+            chance.randrange(40),
+            chance.randrange(4),
+            chance.choice([50.0, 500.0, 4000.0]),
+            chance.choice([500, 9000, 25000]),
+            chance.randrange(3),
+        )
+    if dice < 0.78:
+        held = [name for name in rules.came if name not in rules.ended]
+        return interface.ClientDisconnected(chance.choice(held)) if held else None
+    if dice < 0.86:
+        object_id = chance.choice([None, chance.randrange(40)])
+        return interface.PurgeNotified(object_id, chance.randrange(3), chance.randrange(3000))
+    name = chance.choice([*CACHES, "p0", "p1", "o"])
+    state = chance.choice(["ready", "ready", "draining", "gone"])
+    return interface.EndpointsUpdated(False, (row(name, state, chance.choice([0, now])),))
+
+
 def play(seed, facts, steps=400):
     """Plays random happenings against a router and the rules; returns how many reqs ended in each way."""
     chance, rules, now, number = Random(seed), Rules(facts), 0, 0
@@ -267,33 +290,10 @@
         now = then
         if number >= steps:
             continue
-        dice = chance.random()
-        if dice < 0.7:
-            number += 1
-            tell(
-                req(
-                    "r%d" % number,
-                    chance.randrange(40),
-                    chance.randrange(4),
-                    chance.choice([50.0, 500.0, 4000.0]),
-                    chance.choice([500, 9000, 25000]),
-                    chance.randrange(3),
-                )
-            )
-        elif dice < 0.78:
-            held = [name for name in rules.came if name not in rules.ended]
-            if held:
-                tell(interface.ClientDisconnected(chance.choice(held)))
-        elif dice < 0.86:
-            tell(
-                interface.PurgeNotified(
-                    chance.choice([None, chance.randrange(40)]), chance.randrange(3), chance.randrange(3000)
-                )
-            )
-        else:
-            name = chance.choice(names)
-            state = chance.choice(["ready", "ready", "draining", "gone"])
-            tell(interface.EndpointsUpdated(False, (row(name, state, chance.choice([0, now])),)))
+        what = random_event(chance, rules, now, number)
+        number += type(what) is interface.RequestReceived
+        if what is not None:
+            tell(what)
     assert set(rules.ended) == set(rules.came), "a req without a final answer"
     return rules
 
@@ -384,7 +384,7 @@
 
     def __init__(self):
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=64)
-        self.address = "127.0.0.1:%d" % self.sock.getsockname()[1]
+        self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
         self.conns = []
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -586,7 +586,8 @@
     args = ()
 
     def __init__(self, folder, told):
-        self.port, self.log = int(told["listen"].split(":")[1]), open(folder / "log", "w+")
+        self.port = int(told["listen"].split(":")[1])
+        self.log = (folder / "log").open("w+")  # closed by stop
         self.config = folder / "config.json"
         self.config.write_text(json.dumps(told))
         env = {**os.environ, "PROXY_CONFIG": str(self.config)}
@@ -594,13 +595,18 @@
             [sys.executable, "-m", "ironhinge", "serve", *self.args], env=env, stderr=self.log
         )
         until = time.monotonic() + PATIENCE
-        while True:
-            try:
-                assert FakeClient(self.port).is_ready()
-                return
-            except ConnectionRefusedError:
-                assert self.process.poll() is None and time.monotonic() < until, self.text()
-                time.sleep(0.02)
+        while not self._is_listening():
+            assert self.process.poll() is None, self.text()
+            assert time.monotonic() < until, self.text()
+            time.sleep(0.02)
+
+    def _is_listening(self):
+        try:
+            client = FakeClient(self.port)
+        except ConnectionRefusedError:
+            return False
+        assert client.is_ready()
+        return True
 
     def text(self):
         self.log.seek(0)
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -82,7 +82,7 @@
 
             async def until(true):
                 with anyio.fail_after(PATIENCE):
-                    while not true():
+                    while not true():  # noqa: ASYNC110 - what it waits for sets no event
                         await anyio.sleep(0.005)
 
             await scene(director, client, until)
@@ -336,7 +336,7 @@
     ours, theirs = datagrams(("127.0.0.1", 0)), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     theirs.bind(("127.0.0.1", 0))
     theirs.settimeout(PATIENCE)
-    peers = ["127.0.0.1:%d" % each.getsockname()[1] for each in (ours, theirs)]
+    peers = [f"127.0.0.1:{each.getsockname()[1]}" for each in (ours, theirs)]
     script = Scripted(
         EndpointsUpdated=[
             lambda now: [
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -7,6 +7,7 @@
 import threading
 import time
 from random import Random
+from typing import ClassVar
 
 import anyio
 import pytest
@@ -293,7 +294,7 @@
         (link,) = director.pool.upstreams["s-00000001"].connections
         conns[0].shutdown(socket.SHUT_RDWR)
         while not link.connection.peer_has_closed():
-            time.sleep(0.001)  # the event loop has no turn
+            time.sleep(0.001)  # noqa: ASYNC251 - the event loop must have no turn
         director.admit(client, came(2, trace=other))
         director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
@@ -398,7 +399,7 @@
             for peer in peers:
                 peer.sendall(b"a req")
             with anyio.fail_after(PATIENCE):
-                while any(each.data != b"a req" for each in heard):
+                while any(each.data != b"a req" for each in heard):  # noqa: ASYNC110 - no event to wait for
                     await anyio.sleep(0.005)
             tasks.cancel_scope.cancel()
 
@@ -676,7 +677,7 @@
     numbers = errno.ECONNABORTED, errno.EINTR, errno.ENOBUFS, errno.ENFILE, errno.EPROTO, errno.ENETUNREACH
 
     class Backlog:
-        found = [*(OSError(number, "as told") for number in numbers), socket.socket()]
+        found: ClassVar = [*(OSError(number, "as told") for number in numbers), socket.socket()]
         found.append(BlockingIOError(errno.EAGAIN, "all is taken"))
 
         def accept(self):
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -448,7 +448,8 @@
             path.write_text(told if isinstance(told, str) else json.dumps(told))
         for word_used in ("serve", "check"):
             got = command(word_used, "--config", str(path))
-            assert got.returncode == 2 and len(got.stderr.splitlines()) == 1, got.stderr
+            assert got.returncode == 2, got.stderr
+            assert len(got.stderr.splitlines()) == 1, got.stderr
             assert word in got.stderr
             assert str(path) in got.stderr
     path.write_text(json.dumps(good))
