--- a/ironhinge/lab/scenarios.py
+++ b/ironhinge/lab/scenarios.py
@@ -180,6 +180,7 @@
     id_base = rng.getrandbits(ID_BASE_BITS) << ID_BASE_SHIFT
 
     def card_request(at: float, viewer: int) -> ScenarioRequest:
+        """Draw a request for one card."""
         card = rng.choices(range(scenario.card_count), weights)[0]
         cancels = rng.random() < scenario.cancel_share
         cancel_after = rng.uniform(SHORTEST_CANCEL, LONGEST_CANCEL) if cancels else 0.0
@@ -189,6 +190,7 @@
     cards = len(requests)
 
     def film_request(at: float, stream: int) -> ScenarioRequest:
+        """Draw a stream of the parts of one film."""
         film_index = stream if scenario.unique_films else rng.randrange(scenario.film_count)
         object_id = id_base + FILM_ID_OFFSET + film_index
         part_count, part_bytes = scenario.parts_per_stream, scenario.part_bytes
--- a/ironhinge/lab/soak/discovery.py
+++ b/ironhinge/lab/soak/discovery.py
@@ -82,6 +82,7 @@
             old_server.close()
 
         def close_old_connections() -> None:
+            """Close what clients still hold of the old address."""
             for writer in writers:
                 writer.close()
 
--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -31,7 +31,7 @@
 from .open_request import Attempt, OpenRequest
 from .timers import Timers
 from .upstream import UpstreamOperation
-from .upstream_command import command_fields, max_copy_age_ms, set_time_left
+from .upstream_command import command_fields, max_copy_age_ms, set_time_remaining
 from .upstream_pool import UpstreamPool
 
 MAX_UNREAD = 30 * MILLISECOND  # an attempt may begin until 0.1 s after its client has left
@@ -150,7 +150,7 @@
             self.finish_operation(attempt, AttemptEnd.NOT_SENT if was_withdrawn else AttemptEnd.TIMED_OUT)
         if attempt.is_finished:
             return ()
-        set_time_left(fields, attempt.deadline - now)
+        set_time_remaining(fields, attempt.deadline - now)
         return (upstream_wire.encode_request(attempt.operation_id, fields, attempt.request.body),)
 
     def finish_operation(
@@ -229,7 +229,7 @@
             load_report=self._load_report(answer),
         )
         if self.traffic_account is not None:
-            self.traffic_account.on_attempt_finished(now, event, body_size, request.client_left)
+            self.traffic_account.on_attempt_finished(now, event, body_size, request.client_disconnected)
         self._owner.report(event)
 
     @staticmethod
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -96,7 +96,7 @@
     ) -> None:
         """A request came, to be answered with its stream."""
 
-    def on_client_left(self, request: OpenRequest) -> None:
+    def on_client_disconnected(self, request: OpenRequest) -> None:
         """Nobody waits for a request's answer any more."""
 
     def fail(self, request: OpenRequest) -> None:
@@ -177,7 +177,7 @@
     def _cancel_request(self, stream: int) -> None:
         request = self.open_requests.pop(stream, None)
         if request is not None:
-            self._host.on_client_left(request)
+            self._host.on_client_disconnected(request)
         unsent_answers = [frame for frame in self.connection.pending_frames if frame.tag == stream]
         for frame in unsent_answers:
             self.connection.withdraw(frame)
@@ -328,7 +328,7 @@
             self._host.event_log.record(
                 EventKind.REQUEST_UNANSWERED, request.request_id, end.name, self._name()
             )
-            self._host.on_client_left(request)
+            self._host.on_client_disconnected(request)
         self.open_requests.clear()
 
     def _name(self) -> str:
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -236,6 +236,7 @@
 
     async def _wait_to_write(self, remedy: Remedy) -> None:
         async def wait() -> None:
+            """Until the system takes more, or a shortage may be over."""
             if self.sock is None or self.is_closed:
                 return
             if remedy is Remedy.PAUSE:
--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -111,6 +111,7 @@
         self.connections[connection] = None
 
         async def connect_and_read() -> None:
+            """The whole life of the connection, in one task."""
             await self._connect(connection, address, timeout, needed)
             self.flush()
             await connection.read_loop()
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -94,11 +94,13 @@
         self.decisions.handlers = self._command_handlers()
         self.attempts.pool = self.pool
         self.attempts.timers = self.timers
-        self._turn_on(traffic_account, local_store)
+        self._attach_extensions(traffic_account, local_store)
         manager.on_call_failed = self.diagnostics.on_call_failed
         manager.shed_idle = self.pool.shed_idle
 
-    def _turn_on(self, traffic_account: TrafficAccount | None, local_store: LocalCopyStore | None) -> None:
+    def _attach_extensions(
+        self, traffic_account: TrafficAccount | None, local_store: LocalCopyStore | None
+    ) -> None:
         self.traffic_account = self.attempts.traffic_account = self.discovery.traffic_account = (
             traffic_account
         )
@@ -186,12 +188,12 @@
             request = request._replace(received=received._replace(time_remaining=time_remaining))
         return OpenRequest(request, client, message.stream, message.body, now)
 
-    def on_client_left(self, request: OpenRequest) -> None:
+    def on_client_disconnected(self, request: OpenRequest) -> None:
         """Nobody waits for a request's answer any more."""
         if request.is_closed:
             return
-        request.is_closed = request.client_left = True
-        self.diagnostics.counters["clients_left"] += 1
+        request.is_closed = request.client_disconnected = True
+        self.diagnostics.counters["clients_disconnected"] += 1
         self.event_log.record(EventKind.REQUEST_CANCELLED, request.request_id, "client")
         self.report(ClientDisconnected(request.request_id))
         if request.attempt is not None and request.attempt.withdraw():
@@ -203,7 +205,7 @@
     def fail(self, request: OpenRequest) -> None:
         """Answers a request whose connection has to end; the decisions learn that nobody waits for it."""
         if not request.is_closed:
-            self.on_client_left(request)
+            self.on_client_disconnected(request)
             request.client.send_answer(request, client_wire.ABORTED, {}, b"")
 
     def send_final_answer(
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -135,10 +135,10 @@
             logger.info("upstream_state_changed upstream={} state={}", endpoint.id, endpoint.state)
         upstream.address = address
         upstream.state = endpoint.state
-        self._note_start(upstream, started_unix_ms)
+        self._record_start(upstream, started_unix_ms)
         return endpoint._replace(started_at=upstream.started_at if started_unix_ms else 0)
 
-    def _note_start(self, upstream: Upstream, started_unix_ms: int) -> None:
+    def _record_start(self, upstream: Upstream, started_unix_ms: int) -> None:
         """Turns a start into an instant once: told again it must not look like another restart."""
         if started_unix_ms > upstream.started_unix_ms:
             upstream.started_unix_ms = started_unix_ms
--- a/ironhinge/net/extensions.py
+++ b/ironhinge/net/extensions.py
@@ -48,7 +48,7 @@
         """An attempt went out; `source_id` is empty where no fill is named."""
 
     def on_attempt_finished(
-        self, now: int, event: interface.AttemptFinished, body_size: int | None, client_left: bool
+        self, now: int, event: interface.AttemptFinished, body_size: int | None, client_disconnected: bool
     ) -> None:
         """An attempt ended; `body_size` is None where the answer held none of the bytes."""
 
--- a/ironhinge/net/open_request.py
+++ b/ironhinge/net/open_request.py
@@ -31,7 +31,7 @@
         "attempt_count",
         "body",
         "client",
-        "client_left",
+        "client_disconnected",
         "is_closed",
         "passed",
         "received",
@@ -48,7 +48,7 @@
         self.body = body
         self.answer_expires_at = Clock.seconds(now + request.received.time_remaining + LINGER)
         self.is_closed = False  # answered, or its client has left
-        self.client_left = False
+        self.client_disconnected = False
         self.attempt_count = 0
         self.attempt: Attempt | None = None  # the one in flight
 
--- a/ironhinge/net/upstream_command.py
+++ b/ironhinge/net/upstream_command.py
@@ -7,7 +7,7 @@
 from .clock import MILLISECOND
 
 HINT_SEPARATOR = "+"
-TIME_LEFT = "ms"
+TIME_REMAINING = "ms"
 
 
 def max_copy_age_ms(command: SendAttempt | SendAttemptWithFill) -> int:
@@ -27,7 +27,7 @@
         fields["seg"] = passed.part
     if passed.nonce is not None:
         fields["token"] = passed.nonce
-    fields[TIME_LEFT] = ""
+    fields[TIME_REMAINING] = ""
     if isinstance(command, SendAttemptWithFill):
         _add_fill_fields(fields, command)
     if passed.held_tag:
@@ -52,9 +52,9 @@
         fields["hints"] = text
 
 
-def set_time_left(fields: dict[str, str], time_left: int) -> None:
+def set_time_remaining(fields: dict[str, str], time_remaining: int) -> None:
     """Writes what is left of the attempt's time, in whole milliseconds, rounded up.
 
-    `time_left` is in tenths of a millisecond.
+    `time_remaining` is in tenths of a millisecond.
     """
-    fields[TIME_LEFT] = str(-(-time_left // MILLISECOND))
+    fields[TIME_REMAINING] = str(-(-time_remaining // MILLISECOND))
--- a/ironhinge/traffic/service.py
+++ b/ironhinge/traffic/service.py
@@ -200,11 +200,11 @@
         self._execute(self.ledger.handle(now, event))
 
     def on_attempt_finished(
-        self, now: int, event: interface.AttemptFinished, body_size: int | None, client_left: bool
+        self, now: int, event: interface.AttemptFinished, body_size: int | None, client_disconnected: bool
     ) -> None:
         """An attempt ended; `body_size` is None where the answer held none of the bytes."""
         ended = AttemptEnded(
-            event.request_id, event.result, event.fill_note, body_size, event.duration, client_left
+            event.request_id, event.result, event.fill_note, body_size, event.duration, client_disconnected
         )
         self._execute(self.ledger.handle(now, ended))
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -367,7 +367,7 @@
     async def scene(director, client, until):
         director.admit(client, came(1))
         client.open_requests.clear()
-        director.on_client_left(director.requests[TRACE])
+        director.on_client_disconnected(director.requests[TRACE])
         assert not director.requests
 
     play(script, scene, (node, node))
--- a/tests/test_traffic_service.py
+++ b/tests/test_traffic_service.py
@@ -50,7 +50,7 @@
     command = SendAttemptWithFill("r", "c0", 100, "p1", 1, 0, False, False, False)
     found.on_attempt_started(0, request, command, "p1")
     end = AttemptFinished("r", 0, "c0", AttemptResult.DONE, 10, True, FillNote.FILLED_FROM_SOURCE, 0, None)
-    found.on_attempt_finished(10, end, 10_000, client_left=True)
+    found.on_attempt_finished(10, end, 10_000, client_disconnected=True)
     return found
 
 
