--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -54,7 +54,7 @@
 def make_deployment() -> interface.Deployment:
     """A deployment of six parents in two hubs and two request classes, of which one has segments."""
     request_class = interface.RequestClass(
-        target=4000,
+        latency_target=4000,
         target_stretch=1.6,
         client_timeout=30_000,
         priority_weight=1.0,
--- a/ironhinge/config/deployment_settings.py
+++ b/ironhinge/config/deployment_settings.py
@@ -99,7 +99,7 @@
         idempotency = fields.keyword("semantics", IDEMPOTENCY)
         classes.append(
             RequestClass(
-                target=fields.duration_floor("aim", REQUIRED),
+                latency_target=fields.duration_floor("aim", REQUIRED),
                 target_stretch=fields.number("aim-stretch"),
                 client_timeout=fields.duration_floor("deadline", REQUIRED),
                 priority_weight=fields.number("importance", 1),
--- a/ironhinge/interface/deployment.py
+++ b/ironhinge/interface/deployment.py
@@ -55,7 +55,7 @@
 class RequestClass(NamedTuple):
     """One class of requests and what its requests may cost, repeat and be answered with."""
 
-    target: int  # latency objective: time to the first byte
+    latency_target: int  # latency objective: time to the first byte
     target_stretch: float  # the target grows by this many times the request's own transfer time
     client_timeout: int
     priority_weight: float  # what a finished request is worth
--- a/ironhinge/routing/attempts.py
+++ b/ironhinge/routing/attempts.py
@@ -71,7 +71,7 @@
         return source in self._upstreams.parents and origin is not None and now < origin.rejecting_until
 
     def _track(self, now: int, request: RequestState, upstream: Upstream, source: Upstream | None) -> None:
-        target = request.request_class.definition.target
+        target = request.request_class.definition.latency_target
         overdue_at = now + OVERDUE_MULTIPLE * request.transfer_time + target
         attempt = request.attempt = Attempt(upstream, source, now, overdue_at, upstream.endpoint)
         request.attempt_count += 1
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -90,7 +90,7 @@
         origin = self._upstreams.origin
         if origin is not None and self._is_origin_suspected(request, event):
             origin.rejecting_until = culprit.rejecting_until
-        if event.duration > request.request_class.definition.target:  # waited for in vain
+        if event.duration > request.request_class.definition.latency_target:  # waited for in vain
             self._outliers.record_failure(culprit)
             self._outliers.eject_if_outlier(now, culprit)
         return culprit
--- a/ironhinge/routing/request_state.py
+++ b/ironhinge/routing/request_state.py
@@ -21,7 +21,7 @@
         self.definition = definition
         self.is_cacheable = not definition.is_write
         self.is_idempotent = definition.idempotency == Idempotency.IDEMPOTENT
-        self._transfer_time_sum = definition.target * PRIOR_TRANSFERS
+        self._transfer_time_sum = definition.latency_target * PRIOR_TRANSFERS
         self._transfer_count = PRIOR_TRANSFERS
 
     def average_transfer_time(self) -> float:
@@ -31,7 +31,7 @@
     def observed_transfer_time(self) -> int:
         """The average of the transfers that were seen; 0 before the first."""
         seen = self._transfer_count - PRIOR_TRANSFERS
-        prior = self.definition.target * PRIOR_TRANSFERS
+        prior = self.definition.latency_target * PRIOR_TRANSFERS
         return (self._transfer_time_sum - prior) // seen if seen else 0
 
     def record_transfer_time(self, transfer_time: int) -> None:
@@ -81,7 +81,7 @@
         self.transfer_time = transfer_time  # on an idle path
         self.client_deadline = now + received.time_remaining
         definition = request_class.definition
-        target = definition.target + int(definition.target_stretch * transfer_time)
+        target = definition.latency_target + int(definition.target_stretch * transfer_time)
         self.target_at = min(self.client_deadline, now + target)
         self.recently_requested = False  # its object was requested here not long ago
         self.tried: list[Upstream] = []  # caches that had no copy
--- a/ironhinge/routing/router.py
+++ b/ironhinge/routing/router.py
@@ -149,7 +149,7 @@
         request = RequestState(event, request_class, now, transfer_time)
         self.requests[event.request_id] = request
         if event.is_client_retry:  # its client has waited before, and its first try counts
-            request.target_at -= int(CLIENT_RETRY_WAIT * request_class.definition.target)
+            request.target_at -= int(CLIENT_RETRY_WAIT * request_class.definition.latency_target)
         request.recently_requested = self.recent_requests.record(request.key, now)
         if self._can_serve_local_copy(now, request):
             self._commands.append(ServeLocalCopy(request.id))
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -565,7 +565,7 @@
 
 
 def test_a_warming_cache_has_a_cost_where_no_target_and_no_size_is_known():
-    vhosts = tuple(vhost._replace(target=0) for vhost in deployment().request_classes)
+    vhosts = tuple(vhost._replace(latency_target=0) for vhost in deployment().request_classes)
     one = router(deployment(request_classes=vhosts), ("c0", "o"))
     one.handle(1000, interface.EndpointsUpdated(False, (row("c0", started=1000),)))
     assert one.handle(2000, req("a", size=0.0))
