--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -55,7 +55,7 @@
     """A deployment of six parents in two hubs and two request classes, of which one has segments."""
     request_class = interface.RequestClass(
         latency_target=4000,
-        target_stretch=1.6,
+        latency_target_stretch=1.6,
         client_timeout=30_000,
         priority_weight=1.0,
         late_value_share=0.2,
--- a/ironhinge/config/deployment_settings.py
+++ b/ironhinge/config/deployment_settings.py
@@ -100,7 +100,7 @@
         classes.append(
             RequestClass(
                 latency_target=fields.duration_floor("aim", REQUIRED),
-                target_stretch=fields.number("aim-stretch"),
+                latency_target_stretch=fields.number("aim-stretch"),
                 client_timeout=fields.duration_floor("deadline", REQUIRED),
                 priority_weight=fields.number("importance", 1),
                 late_value_share=fields.number("late-worth"),
--- a/ironhinge/interface/deployment.py
+++ b/ironhinge/interface/deployment.py
@@ -56,7 +56,7 @@
     """One class of requests and what its requests may cost, repeat and be answered with."""
 
     latency_target: int  # latency objective: time to the first byte
-    target_stretch: float  # the target grows by this many times the request's own transfer time
+    latency_target_stretch: float  # the target grows by this many times the request's own transfer time
     client_timeout: int
     priority_weight: float  # what a finished request is worth
     late_value_share: float  # share of that worth which is left once the target has passed
--- a/ironhinge/routing/request_state.py
+++ b/ironhinge/routing/request_state.py
@@ -81,7 +81,7 @@
         self.transfer_time = transfer_time  # on an idle path
         self.client_deadline = now + received.time_remaining
         definition = request_class.definition
-        target = definition.latency_target + int(definition.target_stretch * transfer_time)
+        target = definition.latency_target + int(definition.latency_target_stretch * transfer_time)
         self.target_at = min(self.client_deadline, now + target)
         self.recently_requested = False  # its object was requested here not long ago
         self.tried: list[Upstream] = []  # caches that had no copy
