--- a/ironhinge/config/deployment_settings.py
+++ b/ironhinge/config/deployment_settings.py
@@ -81,7 +81,7 @@
         drain_grace=rules.duration_floor("drain-grace"),
         purge_grace=extra.duration_floor("obey-after"),
         purge_retention=extra.duration_ceil("purge-settles"),
-        time_granularity=settings.duration_ceil("granularity"),
+        min_batch_interval=settings.duration_ceil("granularity"),
         prices=tuple((name, prices.number(name)) for name in prices.values),
         **_read_topology(settings, extra),
         **_read_request_limits(limits),
--- a/ironhinge/interface/deployment.py
+++ b/ironhinge/interface/deployment.py
@@ -107,5 +107,5 @@
     drain_grace: int
     purge_grace: int
     purge_retention: int  # by then older copies are gone everywhere
-    time_granularity: int  # shortest gap between two batches of events
+    min_batch_interval: int  # shortest gap between two batches of events
     prices: tuple[tuple[str, float], ...]
--- a/ironhinge/routing/attempts.py
+++ b/ironhinge/routing/attempts.py
@@ -37,7 +37,7 @@
             rank: The rank at which the upstream keeps a copy.
         """
         deployment, origin = self._deployment, self._upstreams.origin
-        deadline = attempt_deadline(now, request, deployment.time_granularity)
+        deadline = attempt_deadline(now, request, deployment.min_batch_interval)
         max_copy_age = self._purges.max_copy_age(now, request)
         kind = upstream.endpoint.kind
         is_cache = kind not in (deployment.parent_kind, deployment.origin_kind)
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -108,4 +108,4 @@
 
     def _is_too_quick_for_source(self, event: AttemptFinished) -> bool:
         """Whether the answer came too soon for a source to have been asked."""
-        return event.duration <= ROUND_TRIP_BATCHES * self._deployment.time_granularity
+        return event.duration <= ROUND_TRIP_BATCHES * self._deployment.min_batch_interval
--- a/ironhinge/routing/retries.py
+++ b/ironhinge/routing/retries.py
@@ -38,13 +38,13 @@
     return is_deduplicated and now < first.sent_at + definition.dedup_window
 
 
-def attempt_deadline(now: int, request: RequestState, time_granularity: int) -> int:
+def attempt_deadline(now: int, request: RequestState, min_batch_interval: int) -> int:
     """When an attempt that is sent now times out.
 
     An attempt that can be repeated leaves time for another one before the client gives up, in case its
     upstream never answers.
     """
-    last = request.client_deadline - ROUND_TRIP_BATCHES * time_granularity
+    last = request.client_deadline - ROUND_TRIP_BATCHES * min_batch_interval
     if not request.request_class.is_idempotent:
         return last
     time_for_another = int(ATTEMPT_TIME_MULTIPLE * request.transfer_time)
--- a/ironhinge/routing/router.py
+++ b/ironhinge/routing/router.py
@@ -176,7 +176,7 @@
         max_age = self.purges.max_copy_age(now, request) or freshness_lifetime
         if max_age and age > max_age:
             return False
-        round_trip = ROUND_TRIP_BATCHES * self.deployment.time_granularity
+        round_trip = ROUND_TRIP_BATCHES * self.deployment.min_batch_interval
         return now + round_trip < request.client_deadline
 
     def on_local_copy(self, now: int, event: LocalCopyFinished) -> None:
@@ -263,7 +263,7 @@
         deployment = self.deployment
         if request.attempt_count >= deployment.max_attempts:
             return False
-        shortest = max(request.transfer_time, ROUND_TRIP_BATCHES * deployment.time_granularity)
+        shortest = max(request.transfer_time, ROUND_TRIP_BATCHES * deployment.min_batch_interval)
         return now + shortest < request.client_deadline
 
     def _plan_attempt(self, now: int, request: RequestState) -> AttemptPlan | None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -81,7 +81,7 @@
         "drain_grace": 5000,
         "purge_grace": 3000,
         "purge_retention": 60000,
-        "time_granularity": 20,
+        "min_batch_interval": 20,
         "prices": (),
     }
     return interface.Deployment(**{**facts, **other})
