--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -35,7 +35,7 @@
 }"""
 IDENTITY = DirectorIdentity("bench", ("b", "h", "g"), ("card", "film"), 0)
 UNIX_MS = 1_764_576_000_000
-DONE, FILLED = interface.AttemptResult.DONE, interface.FillNote.FILLED_FROM_SOURCE
+DONE, FILLED = interface.AttemptResult.DONE, interface.CacheStatus.FILLED_FROM_SOURCE
 PARENTS = 6
 PARENT_KIND, ORIGIN_KIND = 1, 2
 WARM_UP_FILLS = 60_000  # each with a name of its own, within a minute
--- a/ironhinge/config/deployment_settings.py
+++ b/ironhinge/config/deployment_settings.py
@@ -6,11 +6,11 @@
 from typing import Any, TypeVar
 
 from ..interface import (
+    CacheStatusLevel,
     DedupScope,
     Deployment,
     Endpoint,
     EndpointState,
-    FillNoteLevel,
     Idempotency,
     RequestClass,
     SiblingFill,
@@ -32,7 +32,7 @@
 }
 DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL, "": DedupScope.CELL}
 SIBLING_FILLS = {"off": SiblingFill.NONE, "location": SiblingFill.LOCATION, "any": SiblingFill.ANY}
-FILL_NOTE_LEVELS = {"off": FillNoteLevel.NONE, "hit": FillNoteLevel.HIT, "all": FillNoteLevel.ALL}
+CACHE_STATUS_LEVELS = {"off": CacheStatusLevel.NONE, "hit": CacheStatusLevel.HIT, "all": CacheStatusLevel.ALL}
 WEIGHT_KINDS = {
     "off": WeightKind.NONE,
     "nominal": WeightKind.NOMINAL,
@@ -72,7 +72,7 @@
     prices = settings.nested("prices", {})
     return Deployment(
         request_classes=_read_request_classes(settings, extra),
-        fill_note_level=extra.keyword("note-level", FILL_NOTE_LEVELS, "off"),
+        fill_note_level=extra.keyword("note-level", CACHE_STATUS_LEVELS, "off"),
         transfer_rate=extra.number("one-flow-kb-per-s"),
         weight_kind=settings.keyword("weight-kind", WEIGHT_KINDS, "off"),
         load_report_fields=tuple(LOAD_REPORT_FIELDS.get(name, name) for name in report.texts("fields")),
--- a/ironhinge/interface/deployment.py
+++ b/ironhinge/interface/deployment.py
@@ -35,8 +35,8 @@
     ANY = "any"
 
 
-class FillNoteLevel(StrEnum):
-    """Which answers say where they came from (`FillNote`)."""
+class CacheStatusLevel(StrEnum):
+    """Which answers say where they came from (`CacheStatus`)."""
 
     NONE = "none"
     HIT = "hit"
@@ -85,7 +85,7 @@
     direct_to_source: bool  # parents and the origin take attempts too
     sibling_fill: SiblingFill
     coalesces_fills: bool  # a request may join a fill in progress
-    fill_note_level: FillNoteLevel
+    fill_note_level: CacheStatusLevel
     transfer_rate: float  # of one transfer to a client; 0 where it is unknown
     weight_kind: WeightKind
     load_report_fields: tuple[str, ...]  # names of the values of a load report, in its order
--- a/ironhinge/interface/events.py
+++ b/ironhinge/interface/events.py
@@ -44,7 +44,7 @@
     MISS = "miss"  # the endpoint holds no copy that will do: it never ran
 
 
-class FillNote(IntEnum):
+class CacheStatus(IntEnum):
     """What an answer says of where it came from, or of who failed it."""
 
     NONE = 0  # nothing was said
@@ -106,7 +106,7 @@
     result: AttemptResult
     duration: int
     request_closed: bool  # the request has had its final answer, or its client has left
-    fill_note: FillNote
+    fill_note: CacheStatus
     time_to_first_byte: int
     load_report: tuple[float, ...] | None
 
--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -12,9 +12,9 @@
 from ..config import DirectorConfig, load_report_in_order
 from ..interface import (
     AttemptFinished,
+    CacheStatus,
     CancelAttempt,
     Event,
-    FillNote,
     HealthCheckFinished,
     RequestReceived,
     SendAttempt,
@@ -229,7 +229,7 @@
             result=RESULTS[end],
             duration=now - attempt.started_at,
             request_closed=request.is_closed,
-            fill_note=answer.fill_note if answer is not None else FillNote.NONE,
+            fill_note=answer.fill_note if answer is not None else CacheStatus.NONE,
             time_to_first_byte=0,
             load_report=self._load_report(answer),
         )
--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -8,7 +8,7 @@
 
 from typing import Final, NamedTuple
 
-from ..interface import FillNote
+from ..interface import CacheStatus
 from .attempt_end import AttemptEnd
 from .errors import UnparsableError
 
@@ -59,19 +59,19 @@
 ATTRIBUTE_LOAD_REPORT = "gauges"
 ATTRIBUTE_DATE = "dated"
 ATTRIBUTE_TAG = "digest"
-FILL_NOTES: Final = {
-    "h": FillNote.HIT,
-    "f": FillNote.FILLED_FROM_SOURCE,
-    "o": FillNote.FILLED_FROM_ORIGIN,
-    "j": FillNote.JOINED_FILL,
-    "s": FillNote.STALE_HIT,
-    "r": FillNote.SOURCE_REJECTED,
-    "b": FillNote.SOURCE_UNAVAILABLE,
-    "l": FillNote.SOURCE_MISS,
-    "n": FillNote.FILL_LIMIT_REACHED,
-    "x": FillNote.ORIGIN_FAILED,
+CACHE_STATUSES: Final = {
+    "h": CacheStatus.HIT,
+    "f": CacheStatus.FILLED_FROM_SOURCE,
+    "o": CacheStatus.FILLED_FROM_ORIGIN,
+    "j": CacheStatus.JOINED_FILL,
+    "s": CacheStatus.STALE_HIT,
+    "r": CacheStatus.SOURCE_REJECTED,
+    "b": CacheStatus.SOURCE_UNAVAILABLE,
+    "l": CacheStatus.SOURCE_MISS,
+    "n": CacheStatus.FILL_LIMIT_REACHED,
+    "x": CacheStatus.ORIGIN_FAILED,
 }
-NO_FILL_NOTE = FillNote.NONE
+NO_CACHE_STATUS = CacheStatus.NONE
 
 
 class UpstreamAnswer(NamedTuple):
@@ -90,7 +90,7 @@
 
     operation_id: str
     end: AttemptEnd
-    fill_note: FillNote
+    fill_note: CacheStatus
     load_report: dict[str, float]
     produced_unix_ms: int
     has_tag: bool
@@ -142,7 +142,7 @@
         attributes = items[2].decode() if count > 2 else NO_ATTRIBUTES  # noqa: PLR2004 - the third item
     except UnicodeDecodeError:
         raise UnparsableError("an answer that is not text") from None
-    fill_note = NO_FILL_NOTE
+    fill_note = NO_CACHE_STATUS
     load_report: dict[str, float] = {}
     produced_unix_ms = 0
     tag = ""
@@ -150,7 +150,7 @@
         for part in attributes.split(","):
             key, _, value = part.partition("=")
             if key == ATTRIBUTE_FILL_NOTE:
-                fill_note = FILL_NOTES.get(value, NO_FILL_NOTE)
+                fill_note = CACHE_STATUSES.get(value, NO_CACHE_STATUS)
             elif key == ATTRIBUTE_LOAD_REPORT and value:
                 load_report = _decode_load_report(value)
             elif key == ATTRIBUTE_DATE and value.isdigit() and len(value) <= MAX_DATE_DIGITS:
--- a/ironhinge/routing/attempt_results.py
+++ b/ironhinge/routing/attempt_results.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..interface import AttemptFinished, AttemptResult, Deployment, FillNote
+from ..interface import AttemptFinished, AttemptResult, CacheStatus, Deployment
 from .congestion import CongestionControl
 from .failure_attribution import FailureAttribution
 from .liveness import LivenessMonitor
@@ -22,7 +22,7 @@
     AttemptResult.RESET,
     AttemptResult.CANCELLED,
 )
-FILLED_NOTES = (FillNote.FILLED_FROM_SOURCE, FillNote.FILLED_FROM_ORIGIN, FillNote.JOINED_FILL)
+FILLED_NOTES = (CacheStatus.FILLED_FROM_SOURCE, CacheStatus.FILLED_FROM_ORIGIN, CacheStatus.JOINED_FILL)
 
 
 class AttemptResults:
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ..interface import AttemptFinished, AttemptResult, Deployment, FillNote
+from ..interface import AttemptFinished, AttemptResult, CacheStatus, Deployment
 from .congestion import CongestionControl
 from .liveness import LivenessMonitor
 from .outlier_detection import OutlierDetector
@@ -21,10 +21,10 @@
 NOT_CONNECTED = AttemptResult.NOT_CONNECTED
 NEVER_SENT = (AttemptResult.NOT_CONNECTED, AttemptResult.CUT_BEFORE_SEND)
 SOURCE_FAILED = (
-    FillNote.SOURCE_REJECTED,
-    FillNote.SOURCE_UNAVAILABLE,
-    FillNote.SOURCE_MISS,
-    FillNote.ORIGIN_FAILED,
+    CacheStatus.SOURCE_REJECTED,
+    CacheStatus.SOURCE_UNAVAILABLE,
+    CacheStatus.SOURCE_MISS,
+    CacheStatus.ORIGIN_FAILED,
 )
 
 
@@ -80,7 +80,7 @@
     ) -> Upstream:
         """Records that the upstream or its source had no capacity: it is alive, but full."""
         upstream, source, culprit = attempt.upstream, attempt.source, attempt.upstream
-        if source is not None and event.fill_note != FillNote.FILL_LIMIT_REACHED:
+        if source is not None and event.fill_note != CacheStatus.FILL_LIMIT_REACHED:
             culprit = upstream if self._is_too_quick_for_source(event) else source
         backoff = REJECTION_SHARE * request.request_class.average_transfer_time()
         culprit.rejecting_until = now + int(backoff * self._deployment.local_router_count)
@@ -102,7 +102,7 @@
         """
         if not self._deployment.origin_overload_multiple:
             return False
-        if event.fill_note == FillNote.ORIGIN_FAILED:
+        if event.fill_note == CacheStatus.ORIGIN_FAILED:
             return True
         return not event.fill_note and any(each in self._upstreams.parents for each in request.failed)
 
--- a/ironhinge/traffic/attempts.py
+++ b/ironhinge/traffic/attempts.py
@@ -5,13 +5,13 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ..interface import AttemptResult, FillNote, RequestReceived
+from ..interface import AttemptResult, CacheStatus, RequestReceived
 from .budget import Allowance
 from .types import AttemptEnded, Outcome, Route, TransferKind
 
 _DONE = AttemptResult.DONE
-_STALE_HIT = FillNote.STALE_HIT
-_FILLED_FROM_ORIGIN = FillNote.FILLED_FROM_ORIGIN
+_STALE_HIT = CacheStatus.STALE_HIT
+_FILLED_FROM_ORIGIN = CacheStatus.FILLED_FROM_ORIGIN
 
 
 @dataclass(slots=True)
--- a/ironhinge/traffic/size_estimator.py
+++ b/ironhinge/traffic/size_estimator.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ..interface import AttemptResult, FillNote, RequestReceived
+from ..interface import AttemptResult, CacheStatus, RequestReceived
 from .attempts import AttemptInFlight
 from .types import AttemptEnded
 
@@ -24,16 +24,16 @@
 
 # looking a member up in its class costs too much to do it for each attempt
 _DONE, _TIMEOUT = AttemptResult.DONE, AttemptResult.TIMEOUT
-_FILLED_FROM_ORIGIN = FillNote.FILLED_FROM_ORIGIN
-_FILLED_NOTES = frozenset({FillNote.FILLED_FROM_SOURCE, FillNote.FILLED_FROM_ORIGIN})
+_FILLED_FROM_ORIGIN = CacheStatus.FILLED_FROM_ORIGIN
+_FILLED_NOTES = frozenset({CacheStatus.FILLED_FROM_SOURCE, CacheStatus.FILLED_FROM_ORIGIN})
 _EMPTY_NOTES = frozenset(  # hits, joined fills, and sources that gave nothing
     {
-        FillNote.HIT,
-        FillNote.JOINED_FILL,
-        FillNote.SOURCE_REJECTED,
-        FillNote.SOURCE_MISS,
-        FillNote.FILL_LIMIT_REACHED,
-        FillNote.ORIGIN_FAILED,
+        CacheStatus.HIT,
+        CacheStatus.JOINED_FILL,
+        CacheStatus.SOURCE_REJECTED,
+        CacheStatus.SOURCE_MISS,
+        CacheStatus.FILL_LIMIT_REACHED,
+        CacheStatus.ORIGIN_FAILED,
     }
 )
 _EMPTY_RESULTS = frozenset(  # ends before which nothing was transferred
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ..interface import AttemptResult, EndpointsUpdated, FillNote, RequestReceived
+from ..interface import AttemptResult, CacheStatus, EndpointsUpdated, RequestReceived
 
 CLOCK_UNITS_PER_MS = 10
 CLOCK_UNITS_PER_SECOND = 10_000
@@ -76,7 +76,7 @@
 
     request_id: str
     result: AttemptResult
-    fill_note: FillNote
+    fill_note: CacheStatus
     body_size: int | None  # None: the answer held none of the bytes
     duration: int
     request_closed: bool  # the client had disconnected or had been answered
--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -14,7 +14,7 @@
 
 from .. import interface
 from ..config import MICROSECONDS_PER_TICK, REQUIRED, Fields, MalformedMessageError
-from ..interface import AttemptResult, FillNote
+from ..interface import AttemptResult, CacheStatus
 
 EndpointLists = Mapping[int, tuple[interface.Endpoint, ...]]  # the numbered lists that have come so far
 Body = dict[str, Any]
@@ -50,8 +50,8 @@
 ALL_PEERS = "*"
 
 
-def _decode_fill_note(number: int) -> FillNote:
-    return FillNote(number) if number < FillNote.UNKNOWN else FillNote.UNKNOWN
+def _decode_fill_note(number: int) -> CacheStatus:
+    return CacheStatus(number) if number < CacheStatus.UNKNOWN else CacheStatus.UNKNOWN
 
 
 def _decode_request(event: Fields, lists: EndpointLists) -> interface.Event:
--- a/tests/test_traffic_service.py
+++ b/tests/test_traffic_service.py
@@ -7,8 +7,8 @@
 from ironhinge.interface import (
     AttemptFinished,
     AttemptResult,
+    CacheStatus,
     EndpointsUpdated,
-    FillNote,
     SendAttemptWithFill,
 )
 from ironhinge.jobs.messages import Budgets
@@ -49,7 +49,7 @@
     assert found.wait_time(0, request, "p1") == 0
     command = SendAttemptWithFill("r", "c0", 100, "p1", 1, 0, False, False, False)
     found.on_attempt_started(0, request, command, "p1")
-    end = AttemptFinished("r", 0, "c0", AttemptResult.DONE, 10, True, FillNote.FILLED_FROM_SOURCE, 0, None)
+    end = AttemptFinished("r", 0, "c0", AttemptResult.DONE, 10, True, CacheStatus.FILLED_FROM_SOURCE, 0, None)
     found.on_attempt_finished(10, end, 10_000, client_disconnected=True)
     return found
 
