--- a/ironhinge/config/deployment_settings.py
+++ b/ironhinge/config/deployment_settings.py
@@ -72,7 +72,7 @@
     prices = settings.nested("prices", {})
     return Deployment(
         request_classes=_read_request_classes(settings, extra),
-        fill_note_level=extra.keyword("note-level", CACHE_STATUS_LEVELS, "off"),
+        cache_status_level=extra.keyword("note-level", CACHE_STATUS_LEVELS, "off"),
         transfer_rate=extra.number("one-flow-kb-per-s"),
         weight_kind=settings.keyword("weight-kind", WEIGHT_KINDS, "off"),
         load_report_fields=tuple(LOAD_REPORT_FIELDS.get(name, name) for name in report.texts("fields")),
--- a/ironhinge/interface/__init__.py
+++ b/ironhinge/interface/__init__.py
@@ -54,6 +54,8 @@
 __all__ = [
     "AttemptFinished",
     "AttemptResult",
+    "CacheStatus",
+    "CacheStatusLevel",
     "CancelAttempt",
     "ClientDisconnected",
     "Command",
@@ -66,8 +68,6 @@
     "Event",
     "FailRequest",
     "FillBudget",
-    "CacheStatus",
-    "CacheStatusLevel",
     "GossipReceived",
     "HealthCheckFinished",
     "Idempotency",
--- a/ironhinge/interface/deployment.py
+++ b/ironhinge/interface/deployment.py
@@ -85,7 +85,7 @@
     direct_to_source: bool  # parents and the origin take attempts too
     sibling_fill: SiblingFill
     coalesces_fills: bool  # a request may join a fill in progress
-    fill_note_level: CacheStatusLevel
+    cache_status_level: CacheStatusLevel
     transfer_rate: float  # of one transfer to a client; 0 where it is unknown
     weight_kind: WeightKind
     load_report_fields: tuple[str, ...]  # names of the values of a load report, in its order
--- a/ironhinge/interface/events.py
+++ b/ironhinge/interface/events.py
@@ -106,7 +106,7 @@
     result: AttemptResult
     duration: int
     request_closed: bool  # the request has had its final answer, or its client has left
-    fill_note: CacheStatus
+    cache_status: CacheStatus
     time_to_first_byte: int
     load_report: tuple[float, ...] | None
 
--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -229,7 +229,7 @@
             result=RESULTS[end],
             duration=now - attempt.started_at,
             request_closed=request.is_closed,
-            fill_note=answer.fill_note if answer is not None else CacheStatus.NONE,
+            cache_status=answer.cache_status if answer is not None else CacheStatus.NONE,
             time_to_first_byte=0,
             load_report=self._load_report(answer),
         )
--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -55,7 +55,7 @@
 }
 STATUS_SERVED = AttemptEnd.SERVED  # a module constant, since access through the enum is slow
 
-ATTRIBUTE_FILL_NOTE = "res"
+ATTRIBUTE_CACHE_STATUS = "res"
 ATTRIBUTE_LOAD_REPORT = "gauges"
 ATTRIBUTE_DATE = "dated"
 ATTRIBUTE_TAG = "digest"
@@ -80,7 +80,7 @@
     Attributes:
         operation_id: The id that the command had.
         end: How the operation ended.
-        fill_note: Where the body came from, or why there is none.
+        cache_status: Where the body came from, or why there is none.
         load_report: The upstream's load by gauge name; empty if it sent none.
         produced_unix_ms: Unix time in milliseconds at which the copy was made; 0: unknown.
         has_tag: Whether the copy has an entity tag.
@@ -90,7 +90,7 @@
 
     operation_id: str
     end: AttemptEnd
-    fill_note: CacheStatus
+    cache_status: CacheStatus
     load_report: dict[str, float]
     produced_unix_ms: int
     has_tag: bool
@@ -142,15 +142,15 @@
         attributes = items[2].decode() if count > 2 else NO_ATTRIBUTES  # noqa: PLR2004 - the third item
     except UnicodeDecodeError:
         raise UnparsableError("an answer that is not text") from None
-    fill_note = NO_CACHE_STATUS
+    cache_status = NO_CACHE_STATUS
     load_report: dict[str, float] = {}
     produced_unix_ms = 0
     tag = ""
     if attributes and attributes != NO_ATTRIBUTES:
         for part in attributes.split(","):
             key, _, value = part.partition("=")
-            if key == ATTRIBUTE_FILL_NOTE:
-                fill_note = CACHE_STATUSES.get(value, NO_CACHE_STATUS)
+            if key == ATTRIBUTE_CACHE_STATUS:
+                cache_status = CACHE_STATUSES.get(value, NO_CACHE_STATUS)
             elif key == ATTRIBUTE_LOAD_REPORT and value:
                 load_report = _decode_load_report(value)
             elif key == ATTRIBUTE_DATE and value.isdigit() and len(value) <= MAX_DATE_DIGITS:
@@ -158,7 +158,9 @@
             elif key == ATTRIBUTE_TAG:
                 tag = value
     body = items[BODY_INDEX] if count > BODY_INDEX else b""
-    return UpstreamAnswer(operation_id, end, fill_note, load_report, produced_unix_ms, bool(tag), body, tag)
+    return UpstreamAnswer(
+        operation_id, end, cache_status, load_report, produced_unix_ms, bool(tag), body, tag
+    )
 
 
 class UpstreamWire:
--- a/ironhinge/routing/attempt_results.py
+++ b/ironhinge/routing/attempt_results.py
@@ -76,7 +76,7 @@
     def _record_done(self, now: int, request: RequestState, attempt: Attempt, event: AttemptFinished) -> None:
         """What a fill takes counts for its source, so that a cache's speed is that of its hits."""
         upstream, duration = attempt.upstream, event.duration
-        filler = attempt.source if event.fill_note in FILLED_NOTES else None
+        filler = attempt.source if event.cache_status in FILLED_NOTES else None
         self._record_success(now, attempt, upstream, request.transfer_time)
         if not request.size:
             request.request_class.record_transfer_time(duration)
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -1,7 +1,7 @@
 """Finds who failed an attempt: the upstream that it was sent to, or the source of its fill.
 
-Guards against a bad parent condemning good caches. The fill note of the answer decides if there is one, else
-whoever fails more is held to have failed.
+Guards against a bad parent condemning good caches. The cache status of the answer decides if there is one,
+else whoever fails more is held to have failed.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
         suspects = [upstream]
         if source is not None and not is_never_sent and not self._is_too_quick_for_source(event):
             suspects.append(source)
-            note = event.fill_note
+            note = event.cache_status
             if note in SOURCE_FAILED or (not note and source.failure_rate >= upstream.failure_rate):
                 culprit = source
         if event.result == TIMEOUT:
@@ -80,7 +80,7 @@
     ) -> Upstream:
         """Records that the upstream or its source had no capacity: it is alive, but full."""
         upstream, source, culprit = attempt.upstream, attempt.source, attempt.upstream
-        if source is not None and event.fill_note != CacheStatus.FILL_LIMIT_REACHED:
+        if source is not None and event.cache_status != CacheStatus.FILL_LIMIT_REACHED:
             culprit = upstream if self._is_too_quick_for_source(event) else source
         backoff = REJECTION_SHARE * request.request_class.average_transfer_time()
         culprit.rejecting_until = now + int(backoff * self._deployment.local_router_count)
@@ -102,9 +102,9 @@
         """
         if not self._deployment.origin_overload_multiple:
             return False
-        if event.fill_note == CacheStatus.ORIGIN_FAILED:
+        if event.cache_status == CacheStatus.ORIGIN_FAILED:
             return True
-        return not event.fill_note and any(each in self._upstreams.parents for each in request.failed)
+        return not event.cache_status and any(each in self._upstreams.parents for each in request.failed)
 
     def _is_too_quick_for_source(self, event: AttemptFinished) -> bool:
         """Whether the answer came too soon for a source to have been asked."""
--- a/ironhinge/traffic/attempts.py
+++ b/ironhinge/traffic/attempts.py
@@ -34,7 +34,7 @@
     def outcome(self, event: AttemptEnded) -> Outcome:
         """What became of the bytes that it transferred."""
         is_unread = event.request_closed and event.body_size is None
-        if event.result != _DONE or is_unread or event.fill_note == _STALE_HIT:
+        if event.result != _DONE or is_unread or event.cache_status == _STALE_HIT:
             return Outcome.WASTED
         if self.is_repeat:
             return Outcome.REPEATED
@@ -53,7 +53,7 @@
 
     def origin_bytes(self, event: AttemptEnded, transferred: int) -> int:
         """The bytes that the hub drew from the origin for it."""
-        from_origin = event.fill_note == _FILLED_FROM_ORIGIN and self.route is not Route.ORIGIN
+        from_origin = event.cache_status == _FILLED_FROM_ORIGIN and self.route is not Route.ORIGIN
         return transferred if from_origin else 0
 
     def charge(self, allowances: Sequence[Allowance], size: float) -> None:
--- a/ironhinge/traffic/service.py
+++ b/ironhinge/traffic/service.py
@@ -204,7 +204,7 @@
     ) -> None:
         """An attempt ended; `body_size` is None where the answer held none of the bytes."""
         ended = AttemptEnded(
-            event.request_id, event.result, event.fill_note, body_size, event.duration, client_disconnected
+            event.request_id, event.result, event.cache_status, body_size, event.duration, client_disconnected
         )
         self._execute(self.ledger.handle(now, ended))
 
--- a/ironhinge/traffic/size_estimator.py
+++ b/ironhinge/traffic/size_estimator.py
@@ -49,7 +49,7 @@
 
 def is_fill(event: AttemptEnded) -> bool:
     """Whether the answer says that a fill of its own brought it."""
-    return event.fill_note in _FILLED_NOTES
+    return event.cache_status in _FILLED_NOTES
 
 
 class TransferredBytes(NamedTuple):
@@ -147,12 +147,12 @@
             self.bytes_per_kb += (found - self.bytes_per_kb) * request.size / self.observed_kb
         if is_fill(event):
             self._activity[attempt.source_id].delivered_at = now
-            from_origin = event.fill_note == _FILLED_FROM_ORIGIN
+            from_origin = event.cache_status == _FILLED_FROM_ORIGIN
             self.classes[request.class_index].record_fill(size, event.duration, from_origin)
 
     def transferred(self, attempt: AttemptInFlight, event: AttemptEnded) -> TransferredBytes:
         """The bytes that an attempt transferred until it ended as the event says."""
-        if event.result in _EMPTY_RESULTS or event.fill_note in _EMPTY_NOTES:
+        if event.result in _EMPTY_RESULTS or event.cache_status in _EMPTY_NOTES:
             return _NOTHING
         # until the first answer has shown how many bytes a KB stands for, no size is guessed
         size = self.expected_size(attempt.request) if self.observed_kb else 0.0
@@ -167,11 +167,11 @@
     def _transferred_when_done(
         self, attempt: AttemptInFlight, event: AttemptEnded, size: float
     ) -> TransferredBytes:
-        if event.fill_note and not is_fill(event):
+        if event.cache_status and not is_fill(event):
             return TransferredBytes(int(size), int(size)) if attempt.revalidates else _NOTHING
         if event.body_size is None:  # the client's own copy stands for it
             return TransferredBytes(int(size), int(size))
-        return TransferredBytes(event.body_size, 0 if event.fill_note else event.body_size)
+        return TransferredBytes(event.body_size, 0 if event.cache_status else event.body_size)
 
     def _is_unresponsive(self, attempt: AttemptInFlight) -> bool:
         """Whether the source was asked again since, and gave nothing to anyone: then it is not just slow."""
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -76,7 +76,7 @@
 
     request_id: str
     result: AttemptResult
-    fill_note: CacheStatus
+    cache_status: CacheStatus
     body_size: int | None  # None: the answer held none of the bytes
     duration: int
     request_closed: bool  # the client had disconnected or had been answered
--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -50,7 +50,7 @@
 ALL_PEERS = "*"
 
 
-def _decode_fill_note(number: int) -> CacheStatus:
+def _decode_cache_status(number: int) -> CacheStatus:
     return CacheStatus(number) if number < CacheStatus.UNKNOWN else CacheStatus.UNKNOWN
 
 
@@ -76,7 +76,7 @@
         result=event.keyword("reason", RESULTS),
         duration=event.duration_floor("lag"),
         request_closed=event.boolean("finished"),
-        fill_note=_decode_fill_note(event.integer("remark")),
+        cache_status=_decode_cache_status(event.integer("remark")),
         time_to_first_byte=event.duration_floor("ttfb"),
         load_report=event.load_report(),
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -59,7 +59,7 @@
         "direct_to_source": True,
         "sibling_fill": "location",
         "coalesces_fills": True,
-        "fill_note_level": "all",
+        "cache_status_level": "all",
         "transfer_rate": 5000.0,
         "weight_kind": "rough",
         "load_report_fields": ("in_hand",),
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -182,7 +182,7 @@
         "got": "4be0c1927d55a6f3",
     }
     (end,) = script.got(interface.AttemptFinished)
-    assert (end.result, end.request_closed, end.fill_note, end.load_report) == ("done", True, 1, None)
+    assert (end.result, end.request_closed, end.cache_status, end.load_report) == ("done", True, 1, None)
 
 
 @pytest.mark.parametrize(("route", "result"), [("order", "done"), ("film", "error")])
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -49,7 +49,7 @@
 
 
 def test_failing_parent_does_not_condemn_caches():
-    router, now = make_router(deployment(fill_note_level="hit")), 0
+    router, now = make_router(deployment(cache_status_level="hit")), 0
     for i in range(60):
         now += 100
         command = sent_command(router.handle(now, received(f"a{i}", obj=i)))
@@ -133,7 +133,7 @@
 
 
 def test_half_failing_parent_is_not_ejected():
-    router, now = make_router(deployment(fill_note_level="hit")), 0
+    router, now = make_router(deployment(cache_status_level="hit")), 0
     for i in range(60):
         now += 100
         command, number = sent_command(router.handle(now, received(f"a{i}", obj=i))), 0
@@ -165,7 +165,7 @@
 
 
 def test_source_that_rejects_after_the_target_is_ejected():
-    router, now = make_router(deployment(fill_note_level="hit")), 0
+    router, now = make_router(deployment(cache_status_level="hit")), 0
     for i in range(40):
         now += 6000
         command, number = sent_command(router.handle(now, received(f"a{i}", obj=i))), 0
@@ -234,7 +234,7 @@
 
 
 def test_parents_serve_only_cached_copies_after_two_rejections():
-    router = make_router(deployment(fill_note_level="hit", direct_to_source=False))
+    router = make_router(deployment(cache_status_level="hit", direct_to_source=False))
     command = sent_command(router.handle(10, received("a")))
     command = sent_command(router.handle(1000, finished(command, "full", took=990)))
     assert not command.source_cached_only
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
     other = [
         {},
         {"direct_to_source": False},
-        {"fill_note_level": "hit", "coalesces_fills": False},
+        {"cache_status_level": "hit", "coalesces_fills": False},
         {"max_attempts": 2, "transfer_rate": 900.0},
     ][seed % 4]
     assert len(play(seed, deployment(**other)).came) == 400
