--- a/ironhinge/interface/__init__.py
+++ b/ironhinge/interface/__init__.py
@@ -1,7 +1,9 @@
-"""The types between a front and the decisions: events go in, commands come out.
+"""The interface between the router and its host: the host reports events, the router returns commands.
 
-A front makes one `Router` for each instance from a `Deployment` and a seed, calls `Router.handle(now, event)`
-for each event in order, and carries out the commands that come back in order. Nothing here decides anything.
+The host does all I/O: `ironhinge.net` is the host on real sockets, `ironhinge.wirehost` the host for the
+simulator. It creates one `Router` per instance from a `Deployment` and a seed, calls
+`Router.handle(now, event)` for each event in order, and executes the returned commands in order. This package
+holds types only; the routing decisions are made in `ironhinge.routing`.
 """
 
 from .commands import (
--- a/ironhinge/interface/commands.py
+++ b/ironhinge/interface/commands.py
@@ -1,6 +1,6 @@
-"""Commands: what the decisions tell a front to do, in the order in which it is to be done.
+"""Commands: what the router returns for its host to execute, in order.
 
-Times are whole tenths of a millisecond: deadlines are instants on the front's monotonic clock.
+Times are whole tenths of a millisecond; deadlines are instants on the host's monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,57 +9,60 @@
 
 
 class SendAttempt(NamedTuple):
-    """Send the request to an endpoint for what it holds fresh; no fill is named."""
+    """Send the request to an endpoint without a fill source.
+
+    The origin runs the request; a cache answers it from a fresh copy or reports a miss.
+    """
 
     request_id: str
     endpoint_id: str
-    deadline: int  # without an answer by then the attempt has timed out
-    start_deadline: int = 0  # not begun by then it must never be; 0: any time
+    deadline: int  # the attempt times out if it has no answer by then
+    start_deadline: int = 0  # not sent after this, as its idempotency key may be forgotten; 0: no limit
 
 
 class SendAttemptWithFill(NamedTuple):
-    """Send the request to an endpoint and say where a miss is filled from and how the copy is kept."""
+    """Send the request to an endpoint, with the source that fills a miss and whether to store the copy."""
 
     request_id: str
     endpoint_id: str
-    deadline: int  # without an answer by then the attempt has timed out
-    source_id: str  # the endpoint itself: no fill
-    admission_rank: int  # 0: the copy is not kept
-    max_copy_age: int  # the oldest copy that may be served; 0: the class's freshness lifetime
-    may_join_fill: bool  # it may wait for a fill of the same object in progress
-    revalidates: bool  # a copy past its freshness lifetime is checked with the source
-    source_cached_only: bool  # the source gives only what it holds
-    start_deadline: int = 0  # not begun by then it must never be; 0: any time
+    deadline: int  # the attempt times out if it has no answer by then
+    source_id: str  # endpoint that a miss is filled from; `endpoint_id` again: no fill
+    admission_rank: int  # rank with which the endpoint stores the copy; 0: it does not store it
+    max_copy_age: int  # age of the oldest copy that may be served; 0: the class's freshness lifetime
+    may_join_fill: bool  # the request may wait for a fill of the same object that is in progress
+    revalidates: bool  # the endpoint revalidates a copy past its freshness lifetime with the source
+    source_cached_only: bool  # the source serves only a cached copy and does not ask the origin
+    start_deadline: int = 0  # not sent after this, as its idempotency key may be forgotten; 0: no limit
 
 
 class ServeLocalCopy(NamedTuple):
-    """Answer with the router's own copy, if it can be read in time."""
+    """Answer the request from the local store, if the copy can be read in time."""
 
     request_id: str
 
 
 class StoreLocalCopy(NamedTuple):
-    """Keep the answer that has just come as a copy of the router's own."""
+    """Store the answer that the request has just received in the local store."""
 
     request_id: str
 
 
 class CancelAttempt(NamedTuple):
-    """Give up an attempt."""
+    """Cancel an attempt in flight."""
 
     request_id: str
     attempt_number: int
 
 
 class RejectRequest(NamedTuple):
-    """The final answer of a request that may safely be made again."""
+    """Give a request its final answer: a rejection, after which the client may safely send it again."""
 
     request_id: str
-    retry_after: int  # 0: nothing is said of when
+    retry_after: int  # time for which the client should wait; 0: the answer gives none
 
 
 class FailRequest(NamedTuple):
-    """The final answer of a request that may have run and must not be made again."""
+    """Give a request its final answer: a failure. It may have run, so it must not be sent again."""
 
     request_id: str
 
@@ -72,7 +75,7 @@
 
 
 class SetWatch(NamedTuple):
-    """Begin or end watching the endpoint list."""
+    """Start or stop watching the endpoint list for changes."""
 
     enabled: bool
 
@@ -90,12 +93,12 @@
 class SendGossip(NamedTuple):
     """Send a datagram to other routers of the tier; it may be lost."""
 
-    peer: int | None  # None: all
+    peer: int | None  # number of the receiving router; None: all
     data: bytes
 
 
 class WriteLog(NamedTuple):
-    """Write a line to the front's log."""
+    """Write a line to the host's log."""
 
     text: str
 
--- a/ironhinge/interface/ports.py
+++ b/ironhinge/interface/ports.py
@@ -1,4 +1,4 @@
-"""What the decisions may ask of state that operators can turn on beside them."""
+"""Optional components that the router queries while it decides, where operators have enabled them."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class FillBudget(Protocol):
-    """Operators' budgets of bytes for fills; a router without one decides as if there were none."""
+    """The operators' limits on the bytes of fills; a router without a budget does not limit fills."""
 
     def wait_time(self, now: int, request: RequestReceived, source_id: str) -> int:
-        """0 when a fill from that source may go now, else the time until there should be room for it."""
+        """Returns 0 if the budget allows a fill from the source now, else the expected time until it does."""
         ...
 
 
 class LocalStore(Protocol):
-    """Copies of the router's own, where operators have given them a place."""
+    """The router's own store of cached copies, where operators have configured one."""
 
     def lookup(self, now: int, request: RequestReceived) -> int:
-        """Counts a request; returns the age of the copy at hand, -1 where there is none."""
+        """Returns the age of the request's copy, -1 if there is none; counts the request for admission."""
         ...
 
     def should_store(self, now: int, request: RequestReceived) -> bool:
-        """Whether the answer to this request is worth keeping."""
+        """Returns whether the answer to the request is worth storing."""
         ...
