--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -54,7 +54,7 @@
     return CacheStatus(number) if number < CacheStatus.UNKNOWN else CacheStatus.UNKNOWN
 
 
-def _decode_request(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_request(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     return interface.RequestReceived(
         request_id=event.text("tid"),
         object_id=event.integer("object"),
@@ -68,7 +68,7 @@
     )
 
 
-def _decode_attempt_finished(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_attempt_finished(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     return interface.AttemptFinished(
         request_id=event.text("tid"),
         attempt_number=event.integer("leg"),
@@ -82,23 +82,23 @@
     )
 
 
-def _decode_endpoints(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_endpoints(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     scope = event.keyword("scope", LIST_SCOPES)
     if scope == LIST_UNAVAILABLE:
         return interface.DiscoveryFailed()
     number = event.integer("list")
-    if number not in lists:
+    if number not in endpoint_lists:
         raise MalformedMessageError(
             f"{event.context}: field 'list' names the list {number}, which has not come"
         )
-    return interface.EndpointsUpdated(scope == FULL_LIST, lists[number])
+    return interface.EndpointsUpdated(scope == FULL_LIST, endpoint_lists[number])
 
 
-def _decode_client_disconnected(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_client_disconnected(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     return interface.ClientDisconnected(event.text("tid"))
 
 
-def _decode_purge(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_purge(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     return interface.PurgeNotified(
         object_id=event.integer("object") if event.has("object") else None,
         group=event.integer("set-no"),
@@ -106,15 +106,15 @@
     )
 
 
-def _decode_timer_fired(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_timer_fired(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     return interface.TimerFired(event.text("ref"))
 
 
-def _decode_response_started(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_response_started(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     return interface.ResponseStarted(event.text("tid"))
 
 
-def _decode_health_check(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_health_check(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     return interface.HealthCheckFinished(
         endpoint_id=event.text("node"),
         result=event.keyword("reason", RESULTS),
@@ -123,7 +123,7 @@
     )
 
 
-def _decode_gossip(event: Fields, lists: EndpointLists) -> interface.Event:
+def _decode_gossip(event: Fields, endpoint_lists: EndpointLists) -> interface.Event:
     try:
         return interface.GossipReceived(
             sender=event.integer("who"),
@@ -146,12 +146,12 @@
 }
 
 
-def decode_event(event: Fields, lists: EndpointLists) -> interface.Event | None:
+def decode_event(event: Fields, endpoint_lists: EndpointLists) -> interface.Event | None:
     """Decodes one event.
 
     Args:
         event: The event's fields; their context is the event's name.
-        lists: The numbered endpoint lists that an event may refer to.
+        endpoint_lists: The numbered endpoint lists that an event may refer to.
 
     Returns:
         The event; None if its name is unknown.
@@ -160,7 +160,7 @@
         MalformedMessageError: A field is missing or malformed.
     """
     decode = EVENT_DECODERS.get(event.context)
-    return None if decode is None else decode(event, lists)
+    return None if decode is None else decode(event, endpoint_lists)
 
 
 def _encode_attempt(command: interface.SendAttempt) -> Body:
@@ -248,10 +248,10 @@
     Raises:
         TypeError: The simulator's protocol has no message for the command.
     """
-    found = COMMAND_ENCODERS.get(type(command))
-    if found is None:
+    entry = COMMAND_ENCODERS.get(type(command))
+    if entry is None:
         raise TypeError(f"{type(command).__name__} has no word on this wire")
-    name, encode = found
+    name, encode = entry
     return {name: {"director": instance, **encode(command)}}
 
 
--- a/ironhinge/wirehost/host.py
+++ b/ironhinge/wirehost/host.py
@@ -33,13 +33,13 @@
     """The router instances of this process.
 
     Attributes:
-        errors: Gets the text of each fault, and tracebacks of faults in the decisions.
+        error_stream: Gets the text of each fault, and tracebacks of faults in the decisions.
         routers: The instances by number.
         endpoint_lists: The numbered endpoint lists, which all instances share.
     """
 
-    def __init__(self, errors: TextIO):
-        self.errors = errors
+    def __init__(self, error_stream: TextIO):
+        self.error_stream = error_stream
         self.routers: dict[int, Router] = {}
         self.endpoint_lists: dict[int, tuple[interface.Endpoint, ...]] = {}
 
@@ -57,14 +57,14 @@
         """
         try:
             batch = Fields("batch", json.loads(line))
-        except ValueError as fault:
-            raise MalformedMessageError(f"batch: not JSON in UTF-8 ({fault})") from None
+        except ValueError as error:
+            raise MalformedMessageError(f"batch: not JSON in UTF-8 ({error})") from None
         wall_time_us = batch.integer("wall", REQUIRED)
         number = batch.integer("seq", REQUIRED)
-        outbox: list[Message] = []
+        commands: list[Message] = []
         for event in batch.array("input"):
-            outbox.extend(self.handle_event(wall_time_us // MICROSECONDS_PER_TICK, event))
-        return {"seq": number, "outbox": outbox}
+            commands.extend(self.handle_event(wall_time_us // MICROSECONDS_PER_TICK, event))
+        return {"seq": number, "outbox": commands}
 
     def handle_event(self, now: int, event: Any) -> list[Message]:
         """Handles one event; a fault of its instance becomes a fatal reply.
@@ -88,19 +88,19 @@
             return []
         instance = fields.integer("director", REQUIRED)
         try:
-            return codec.encode_commands(instance, self.deliver(now, instance, fields))
-        except MalformedMessageError as fault:
-            return [self.fatal_reply(instance, str(fault))]
-        except Exception as fault:  # noqa: BLE001 - a fault of one instance must not end the others
-            text = f"{name}: the decision code failed: {type(fault).__name__}: {fault}"
-            reply = self.fatal_reply(instance, text)
-            self.errors.write(traceback.format_exc())
+            return codec.encode_commands(instance, self.dispatch_event(now, instance, fields))
+        except MalformedMessageError as error:
+            return [self.report_fatal_error(instance, str(error))]
+        except Exception as error:  # noqa: BLE001 - a fault of one instance must not end the others
+            text = f"{name}: the decision code failed: {type(error).__name__}: {error}"
+            reply = self.report_fatal_error(instance, text)
+            self.error_stream.write(traceback.format_exc())
             return [reply]
 
-    def deliver(self, now: int, instance: int, fields: Fields) -> list[interface.Command]:
+    def dispatch_event(self, now: int, instance: int, fields: Fields) -> list[interface.Command]:
         """Starts or stops an instance, or passes an event to it; returns its commands.
 
-        An unknown event is reported on `errors` and skipped.
+        An unknown event is reported on `error_stream` and skipped.
 
         Raises:
             MalformedMessageError: A field is malformed, or names what does not exist.
@@ -113,7 +113,7 @@
             return []
         event = codec.decode_event(fields, self.endpoint_lists)
         if event is None:
-            self.errors.write(f"ironhinge: {name}: unknown event, passed over\n")
+            self.error_stream.write(f"ironhinge: {name}: unknown event, passed over\n")
             return []
         if instance not in self.routers:
             raise MalformedMessageError(
@@ -133,27 +133,27 @@
         router = self.routers[instance] = Router(deployment, fields.integer("seed"))
         return router.handle(now, interface.InstanceStarted())
 
-    def fatal_reply(self, instance: int, text: str) -> Message:
-        """Reports a fault on `errors`; returns the message that ends the instance."""
-        self.errors.write(f"ironhinge: {text}\n")
+    def report_fatal_error(self, instance: int, text: str) -> Message:
+        """Reports a fault on `error_stream`; returns the message that ends the instance."""
+        self.error_stream.write(f"ironhinge: {text}\n")
         return {"FATAL": {"director": instance, "msg": text}}
 
 
-def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
+def serve(input_stream: BinaryIO, output_stream: BinaryIO, error_stream: TextIO) -> int:
     """Answers batches, one a line, until the input ends.
 
     Returns:
         The exit code: 0, or 2 if a batch can't be read.
     """
-    host = Host(errors)
-    for line in source:
+    host = Host(error_stream)
+    for line in input_stream:
         if not line.strip():
             continue
         try:
             reply = host.handle_batch(line)
-        except MalformedMessageError as fault:
-            errors.write(f"ironhinge: {fault}\n")
+        except MalformedMessageError as error:
+            error_stream.write(f"ironhinge: {error}\n")
             return EXIT_MALFORMED_BATCH
-        sink.write(json.dumps(reply, separators=(",", ":")).encode() + b"\n")
-        sink.flush()
+        output_stream.write(json.dumps(reply, separators=(",", ":")).encode() + b"\n")
+        output_stream.flush()
     return EXIT_OK
