--- a/ironhinge/wirehost/__init__.py
+++ b/ironhinge/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts router instances for the simulator: a codec and a host; nothing is decided here."""
+"""The host for the simulator: runs router instances and translates their events and commands."""
--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -1,8 +1,9 @@
 """Translates between the simulator's messages and the types of `ironhinge.interface`.
 
-The simulator's words and units (microseconds) end here: further in, times are ticks of a tenth of a
-millisecond. A field of the wrong shape raises `MalformedMessageError`, which names the event and the field.
-Settings and endpoint lists are read by `ironhinge.config`.
+The simulator's field names and its unit of time, the microsecond, do not go beyond this module: the types of
+`ironhinge.interface` have names of their own, and times in ticks of a tenth of a millisecond. Settings and
+endpoint lists are read by `ironhinge.config`. A missing or malformed field raises `MalformedMessageError`,
+which names the event and the field.
 """
 
 from __future__ import annotations
@@ -16,9 +17,10 @@
 from ..config import MICROSECONDS_PER_TICK, REQUIRED, Fields, MalformedMessageError
 from ..interface import AttemptResult, CacheStatus
 
-EndpointLists = Mapping[int, tuple[interface.Endpoint, ...]]  # the numbered lists that have come so far
-Body = dict[str, Any]
+EndpointLists = Mapping[int, tuple[interface.Endpoint, ...]]  # received lists by number
+Body = dict[str, Any]  # the fields of one command in JSON
 
+# Results of attempts and health checks by the simulator's code.
 RESULTS: Final = {
     "S": AttemptResult.DONE,
     "E": AttemptResult.ERROR,
@@ -31,7 +33,7 @@
     "M": AttemptResult.MISS,
 }
 
-# What an event about the endpoint list says of it.
+# What a `MEMBERSHIP` event reports: the whole list, changes to it, or that it is unavailable.
 FULL_LIST = "whole"
 LIST_CHANGES = "update"
 LIST_UNAVAILABLE = ""
@@ -42,7 +44,7 @@
     "unavailable": LIST_UNAVAILABLE,
 }
 
-# Bits of an attempt's options.
+# Bits of the field `opts` of the command `ANSWER_FROM`.
 OPTION_JOIN_FILL = 1
 OPTION_SOURCE_CACHED_ONLY = 2
 OPTION_REVALIDATE = 8
@@ -89,7 +91,7 @@
     number = event.integer("list")
     if number not in endpoint_lists:
         raise MalformedMessageError(
-            f"{event.context}: field 'list' names the list {number}, which has not come"
+            f"{event.context}: field 'list' refers to list {number}, which has not been received"
         )
     return interface.EndpointsUpdated(scope == FULL_LIST, endpoint_lists[number])
 
@@ -154,7 +156,7 @@
         endpoint_lists: The numbered endpoint lists that an event may refer to.
 
     Returns:
-        The event; None if its name is unknown.
+        The event, or None if its name is unknown.
 
     Raises:
         MalformedMessageError: A field is missing or malformed.
@@ -225,8 +227,8 @@
     return {"msg": command.text}
 
 
-# The name and the encoder of each command. There is none for the router's own copies: the simulator has no
-# local store, so that the decisions never use one.
+# The name and the encoder of each command. `ServeLocalCopy` and `StoreLocalCopy` have none: the simulator has
+# no local store, so the router never returns them.
 COMMAND_ENCODERS: Final[dict[type, tuple[str, Callable[[Any], Body]]]] = {
     interface.SendAttempt: ("ISSUE", _encode_attempt),
     interface.SendAttemptWithFill: ("ANSWER_FROM", _encode_attempt_with_fill),
@@ -246,11 +248,11 @@
     """Encodes one command of an instance.
 
     Raises:
-        TypeError: The simulator's protocol has no message for the command.
+        TypeError: The simulator's protocol has no message for this type of command.
     """
     entry = COMMAND_ENCODERS.get(type(command))
     if entry is None:
-        raise TypeError(f"{type(command).__name__} has no word on this wire")
+        raise TypeError(f"{type(command).__name__} has no message in the simulator's protocol")
     name, encode = entry
     return {name: {"director": instance, **encode(command)}}
 
--- a/ironhinge/wirehost/host.py
+++ b/ironhinge/wirehost/host.py
@@ -1,4 +1,7 @@
-"""Runs router instances for the simulator: reads batches of events, writes one reply per batch."""
+"""Runs router instances for the simulator: reads batches of events and writes one reply per batch.
+
+Batches and replies are JSON, one per line.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 EXIT_OK = 0
 EXIT_MALFORMED_BATCH = 2
 
-# Events that concern the host; all others go to an instance's router.
+# Events that the host handles itself; all others go to an instance's router.
 EVENT_ENDPOINT_LIST = "MANIFEST"
 EVENT_START_INSTANCE = "SPAWN"
 EVENT_STOP_INSTANCE = "STOP"
@@ -33,9 +36,9 @@
     """The router instances of this process.
 
     Attributes:
-        error_stream: Gets the text of each fault, and tracebacks of faults in the decisions.
+        error_stream: Receives a line for each error, and the traceback of an unexpected exception.
         routers: The instances by number.
-        endpoint_lists: The numbered endpoint lists, which all instances share.
+        endpoint_lists: The endpoint lists by number, shared by all instances.
     """
 
     def __init__(self, error_stream: TextIO):
@@ -50,10 +53,11 @@
             line: The batch in JSON.
 
         Returns:
-            The reply: the batch's number, and the commands of all its events.
+            The reply: the batch's number and the commands for all its events.
 
         Raises:
-            MalformedMessageError: The batch itself can't be read. Faults of single events are in the reply.
+            MalformedMessageError: The batch itself is malformed. An error in a single event becomes a fatal
+                message in the reply.
         """
         try:
             batch = Fields("batch", json.loads(line))
@@ -67,17 +71,18 @@
         return {"seq": number, "outbox": commands}
 
     def handle_event(self, now: int, event: Any) -> list[Message]:
-        """Handles one event; a fault of its instance becomes a fatal reply.
+        """Handles one event; an error in its instance becomes a fatal message, which ends the instance.
 
         Args:
             now: The time in ticks of a tenth of a millisecond.
-            event: An object whose one key is the event's name.
+            event: An object with one key, the event's name; the value is the object of its fields.
 
         Returns:
-            The commands that answer it.
+            The commands for it, or the fatal message.
 
         Raises:
-            MalformedMessageError: The event is not such an object, or names no instance.
+            MalformedMessageError: The event is not such an object, its endpoint list is malformed, or it does
+                not say which instance it is for.
         """
         if not isinstance(event, dict) or len(event) != 1:
             raise MalformedMessageError("batch: an entry of field 'input' is not an object with one key")
@@ -91,8 +96,8 @@
             return codec.encode_commands(instance, self.dispatch_event(now, instance, fields))
         except MalformedMessageError as error:
             return [self.report_fatal_error(instance, str(error))]
-        except Exception as error:  # noqa: BLE001 - a fault of one instance must not end the others
-            text = f"{name}: the decision code failed: {type(error).__name__}: {error}"
+        except Exception as error:  # noqa: BLE001 - an exception in one instance must not end the others
+            text = f"{name}: unexpected error: {type(error).__name__}: {error}"
             reply = self.report_fatal_error(instance, text)
             self.error_stream.write(traceback.format_exc())
             return [reply]
@@ -100,10 +105,11 @@
     def dispatch_event(self, now: int, instance: int, fields: Fields) -> list[interface.Command]:
         """Starts or stops an instance, or passes an event to it; returns its commands.
 
-        An unknown event is reported on `error_stream` and skipped.
+        An unknown event is reported on `error_stream` and ignored.
 
         Raises:
-            MalformedMessageError: A field is malformed, or names what does not exist.
+            MalformedMessageError: A field is missing or malformed, or refers to an instance, a class or an
+                endpoint list that does not exist.
         """
         name = fields.context
         if name == EVENT_START_INSTANCE:
@@ -113,18 +119,18 @@
             return []
         event = codec.decode_event(fields, self.endpoint_lists)
         if event is None:
-            self.error_stream.write(f"ironhinge: {name}: unknown event, passed over\n")
+            self.error_stream.write(f"ironhinge: {name}: unknown event, ignored\n")
             return []
         if instance not in self.routers:
             raise MalformedMessageError(
-                f"{name}: field 'director' names instance {instance}, which has not started"
+                f"{name}: field 'director' refers to instance {instance}, which is not running"
             )
         router = self.routers[instance]
         if type(event) is interface.RequestReceived and event.class_index >= len(
             router.deployment.request_classes
         ):
             raise MalformedMessageError(
-                f"{name}: field 'cls' names class {event.class_index}, which the settings lack"
+                f"{name}: field 'cls' refers to class {event.class_index}, which the settings do not define"
             )
         return router.handle(now, event)
 
@@ -134,16 +140,16 @@
         return router.handle(now, interface.InstanceStarted())
 
     def report_fatal_error(self, instance: int, text: str) -> Message:
-        """Reports a fault on `error_stream`; returns the message that ends the instance."""
+        """Reports an error on `error_stream`; returns the message that ends the instance."""
         self.error_stream.write(f"ironhinge: {text}\n")
         return {"FATAL": {"director": instance, "msg": text}}
 
 
 def serve(input_stream: BinaryIO, output_stream: BinaryIO, error_stream: TextIO) -> int:
-    """Answers batches, one a line, until the input ends.
+    """Answers batches, one per line, until the input ends.
 
     Returns:
-        The exit code: 0, or 2 if a batch can't be read.
+        The exit code: 0, or 2 after a malformed batch, which ends the process.
     """
     host = Host(error_stream)
     for line in input_stream:
