--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -159,7 +159,7 @@
         The event, or None if its name is unknown.
 
     Raises:
-        MalformedMessageError: A field is missing or malformed.
+        MalformedMessageError: A field is missing or malformed, or refers to an unknown endpoint list.
     """
     decode = EVENT_DECODERS.get(event.context)
     return None if decode is None else decode(event, endpoint_lists)
