--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -34,8 +34,8 @@
 from .upstream_command import command_fields, max_copy_age_ms, set_time_remaining
 from .upstream_pool import UpstreamPool
 
-MAX_UNREAD = 0.03  # seconds; an attempt may begin until 0.1 s after its client has left
-LATE_ANSWER_TIMEOUT = SECOND  # within which a second answer to an attempt may still come
+MAX_UNREAD_AGE = 0.03  # seconds; an attempt may begin until 0.1 s after its client has left
+RETIRED_ID_LIFETIME = SECOND  # within which a second answer to an attempt may still come
 DELIVERED = (AttemptEnd.SERVED, AttemptEnd.NOT_MODIFIED)  # nothing follows these
 ATTEMPTS_STARTED = "attempts_started"  # counter
 NOT_MODIFIED_FIELDS = {"same": "1"}  # of an answer that says: the copy that the client holds is the one
@@ -43,7 +43,7 @@
 RecentAnswer = tuple[RequestReceived, upstream_wire.UpstreamAnswer]
 
 
-def _nothing_to_read(max_age: float) -> None:
+def _no_catch_up(max_age: float) -> None:
     """Stands in until `Attempts.catch_up_with_discovery` is set."""
 
 
@@ -79,7 +79,7 @@
         self.timers: Timers
         self.traffic_account: TrafficAccount | None = None
         self.local_store: LocalCopyStore | None = None
-        self.catch_up_with_discovery: Callable[[float], None] = _nothing_to_read
+        self.catch_up_with_discovery: Callable[[float], None] = _no_catch_up
         # answers that came just now, while they may be kept as copies
         self.recent_answers: dict[str, RecentAnswer] = {}
         self._config = config
@@ -99,7 +99,7 @@
         if isinstance(command, SendAttemptWithFill):
             source = self.pool.upstreams.get(command.source_id)
         attempt = Attempt(request, self.pool.upstreams[command.endpoint_id], source, now)
-        attempt.oldest_copy_unix_ms = self._oldest_copy(command)
+        attempt.oldest_copy_unix_ms = self._oldest_allowed_copy(command)
         request.attempt = attempt
         request.attempt_count += 1
         self._diagnostics.counters[ATTEMPTS_STARTED] += 1
@@ -115,7 +115,7 @@
             attempt.start_deadline = command.start_deadline
             self.timers.schedule(command.start_deadline, attempt)
 
-    def _oldest_copy(self, command: SendAttempt | SendAttemptWithFill) -> int:
+    def _oldest_allowed_copy(self, command: SendAttempt | SendAttemptWithFill) -> int:
         """The Unix millisecond before which no copy will do; 0 where any will."""
         max_age_ms = max_copy_age_ms(command)
         if not max_age_ms:
@@ -146,8 +146,8 @@
         It may have waited for its connection. Its client may have left meanwhile, or discovery have told of a
         drain or a purge, unread.
         """
-        attempt.request.client.connection.catch_up(MAX_UNREAD)
-        self.catch_up_with_discovery(MAX_UNREAD)
+        attempt.request.client.connection.catch_up(MAX_UNREAD_AGE)
+        self.catch_up_with_discovery(MAX_UNREAD_AGE)
         now = self._clock.now()
         if not attempt.is_finished and (attempt.request.is_closed or now >= attempt.deadline):
             was_withdrawn = attempt.withdraw()
@@ -193,11 +193,11 @@
         operation.connection = None  # its timers still hold the operation until they are due
         connection.operations.pop(operation.operation_id, None)
         connection.idle_since = now
-        connection.retire_if_out_of_step()
+        connection.retire_if_desynchronized()
         if answer is not None and end not in DELIVERED:
             # a second answer to this attempt must not pass for one to the request's next: that takes another
             # way
-            connection.retired_ids[operation.operation_id] = now + LATE_ANSWER_TIMEOUT
+            connection.retired_ids[operation.operation_id] = now + RETIRED_ID_LIFETIME
 
     def _finish_attempt(
         self,
@@ -208,7 +208,7 @@
     ) -> None:
         request = attempt.request
         body_size = len(answer.body) if answer is not None and end is AttemptEnd.SERVED else None
-        end = self._checked_end(attempt, end, answer)
+        end = self._validated_end(attempt, end, answer)
         self._diagnostics.counters[end.name] += 1
         if end not in DELIVERED:
             self._diagnostics.event_log.record(
@@ -238,7 +238,7 @@
         self._owner.report(event)
 
     @staticmethod
-    def _checked_end(
+    def _validated_end(
         attempt: Attempt, end: AttemptEnd, answer: upstream_wire.UpstreamAnswer | None
     ) -> AttemptEnd:
         """How an attempt ended; an answer that must not be passed on is an error."""
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -25,10 +25,10 @@
 __all__ = ["NULL_RECEIVER", "Connection", "ConnectionHost", "Frame", "NullReceiver", "Pieces", "Receiver"]
 
 READS_PER_TURN = 8  # reads of one connection before other tasks run
-IMMEDIATE_READS = 4  # reads by `read_now`: one may be short, or fail for a moment
+MAX_IMMEDIATE_READS = 4  # reads by `read_now`: one may be short, or fail for a moment
 DISCARD_INTERVAL = 0.01  # seconds between reads of data that is discarded
 MAX_RENDERED_AGE = 0.02  # seconds between the rendering of a frame and its sending
-RECENTLY_EMPTY = 0.03  # seconds for which it counts that a connection had nothing unread
+MAX_EMPTY_AGE = 0.03  # seconds for which it counts that a connection had nothing unread
 
 EMPTY_BUFFER = RingBuffer(0)
 
@@ -55,12 +55,12 @@
         self.discarded_bytes = 0  # bytes that arrived after `finish`
         self.last_received_at = 0.0  # when data last arrived, in monotonic seconds
         self.last_read_size = 0  # bytes for which the latest read had room
-        self.empty_at = monotonic()  # what is read next has arrived after that; see `empty_until`
+        self.last_empty_at = monotonic()  # what is read next has arrived after that; see `empty_until`
         self.polled_descriptor: int | None = None  # while the read loop waits for the socket to be readable
         self.backlog_data_at: float | None = None  # when the last data arrived that waited in the backlog
         self.task_count = 0  # tasks that use the socket
         self.cancel_scope = anyio.CancelScope()
-        self.write_wait: anyio.CancelScope | None = None  # set while the system accepts no more
+        self.write_wait_scope: anyio.CancelScope | None = None  # set while the system accepts no more
         self.backoff: Backoff | None = None  # between calls that fail for lack of a resource
 
     def write(
@@ -108,7 +108,7 @@
 
     def send_pending(self) -> None:
         """Sends what the system accepts now; a task of its own waits to send the rest."""
-        if self.sock is None or not self.is_connected or self.is_closed or self.write_wait is not None:
+        if self.sock is None or not self.is_connected or self.is_closed or self.write_wait_scope is not None:
             return
         calls = self.manager.calls
         if not self.no_delay:
@@ -118,27 +118,27 @@
             remedy = calls.shut_down(self.sock, socket.SHUT_WR)
             self.write_side_closed = remedy is Remedy.DONE
         if remedy in (Remedy.WAIT, Remedy.PAUSE):
-            self._unfill_ring()
-            self.write_wait = anyio.CancelScope()
+            self._requeue_unsent_frames()
+            self.write_wait_scope = anyio.CancelScope()
             self.manager.task_group.start_soon(self._wait_to_write, remedy)
         elif remedy is not Remedy.DONE:
             self.close(AttemptEnd.RESET)
 
     def _send_all(self) -> Remedy:
         """Returns DONE once everything is sent, else why the system accepts no more."""
-        is_rendered_anew = False
+        is_rerendered = False
         while self.sock is not None and not self.is_closed:
             self._fill_ring()
             data = self.outbound.readable()
             if not data:
                 break
-            latest = inf if is_rendered_anew else self.rendered_at + MAX_RENDERED_AGE
+            latest = inf if is_rerendered else self.rendered_at + MAX_RENDERED_AGE
             count, remedy = self.manager.calls.send(self.sock, data, latest)
             if remedy is Remedy.LATE:
-                self._unfill_ring()  # what was rendered tells a time that has passed since
-                is_rendered_anew = True  # once: rendering itself may take that long on a slow machine
+                self._requeue_unsent_frames()  # what was rendered tells a time that has passed since
+                is_rerendered = True  # once: rendering itself may take that long on a slow machine
                 continue
-            is_rendered_anew = False
+            is_rerendered = False
             if remedy is not Remedy.DONE:
                 return remedy
             self.backoff = None
@@ -182,7 +182,7 @@
         self._count_queued(frame.size)
         return True
 
-    def _unfill_ring(self) -> None:
+    def _requeue_unsent_frames(self) -> None:
         """Moves the frames of which the system accepted nothing from the ring back to the queue.
 
         While a peer does not read, these frames can still be withdrawn: a graceful shutdown, a purge or a
@@ -212,8 +212,8 @@
             else:
                 await self.manager.calls.writable(self.sock)
 
-        await self.run_task(wait, self.write_wait or self.cancel_scope)
-        self.write_wait = None
+        await self.run_task(wait, self.write_wait_scope or self.cancel_scope)
+        self.write_wait_scope = None
         self.send_pending()
         self.manager.flush()
 
@@ -239,8 +239,8 @@
         self.is_closed = True
         self.manager.finishing_count -= self.is_finishing
         self.cancel_scope.cancel()
-        if self.write_wait is not None:
-            self.write_wait.cancel()
+        if self.write_wait_scope is not None:
+            self.write_wait_scope.cancel()
         if self.sock is not None:
             self.manager.calls.shut_down(
                 self.sock, socket.SHUT_RDWR
@@ -267,15 +267,15 @@
         """Whether bytes have arrived that were not read yet; also True when that can't be determined."""
         if self.sock is None:
             return False
-        found, remedy = self.manager.calls.peek(self.sock)
-        return found or remedy not in (Remedy.DONE, Remedy.WAIT, Remedy.BROKEN)
+        has_data, remedy = self.manager.calls.peek(self.sock)
+        return has_data or remedy not in (Remedy.DONE, Remedy.WAIT, Remedy.BROKEN)
 
     def peer_has_closed(self) -> bool:
         """Whether the peer has closed or reset the connection, and that was not read yet."""
         if self.sock is None:
             return False
-        found, remedy = self.manager.calls.peek(self.sock)
-        return remedy is Remedy.BROKEN or (remedy is Remedy.DONE and not found)
+        has_data, remedy = self.manager.calls.peek(self.sock)
+        return remedy is Remedy.BROKEN or (remedy is Remedy.DONE and not has_data)
 
     async def read_loop(self) -> None:
         """Reads until the connection ends."""
@@ -298,7 +298,7 @@
             self.manager.flush()
             if self.is_closed:
                 return
-            if count < self.last_read_size and monotonic() < self.empty_at + RECENTLY_EMPTY:
+            if count < self.last_read_size and monotonic() < self.last_empty_at + MAX_EMPTY_AGE:
                 await self._wait_until_readable()  # a short read: most probably nothing more is there
             elif reads % READS_PER_TURN == 0:
                 await lowlevel.checkpoint()
@@ -311,8 +311,8 @@
         finally:
             empty_until = self.manager.selector.end_polling(self.polled_descriptor)
             self.polled_descriptor = None
-            if empty_until > self.empty_at:
-                self.empty_at = empty_until
+            if empty_until > self.last_empty_at:
+                self.last_empty_at = empty_until
 
     def empty_until(self) -> float:
         """Returns until when the connection is known to have had nothing unread (monotonic seconds).
@@ -320,24 +320,24 @@
         Whatever is read now arrived after that, however long the process was kept from running.
         """
         if self.polled_descriptor is None:
-            return self.empty_at
-        return max(self.empty_at, self.manager.selector.empty_until(self.polled_descriptor))
+            return self.last_empty_at
+        return max(self.last_empty_at, self.manager.selector.empty_until(self.polled_descriptor))
 
     def begin_at_last_data(self) -> None:
         """Notes that what is still to be handled ends with the last data that waited in the backlog."""
         if self.backlog_data_at is not None and not self.has_unread():
-            self.empty_at = max(self.empty_at, self.backlog_data_at)
+            self.last_empty_at = max(self.last_empty_at, self.backlog_data_at)
         self.backlog_data_at = None
 
     def catch_up(self, max_age: float) -> None:
         """Reads what has arrived, unless nothing that is older than `max_age` seconds can be unread."""
         oldest = monotonic() - max_age
-        if self.empty_at < oldest and self.empty_until() < oldest:
+        if self.last_empty_at < oldest and self.empty_until() < oldest:
             self.read_now()
 
     def read_now(self) -> None:
         """Reads what has arrived without waiting for the read loop's turn, where a decision depends on it."""
-        for _ in range(IMMEDIATE_READS):
+        for _ in range(MAX_IMMEDIATE_READS):
             if (
                 self.sock is None
                 or not self.is_connected
@@ -362,7 +362,7 @@
         self.last_read_size = len(buffer)
         count, remedy = self.manager.calls.receive(self.sock, buffer)
         if remedy is Remedy.WAIT:
-            self.empty_at = began_at
+            self.last_empty_at = began_at
         if remedy in (Remedy.WAIT, Remedy.PAUSE):
             return 0, remedy
         if remedy is not Remedy.DONE or not count:
--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -30,9 +30,9 @@
 COMMAND_BUFFER_BYTES = 8 * 1024  # ring size of the direction that carries requests and commands
 BODY_BUFFER_BYTES = 32 * 1024  # ring size of the direction that carries response bodies
 QUEUED_MEMORY_SHARE = 0.25  # share of the memory limit that output queued for slow readers may use
-CLOSE_TURNS = 3  # turns of the event loop until a closed connection has released its socket
+SOCKET_RELEASE_TURNS = 3  # turns of the event loop until a closed connection has released its socket
 BACKLOG_WAIT_THRESHOLD = 0.03  # seconds in the backlog from which on the age of a connection's data is read
-CONNECT_FAILURES = {  # how a connection that was not established ends
+CONNECT_FAILURE_ENDS = {  # how a connection that was not established ends
     Remedy.REFUSED: AttemptEnd.CONNECTION_REFUSED,
     Remedy.RESET: AttemptEnd.CUT_BEFORE_SEND,
     Remedy.DESCRIPTORS: AttemptEnd.NOT_SENT,  # a shortage of ours: the upstream is not at fault
@@ -43,7 +43,7 @@
     """Stands in until `ConnectionManager.on_call_failed` is set."""
 
 
-def _shed_nothing() -> None:
+def _close_nothing() -> None:
     """Stands in until `ConnectionManager.shed_idle` is set."""
 
 
@@ -67,7 +67,7 @@
         self.selector = selector
         self.on_call_failed: Callable[[Call, str, Remedy], None] = _ignore_call_failure
         self.calls = SocketCalls(lambda call, error, remedy: self.on_call_failed(call, error, remedy))
-        self.shed_idle: Callable[[], None] = _shed_nothing
+        self.shed_idle: Callable[[], None] = _close_nothing
         self.queued_bytes = 0
         self.queued_bytes_limit = QUEUED_MEMORY_SHARE * limits.memory_mb * 2**20 or inf
         self.connections: dict[Connection, None] = {}
@@ -94,7 +94,7 @@
     # Connecting
 
     def connect(
-        self, receiver: Receiver, address: Address, timeout: float, needed: bool = False
+        self, receiver: Receiver, address: Address, timeout: float, may_use_reserve: bool = False
     ) -> Connection:
         """Starts to connect.
 
@@ -102,7 +102,7 @@
             receiver: Handles the events of the connection, also a failure to connect.
             address: The peer.
             timeout: Seconds until the attempt to connect fails.
-            needed: The connection may use the reserved descriptors.
+            may_use_reserve: The connection may use the reserved descriptors.
 
         Returns:
             The connection, which is not established yet; frames can be queued on it.
@@ -112,14 +112,16 @@
 
         async def connect_and_read() -> None:
             """The whole life of the connection, in one task."""
-            await self._connect(connection, address, timeout, needed)
+            await self._connect(connection, address, timeout, may_use_reserve)
             self.flush()
             await connection.read_loop()
 
         self.task_group.start_soon(connection.run_task, connect_and_read, connection.cancel_scope)
         return connection
 
-    async def _connect(self, connection: Connection, address: Address, max_wait: float, needed: bool) -> None:
+    async def _connect(
+        self, connection: Connection, address: Address, max_wait: float, may_use_reserve: bool
+    ) -> None:
         """Connects, or closes the connection with the reason.
 
         A shortage on this machine must not count against the peer: the attempt is repeated until its time is
@@ -128,7 +130,7 @@
         deadline = monotonic() + max_wait
         backoff = Backoff()
         while not connection.is_closed:
-            remedy = await self._try_to_connect(connection, address, deadline, needed)
+            remedy = await self._try_to_connect(connection, address, deadline, may_use_reserve)
             if connection.is_closed:
                 return
             if remedy is Remedy.DONE:
@@ -137,16 +139,16 @@
                 connection.receiver.on_connected(connection)
                 return
             if remedy is not Remedy.PAUSE or monotonic() >= deadline:
-                connection.close(CONNECT_FAILURES.get(remedy, AttemptEnd.CONNECT_TIMEOUT))
+                connection.close(CONNECT_FAILURE_ENDS.get(remedy, AttemptEnd.CONNECT_TIMEOUT))
                 return
             self._discard_socket(connection)
             await anyio.sleep(backoff.next())
 
     async def _try_to_connect(
-        self, connection: Connection, address: Address, deadline: float, needed: bool
+        self, connection: Connection, address: Address, deadline: float, may_use_reserve: bool
     ) -> Remedy:
         """Returns DONE once connected, PAUSE where this machine is short of something for a moment."""
-        remedy = await self._open_socket(connection, needed)
+        remedy = await self._open_socket(connection, may_use_reserve)
         if connection.sock is None:
             return remedy
         remedy = self.calls.connect(connection.sock, address)
@@ -156,11 +158,11 @@
             await self.calls.writable(connection.sock)
         return Remedy.UNREACHABLE if scope.cancelled_caught else self.calls.connected(connection.sock)
 
-    async def _open_socket(self, connection: Connection, needed: bool) -> Remedy:
+    async def _open_socket(self, connection: Connection, may_use_reserve: bool) -> Remedy:
         """Gives a connection a socket; if there is none, returns why."""
-        if self.open_sockets >= self.descriptor_limit and not needed:
+        if self.open_sockets >= self.descriptor_limit and not may_use_reserve:
             self.shed_idle()
-            for _ in range(CLOSE_TURNS):
+            for _ in range(SOCKET_RELEASE_TURNS):
                 await lowlevel.checkpoint()
             if self.open_sockets >= self.descriptor_limit:
                 return Remedy.DESCRIPTORS
@@ -225,7 +227,7 @@
 
     def _record_backlog_wait(self, connection: Connection, sock: socket.socket) -> None:
         """Notes since when the first data of a connection may have waited in the backlog."""
-        connection.empty_at = self.backlog_empty_at
+        connection.last_empty_at = self.backlog_empty_at
         now = monotonic()
         waited = now - self.backlog_empty_at
         if waited > BACKLOG_WAIT_THRESHOLD:
--- a/ironhinge/net/decision_loop.py
+++ b/ironhinge/net/decision_loop.py
@@ -16,7 +16,7 @@
 from ..routing import Router
 from .clock import MILLISECOND, Clock
 
-READING_TIME = MILLISECOND  # that may pass between the reading of a request and its decision, uncounted
+UNCOUNTED_DELAY = MILLISECOND  # that may pass between the reading of a request and its decision, uncounted
 
 CommandHandlers = Mapping[type, Callable[[Any], None]]
 
@@ -30,7 +30,7 @@
     def as_of(self, now: int) -> RequestReceived:
         """The request with the time that is left now."""
         time_remaining = self.deadline - now
-        if time_remaining >= self.request.time_remaining - READING_TIME:
+        if time_remaining >= self.request.time_remaining - UNCOUNTED_DELAY:
             return self.request
         return self.request._replace(time_remaining=max(0, time_remaining))
 
@@ -43,13 +43,13 @@
         router: Router,
         clock: Clock,
         on_fault: Callable[[str], None],
-        on_drained: Callable[[], None],
+        on_queue_empty: Callable[[], None],
     ):
         self.router = router
         self.handlers: CommandHandlers = {}
         self._clock = clock
         self._on_fault = on_fault  # gets the id of the request at hand, empty where there is none
-        self._on_drained = on_drained  # all events have been handled
+        self._on_queue_empty = on_queue_empty  # all events have been handled
         self._queue: deque[Event | _RequestWithDeadline] = deque()
         self._is_handling = False
 
@@ -76,7 +76,7 @@
                 self._handle(self._queue.popleft())
         finally:
             self._is_handling = False
-            self._on_drained()
+            self._on_queue_empty()
 
     def _handle(self, queued: Event | _RequestWithDeadline) -> None:
         handlers = self.handlers
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -38,8 +38,13 @@
 SILENCE_CHECK_INTERVAL = SECOND // 4
 MIN_RECONNECT_PAUSE = 0.05  # seconds
 MAX_RECONNECT_PAUSE = 0.4  # seconds; its events count as told 2 s after a break
-RELOADABLE = "seed", "known", "known_index", "discovery_address"  # what each configuration may say anew
-WRITE_INTERVAL_MS = 1000  # the service writes in order, and that often at least
+RELOADABLE_FIELDS = (
+    "seed",
+    "known",
+    "known_index",
+    "discovery_address",
+)  # what each configuration may say anew
+MAX_WRITE_INTERVAL_MS = 1000  # the service writes in order, and that often at least
 
 
 class DiscoveryListener(Protocol):
@@ -87,7 +92,7 @@
     def apply(self, update: DiscoveryUpdate | Keepalive) -> None:
         """Takes in one event; those that are known already are passed over."""
         if self.local_store is not None:
-            self.local_store.on_discovery_progress(self._clock.unix_ms() - WRITE_INTERVAL_MS)
+            self.local_store.on_discovery_progress(self._clock.unix_ms() - MAX_WRITE_INTERVAL_MS)
         if isinstance(update, Keepalive) or update.event_index <= self.last_index:
             return
         self.last_index = update.event_index
@@ -135,10 +140,10 @@
             logger.info("upstream_state_changed upstream={} state={}", endpoint.id, endpoint.state)
         upstream.address = address
         upstream.state = endpoint.state
-        self._record_start(upstream, started_unix_ms)
+        self._set_started_at(upstream, started_unix_ms)
         return endpoint._replace(started_at=upstream.started_at if started_unix_ms else 0)
 
-    def _record_start(self, upstream: Upstream, started_unix_ms: int) -> None:
+    def _set_started_at(self, upstream: Upstream, started_unix_ms: int) -> None:
         """Turns a start into an instant once: told again it must not look like another restart."""
         if started_unix_ms > upstream.started_unix_ms:
             upstream.started_unix_ms = started_unix_ms
@@ -159,7 +164,7 @@
                 await anyio.sleep(MAX_RECONNECT_PAUSE)
                 continue
             current = self.connection = DiscoveryConnection(self, self._clock)
-            current.connection = self._manager.connect(current, address, timeout, needed=True)
+            current.connection = self._manager.connect(current, address, timeout, may_use_reserve=True)
             await self._wait_until_closed(current)
             if self._config.discovery_address == address:
                 logger.warning("discovery_connection_lost address={}:{}", *address)
@@ -183,7 +188,7 @@
         restart.
         """
         for name in DirectorConfig._fields:
-            if name not in RELOADABLE and getattr(config, name) != getattr(self._config, name):
+            if name not in RELOADABLE_FIELDS and getattr(config, name) != getattr(self._config, name):
                 key = CONFIG_KEYS.get(name, name)
                 logger.warning("config_change_needs_restart key={}", key)
         address = config.discovery_address
--- a/ironhinge/net/discovery_connection.py
+++ b/ironhinge/net/discovery_connection.py
@@ -40,7 +40,7 @@
 
     def on_connected(self, connection: Connection) -> None:
         """Asks for what follows the last event that is known."""
-        connection.write((discovery_wire.hello(self._receiver.last_index),))
+        connection.write((discovery_wire.encode_hello(self._receiver.last_index),))
 
     def on_data(self, connection: Connection, data: memoryview) -> None:
         """Reads events and hands them on in order."""
--- a/ironhinge/net/discovery_wire.py
+++ b/ironhinge/net/discovery_wire.py
@@ -15,7 +15,7 @@
 from ..interface import Endpoint, EndpointState
 from .errors import UnparsableError
 
-__all__ = ["DiscoveryEvent", "DiscoveryWire", "FrameKind", "Keepalive", "UnparsableError", "hello"]
+__all__ = ["DiscoveryEvent", "DiscoveryWire", "FrameKind", "Keepalive", "UnparsableError", "encode_hello"]
 
 INDEX_BYTES = 8  # size of an event's index
 LENGTH_BYTES = 4  # size of the field that holds a frame's length
@@ -46,7 +46,7 @@
 DiscoveryEvent = Keepalive | EndpointListUpdate | PurgeUpdate
 
 
-def hello(last_index: int) -> bytes:
+def encode_hello(last_index: int) -> bytes:
     """Encodes what a client sends first: the index of the last event that it has."""
     return last_index.to_bytes(INDEX_BYTES, "big")
 
@@ -116,7 +116,7 @@
                     break
                 events.append(_decode_frame(bytes(self._buffered[start:end])))
                 offset = end
-        except UnparsableError as found:
-            error = found
+        except UnparsableError as exc:
+            error = exc
         del self._buffered[:offset]
         return events, error
--- a/ironhinge/net/timed_selector.py
+++ b/ironhinge/net/timed_selector.py
@@ -7,7 +7,9 @@
 from time import monotonic
 from typing import Any
 
-LONG_POLL = 0.005  # seconds from which on the time of a poll has to be known better than by its start
+LONG_POLL_THRESHOLD = (
+    0.005  # seconds from which on the time of a poll has to be known better than by its start
+)
 NEVER = -inf
 
 
@@ -48,7 +50,7 @@
         polled_at = monotonic()
         ready = super().select(timeout)
         ended_at = monotonic()
-        if ended_at > polled_at + LONG_POLL:
+        if ended_at > polled_at + LONG_POLL_THRESHOLD:
             if ready or timeout is None:
                 polled_at = ended_at
                 ready = super().select(0)
--- a/ironhinge/net/timers.py
+++ b/ironhinge/net/timers.py
@@ -30,15 +30,15 @@
         self._clock = clock
         self._handler = handler
         self._heap: list[tuple[int, int, str | UpstreamOperation]] = []
-        self._count = 0  # orders timers that are due at the same time
-        self._moved_up = anyio.Event()  # a timer is due earlier than all others
+        self._timer_count = 0  # orders timers that are due at the same time
+        self._earliest_changed = anyio.Event()  # a timer is due earlier than all others
 
     def schedule(self, due: int, target: str | UpstreamOperation) -> None:
         """Sets a timer for a token of the decisions or a deadline of an operation."""
-        self._count += 1
-        heappush(self._heap, (due, self._count, target))
+        self._timer_count += 1
+        heappush(self._heap, (due, self._timer_count, target))
         if self._heap[0][2] is target:
-            self._moved_up.set()
+            self._earliest_changed.set()
 
     def fire_due(self) -> None:
         """Fires the timers that are due, and drops those at the top that nobody needs."""
@@ -59,11 +59,11 @@
     async def run(self, flush: Callable[[], None]) -> None:
         """Fires timers for as long as the program runs; `flush` writes what they caused."""
         while True:
-            self._moved_up = anyio.Event()
+            self._earliest_changed = anyio.Event()
             self.fire_due()
             flush()
             wait = self._heap[0][0] - self._clock.now() if self._heap else SECOND
             with anyio.move_on_after(max(0, self._clock.seconds(wait))):
-                await self._moved_up.wait()
+                await self._earliest_changed.wait()
             # after a pause of the program, answers are read before timeouts count
             await lowlevel.checkpoint()
--- a/ironhinge/net/upstream.py
+++ b/ironhinge/net/upstream.py
@@ -95,7 +95,7 @@
             operation = self.operations.get(answer.operation_id)
             if operation is None:
                 continue  # given up, and answered all the same
-            mismatch = self._mismatch(operation, answer)
+            mismatch = self._find_mismatch(operation, answer)
             if mismatch is not None:
                 error = mismatch
                 break
@@ -106,10 +106,10 @@
             )
             connection.close(AttemptEnd.UNPARSABLE)
         else:
-            self.retire_if_out_of_step()
+            self.retire_if_desynchronized()
 
     @staticmethod
-    def _mismatch(
+    def _find_mismatch(
         operation: UpstreamOperation, answer: upstream_wire.UpstreamAnswer
     ) -> upstream_wire.UnparsableError | None:
         """What shows that an answer is none to this operation."""
@@ -120,7 +120,7 @@
             return upstream_wire.UnparsableError(f"{answer.end.name} as the answer to another command")
         return None
 
-    def retire_if_out_of_step(self) -> None:
+    def retire_if_desynchronized(self) -> None:
         """Takes nothing more where bytes have begun to come that belong to no operation.
 
         The next answer would stand behind what may never end, or be read as a part of it.
@@ -150,7 +150,11 @@
         elif not self.operations and (self.is_retired or self.idle_since < idle_since):
             self.connection.close(AttemptEnd.CLOSED)
         elif self.retired_ids:
-            self.retired_ids = {name: until for name, until in self.retired_ids.items() if until >= now}
+            self.retired_ids = {
+                retired_id: expires_at
+                for retired_id, expires_at in self.retired_ids.items()
+                if expires_at >= now
+            }
 
     def _is_stalled(self, now: int) -> bool:
         """Whether an answer began and does not go on: what is in flight would wait for it in vain."""
--- a/ironhinge/net/upstream_pool.py
+++ b/ironhinge/net/upstream_pool.py
@@ -12,7 +12,7 @@
 from .connection_manager import ConnectionManager
 from .upstream import OperationHandler, Upstream, UpstreamConnection
 
-IDLE_WHEN_FULL = SECOND  # an idle connection is kept that long while descriptors are short
+IDLE_TIMEOUT_WHEN_FULL = SECOND  # an idle connection is kept that long while descriptors are short
 
 
 class UpstreamPool:
@@ -73,15 +73,15 @@
         """Closes connections well before upstreams close them, so that no request crosses the close."""
         idle_timeout = (self.transport.upstream_idle_timeout or now) // 2
         if self._manager.is_nearly_full():
-            idle_timeout = IDLE_WHEN_FULL
+            idle_timeout = IDLE_TIMEOUT_WHEN_FULL
         connected = [upstream for upstream in self.upstreams.values() if upstream.connections]
         for upstream in connected:
             upstream.check_timeouts(now, now - idle_timeout)
-        self._forget_removed()
+        self._delete_removed()
         in_use = sum(bool(upstream.connections) for upstream in connected)
         self.connections_per_upstream = self._manager.connections_per_upstream(in_use)
 
-    def _forget_removed(self) -> None:
+    def _delete_removed(self) -> None:
         """Bounds the memory on days on which all upstreams are replaced."""
         removed = [
             upstream.id
--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -190,30 +190,30 @@
         self._length += len(data)
         if self._length < self._bytes_needed:
             return [], None
-        held = self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
+        buffered = self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
         answers: list[UpstreamAnswer] = []
         offset = 0
         error = None
         try:
-            offset = self._decode(held, answers)
-        except UnparsableError as found:
-            error = found
-        self._length = len(held) - offset
-        self._pieces = [held[offset:]] if self._length else []
+            offset = self._decode(buffered, answers)
+        except UnparsableError as exc:
+            error = exc
+        self._length = len(buffered) - offset
+        self._pieces = [buffered[offset:]] if self._length else []
         return answers, error
 
-    def _decode(self, held: bytes, answers: list[UpstreamAnswer]) -> int:
+    def _decode(self, buffered: bytes, answers: list[UpstreamAnswer]) -> int:
         """Decodes all complete answers; returns the offset at which it stopped."""
         offset = 0
         while True:
             if self._item_size >= 0:
                 end = offset + self._item_size
-                if len(held) < end + CRLF_BYTES:
+                if len(buffered) < end + CRLF_BYTES:
                     self._bytes_needed = self._item_size + CRLF_BYTES
                     return offset
-                if held[end : end + CRLF_BYTES] != CRLF:
+                if buffered[end : end + CRLF_BYTES] != CRLF:
                     raise UnparsableError("an item of another length")
-                self._items.append(held[offset:end])
+                self._items.append(buffered[offset:end])
                 offset = end + CRLF_BYTES
                 self._item_size = -1
                 self._missing_items -= 1
@@ -221,13 +221,13 @@
                     items, self._items = self._items, []
                     answers.append(_decode_answer(items))
                 continue
-            end = held.find(CRLF, offset, offset + MAX_LINE_BYTES)
+            end = buffered.find(CRLF, offset, offset + MAX_LINE_BYTES)
             if end < 0:
-                if len(held) - offset >= MAX_LINE_BYTES:
+                if len(buffered) - offset >= MAX_LINE_BYTES:
                     raise UnparsableError("a line too long")
-                self._bytes_needed = len(held) - offset + 1
+                self._bytes_needed = len(buffered) - offset + 1
                 return offset
-            self._decode_length(held[offset:end])
+            self._decode_length(buffered[offset:end])
             offset = end + CRLF_BYTES
 
     def _decode_length(self, line: bytes) -> None:
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -116,7 +116,7 @@
         link = heard.link
         frames = [link.write([bytes([65 + i]) * 3000, b"."]) for i in range(20)]
         link.send_pending()
-        assert link.write_wait is not None  # the system takes no more
+        assert link.write_wait_scope is not None  # the system takes no more
         begun = [frame for frame in frames if not link.withdraw(frame)]
         assert 0 < len(begun) < 15
         assert begun == frames[: len(begun)]
