--- a/ironhinge/net/attempt_end.py
+++ b/ironhinge/net/attempt_end.py
@@ -1,6 +1,6 @@
-"""The ways in which an attempt, or the connection under it, can end, and what each means to the decisions.
+"""The ways in which an attempt, a health check or a connection can end, and the result reported for each.
 
-This is the only mapping of ends to results: whoever learns how something ended names one of these values.
+This is the only mapping of ends to results: other modules refer to an end by its `AttemptEnd`.
 """
 
 from __future__ import annotations
@@ -14,35 +14,36 @@
 class AttemptEnd(Enum):
     """How an attempt, a health check or a connection ended.
 
-    What matters about an end is whether the request may have run on the upstream: only a request that
-    certainly did not run, or is idempotent, may be sent again.
+    Each value states whether the request may have run on the upstream: only a request that certainly did not
+    run, or that is idempotent, may be sent again.
     """
 
-    SERVED = auto()  # the response arrived whole
+    SERVED = auto()  # the whole response arrived
     NOT_MODIFIED = auto()  # the client's copy is current
     MISS = auto()  # the upstream has no usable copy: the request did not run
     REJECTED = auto()  # the upstream rejected the request: it did not run
     ERROR = auto()  # the upstream answered with an error: the request may have run
     HEALTHY = auto()  # a health check succeeded
     UNHEALTHY = auto()  # a health check was answered with a failure
-    EXPIRED = auto()  # the upstream found the deadline passed: the request did not run
+    EXPIRED = auto()  # the deadline had passed when the upstream got the request: it did not run
     CONNECTION_REFUSED = auto()  # the connection was refused: nothing ran
     CONNECT_TIMEOUT = auto()  # no connection was established in time: nothing ran
-    NOT_SENT = auto()  # ended here before the command was written whole: the upstream did not get it
-    # the connection broke before the command was written whole: the upstream did not get it
+    NOT_SENT = auto()  # ended by this side before the whole command was written: the upstream did not get it
+    # the connection broke before the whole command was written: the upstream did not get it
     CUT_BEFORE_SEND = auto()
-    # its connection ended because of another attempt: the request may have run; says nothing of the upstream
+    # its connection was closed because of another attempt: the request may have run; it does not show
+    # whether the upstream is healthy
     CONNECTION_SHARED_FAILURE = auto()
-    STALLED = auto()  # a response on its connection began and did not continue: the request may have run
+    STALLED = auto()  # a response on the connection began and did not continue: the request may have run
     RESET = auto()  # the connection was reset after the command was written: the request may have run
     CLOSED = auto()  # the connection was closed after the command was written: the request may have run
     UNPARSABLE = auto()  # what the upstream sent can't be parsed: the request may have run
-    MEMORY_LIMIT = auto()  # closed here, since its queued output took too much memory: it may have run
+    MEMORY_LIMIT = auto()  # closed by this side as its queued output used too much memory: it may have run
     TIMED_OUT = auto()  # no response by the deadline: the request may still be running
-    CANCELLED = auto()  # the decisions cancelled it: the request may have run
+    CANCELLED = auto()  # the router cancelled it: the request may have run
 
 
-# What the decisions are told of each end.
+# The result that is reported to the router for each end.
 RESULTS: Final[dict[AttemptEnd, AttemptResult]] = {
     AttemptEnd.SERVED: AttemptResult.DONE,
     AttemptEnd.NOT_MODIFIED: AttemptResult.DONE,
--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts and health checks, from the decisions' command to their one end.
+"""Sends attempts and health checks as the router commands, and reports how each of them ended.
 
-No upstream, time or answer is chosen here: an attempt does what its command says, and how it ended is
-reported.
+This module makes no routing decision: the upstream and the deadline of an attempt come from its command, and
+each operation ends exactly once.
 """
 
 from __future__ import annotations
@@ -34,38 +34,52 @@
 from .upstream_command import command_fields, max_copy_age_ms, set_time_remaining
 from .upstream_pool import UpstreamPool
 
-MAX_UNREAD_AGE = 0.03  # seconds; an attempt may begin until 0.1 s after its client has left
-RETIRED_ID_LIFETIME = SECOND  # within which a second answer to an attempt may still come
-DELIVERED = (AttemptEnd.SERVED, AttemptEnd.NOT_MODIFIED)  # nothing follows these
+MAX_UNREAD_AGE = 0.03  # seconds; no attempt may begin later than 0.1 s after its client disconnected
+RETIRED_ID_LIFETIME = SECOND  # time after the end of an attempt in which a second answer to it may arrive
+DELIVERED = (
+    AttemptEnd.SERVED,
+    AttemptEnd.NOT_MODIFIED,
+)  # the client gets its answer; no other attempt follows
 ATTEMPTS_STARTED = "attempts_started"  # counter
-NOT_MODIFIED_FIELDS = {"same": "1"}  # of an answer that says: the copy that the client holds is the one
+NOT_MODIFIED_FIELDS = {"same": "1"}  # of the answer to a client whose copy is current
 
 RecentAnswer = tuple[RequestReceived, upstream_wire.UpstreamAnswer]
 
 
 def _no_catch_up(max_age: float) -> None:
-    """Stands in until `Attempts.catch_up_with_discovery` is set."""
+    """Does nothing; the default of `Attempts.catch_up_with_discovery`."""
 
 
 class RequestOwner(Protocol):
-    """The director, as attempts see it."""
+    """The operations of the director that `Attempts` uses."""
 
     requests: dict[str, OpenRequest]
 
     def report(self, event: Event) -> None:
-        """Hands an event to the decisions."""
+        """Reports an event to the router."""
 
     def send_final_answer(
         self, request_id: str, code: int, fields: dict[str, str], body: bytes = b""
     ) -> None:
-        """Answers a request that is still open."""
+        """Sends the final answer of a request that is still open."""
 
     def forget_if_done(self, request: OpenRequest) -> None:
-        """Forgets a request that is answered and has no attempt in flight."""
+        """Deletes the request if it has been answered and has no attempt in flight."""
 
 
 class Attempts:
-    """The operations of one director."""
+    """The attempts and health checks of one director.
+
+    Attributes:
+        pool: The upstreams and their connections; set before first use.
+        timers: Schedules the deadlines of operations; set before first use.
+        traffic_account: Records attempts, if this extension is in use.
+        local_store: Stores copies of answers, if this extension is in use.
+        catch_up_with_discovery: Reads the discovery events that have arrived, unless none older than the
+            given number of seconds can be unread.
+        recent_answers: Answers that the router may command to store, by request id; cleared once its event
+            queue is empty.
+    """
 
     def __init__(
         self,
@@ -80,7 +94,6 @@
         self.traffic_account: TrafficAccount | None = None
         self.local_store: LocalCopyStore | None = None
         self.catch_up_with_discovery: Callable[[float], None] = _no_catch_up
-        # answers that came just now, while they may be kept as copies
         self.recent_answers: dict[str, RecentAnswer] = {}
         self._config = config
         self._clock = clock
@@ -90,7 +103,7 @@
         self._health_check_count = 0
 
     def send(self, command: SendAttempt | SendAttemptWithFill) -> None:
-        """Carries out a command to send a request to an upstream."""
+        """Executes a command to send a request to an upstream."""
         request = self._owner.requests.get(command.request_id)
         if request is None:
             return
@@ -116,14 +129,14 @@
             self.timers.schedule(command.start_deadline, attempt)
 
     def _oldest_allowed_copy(self, command: SendAttempt | SendAttemptWithFill) -> int:
-        """The Unix millisecond before which no copy will do; 0 where any will."""
+        """Returns the Unix time in milliseconds of the oldest usable copy; 0 if there is no limit."""
         max_age_ms = max_copy_age_ms(command)
         if not max_age_ms:
             return 0
         return self._clock.unix_ms() - max_age_ms - ALLOWED_LATENESS // MILLISECOND
 
     def send_health_check(self, command: SendHealthCheck) -> None:
-        """Carries out a command to check an upstream's health."""
+        """Executes a command to send a health check to an upstream."""
         self._health_check_count += 1
         upstream = self.pool.upstreams[command.endpoint_id]
         check = UpstreamOperation(f"probe-{self._health_check_count}", upstream, self._clock.now())
@@ -141,10 +154,10 @@
         self.timers.schedule(deadline, operation)
 
     def _render_command(self, attempt: Attempt, fields: dict[str, str]) -> tuple[bytes, ...]:
-        """An attempt's command, made when it begins to be written.
+        """Encodes an attempt's command just before it is written; returns nothing if the attempt has ended.
 
-        It may have waited for its connection. Its client may have left meanwhile, or discovery have told of a
-        drain or a purge, unread.
+        While the command waited for its connection, its client may have disconnected, or a drain or purge may
+        have arrived and not been read yet. So unread input is read first, and may end the attempt.
         """
         attempt.request.client.connection.catch_up(MAX_UNREAD_AGE)
         self.catch_up_with_discovery(MAX_UNREAD_AGE)
@@ -163,12 +176,13 @@
         end: AttemptEnd,
         answer: upstream_wire.UpstreamAnswer | None = None,
     ) -> None:
-        """The one end of an attempt or a health check."""
+        """Ends an attempt or a health check, unless it has ended already, and reports its result."""
         if operation.is_finished:
             return
         operation.is_finished = True
         if operation.frame is not None:
-            operation.frame.render = None  # holds the operation: nothing here may wait for a collection
+            # breaks the reference cycle with the operation without waiting for the garbage collector
+            operation.frame.render = None
         now = self._clock.now()
         self._release_connection(operation, end, answer, now)
         if isinstance(operation, Attempt):
@@ -190,13 +204,13 @@
         connection = operation.connection
         if connection is None:
             return
-        operation.connection = None  # its timers still hold the operation until they are due
+        operation.connection = None  # the timers refer to the operation until they are due
         connection.operations.pop(operation.operation_id, None)
         connection.idle_since = now
         connection.retire_if_desynchronized()
         if answer is not None and end not in DELIVERED:
-            # a second answer to this attempt must not pass for one to the request's next: that takes another
-            # way
+            # the request's next attempt has the same id: while the id is retired here, it uses another
+            # connection, so that a second answer to this attempt can't be taken for its answer
             connection.retired_ids[operation.operation_id] = now + RETIRED_ID_LIFETIME
 
     def _finish_attempt(
@@ -241,35 +255,40 @@
     def _validated_end(
         attempt: Attempt, end: AttemptEnd, answer: upstream_wire.UpstreamAnswer | None
     ) -> AttemptEnd:
-        """How an attempt ended; an answer that must not be passed on is an error."""
+        """Returns how an attempt ended; `ERROR` if its answer must not be passed on."""
         held_tag = attempt.request.passed.held_tag
         if end is AttemptEnd.NOT_MODIFIED and (answer is None or not held_tag or answer.tag != held_tag):
-            return AttemptEnd.ERROR  # only the copy that the upstream has named is the same
+            return AttemptEnd.ERROR  # the answer does not confirm the tag of the client's copy
         if answer is not None and 0 < answer.produced_unix_ms < attempt.oldest_copy_unix_ms:
-            return AttemptEnd.ERROR  # an upstream that forgets purges
+            return AttemptEnd.ERROR  # too old a copy: the upstream has missed a purge
         return end
 
     def abandon(self, operation: UpstreamOperation, end: AttemptEnd) -> None:
-        """Ends what has no answer: what was not begun is never sent, and the upstream is told of the rest."""
+        """Ends an operation that has no answer.
+
+        If none of its command has been written, the command is never sent. Otherwise an attempt is cancelled
+        at the upstream; if that fails, its connection is closed.
+        """
         if operation.is_finished:
             return
         connection = operation.connection
-        is_cancelled = True  # at the upstream, or there is nothing to cancel
+        is_cancelled = True  # cancelled at the upstream, or nothing has to be cancelled
         if operation.withdraw():
             end = AttemptEnd.NOT_SENT
         elif isinstance(operation, Attempt) and connection is not None:
             is_cancelled = connection.cancel(operation) or operation.request.is_closed
             last_received_at = connection.connection.last_received_at * SECOND
             if end is AttemptEnd.TIMED_OUT and last_received_at < operation.started_at:
-                # the connection is silent and may be dead: a new one shows whether the upstream lives
+                # nothing arrived since the attempt began, the connection may be dead: the next attempt uses a
+                # new one, which shows whether the upstream is reachable
                 is_cancelled = False
         self.finish_operation(operation, end)
         if not is_cancelled and connection is not None:
-            # gives up all that is on it, before anything else is written
+            # ends all operations on it before anything else is written
             connection.connection.close(AttemptEnd.CONNECTION_SHARED_FAILURE)
 
     def cancel(self, command: CancelAttempt) -> None:
-        """Carries out a command to give up an attempt."""
+        """Executes a command to cancel an attempt."""
         request = self._owner.requests.get(command.request_id)
         if request is None or request.attempt is None:
             return
@@ -277,9 +296,9 @@
             self.abandon(request.attempt, AttemptEnd.CANCELLED)
 
     def withdraw_unsent(self, is_affected: Callable[[Attempt], bool]) -> None:
-        """Withdraws attempts that were waiting for a connection when the news came.
+        """Withdraws the affected attempts of which nothing has been written.
 
-        Drains and purges count a send from its first byte.
+        Whether an attempt was sent before a drain or a purge is determined by its first byte.
         """
         for request in list(self._owner.requests.values()):
             attempt = request.attempt
@@ -287,13 +306,13 @@
                 self.finish_operation(attempt, AttemptEnd.NOT_SENT)
 
     def on_operation_due(self, operation: UpstreamOperation, due: int, now: int) -> None:
-        """A deadline of an operation is due; it may have ended already."""
+        """Handles a due deadline of an operation; the operation may have ended already."""
         if not operation.is_finished and operation.connection is not None:
-            operation.connection.connection.read_now()  # an answer may have come in time
+            operation.connection.connection.read_now()  # an answer may have arrived in time and not been read
         if operation.is_finished:
             return
         if due == operation.start_deadline:
-            # repeats are dropped for a while only: what still waits for its connection then would run again
+            # upstreams remember an idempotency key for a limited time: an attempt sent later could run twice
             if operation.withdraw():
                 self.finish_operation(operation, AttemptEnd.NOT_SENT)
         else:
--- a/ironhinge/net/clock.py
+++ b/ironhinge/net/clock.py
@@ -1,12 +1,12 @@
-"""Time: a monotonic clock for all durations, and Unix time that steps of the wall clock do not move.
+"""Time: a monotonic clock for all durations, and Unix time that does not follow steps of the wall clock.
 
-The wall clock is read here and nowhere else in the network code. It is read once at start-up; from then on
-Unix time is that reading plus the monotonic time since. The wall clock is compared now and then: a slow slew
-is followed; a step is logged and not followed. The time stamps of the discovery service are a second source:
-an event that has happened is not in the future, and one that is reported live did not happen an hour ago.
+Only this module of the network code reads the wall clock. It reads it at start-up; from then on Unix time is
+that reading plus the monotonic time since. Periodic comparisons with the wall clock follow a slew, and log a
+step without following it. The time stamps of the discovery service correct Unix time too: an event that was
+received can't lie in the future, and one that was just sent can't be an hour old.
 
-Errors that remain: that of the wall clock at start-up, up to `MAX_EVENT_DELAY` where no live event shows it;
-slews faster than `MAX_SLEW_RATE`; time in which the machine was suspended.
+Errors that remain: the error of the wall clock at start-up (up to `MAX_EVENT_DELAY` if no live event shows
+it), slews faster than `MAX_SLEW_RATE`, and time during which the machine was suspended.
 """
 
 from __future__ import annotations
@@ -19,9 +19,11 @@
 NANOSECONDS_PER_TICK = 100_000  # the unit of time is a tick: a tenth of a millisecond
 MILLISECOND = 10  # in ticks
 SECOND = 1000 * MILLISECOND
-STEP_THRESHOLD = SECOND // 4  # a difference to the wall clock from which on it counts as stepped
-MAX_SLEW_RATE = 500e-6  # seconds per second: the most that adjtime(3) does
-MAX_EVENT_DELAY = 10 * SECOND  # the protocol counts an event as delivered after 7 s, arrived or not
+STEP_THRESHOLD = SECOND // 4  # smallest difference from the wall clock that counts as a step
+MAX_SLEW_RATE = 500e-6  # seconds per second: the largest rate of adjtime(3)
+MAX_EVENT_DELAY = (
+    10 * SECOND
+)  # the protocol counts an event as delivered after 7 s, even if it has not arrived
 
 
 class Clock:
@@ -34,8 +36,8 @@
     ):
         self._monotonic_ns = monotonic_ns
         self._wall_ns = wall_ns
-        self._offset = self._wall_offset()  # Unix time less monotonic time
-        self._logged_step = 0  # by how much the wall clock is off, as last logged
+        self._offset = self._wall_offset()  # Unix time minus monotonic time
+        self._logged_step = 0  # difference from the wall clock when a step was last logged
         self._checked_at = self.now()
 
     def now(self) -> int:
@@ -67,7 +69,7 @@
         return self.now() - self.unix_age(unix_ms) + 1
 
     def check_wall_clock(self) -> None:
-        """Compares the wall clock with the monotonic one: follows a slew, logs a step."""
+        """Compares Unix time with the wall clock: follows a slew, logs a step."""
         now = self.now()
         max_slew = int((now - self._checked_at) * MAX_SLEW_RATE) + 1
         self._checked_at = now
@@ -80,14 +82,14 @@
             logger.warning("wall_clock_stepped offset_s={} followed=no", difference / SECOND)
 
     def age_of_event(self, unix_ms: int, caught_up_at: int) -> int:
-        """Returns how many ticks ago an event happened that was just received.
+        """Returns the age in ticks of an event that was just received.
 
-        A time stamp in the future, or one so old that the event must have been received earlier, shows that
-        our Unix time is wrong; it is corrected.
+        A time stamp in the future, or one so old that the event would have been received earlier, shows that
+        this clock's Unix time is wrong; it is corrected.
 
         Args:
             unix_ms: The event's Unix time stamp in milliseconds.
-            caught_up_at: Every event before this instant (monotonic ticks) had been received already.
+            caught_up_at: All earlier events had been received by this instant (monotonic ticks).
         """
         age = self._age_not_in_future(unix_ms)
         since_caught_up = max(0, self.now() - caught_up_at)
@@ -100,11 +102,12 @@
     def start_instant(self, unix_ms: int, caught_up_at: int) -> int:
         """Returns the monotonic instant, rounded up, of a process start that was just reported.
 
-        It is not before the instant at which the start can first have been reported.
+        If the time stamp is implausibly old, this is `caught_up_at`, the earliest instant of a start that had
+        not been reported before. A time stamp in the future corrects this clock's Unix time.
 
         Args:
             unix_ms: The reported start, as a Unix time in milliseconds.
-            caught_up_at: Every start before this instant (monotonic ticks) had been reported already.
+            caught_up_at: All earlier starts had been reported by this instant (monotonic ticks).
         """
         age = self._age_not_in_future(unix_ms)
         since_caught_up = max(0, self.now() - caught_up_at)
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -1,7 +1,7 @@
 """One TCP connection: reads into a ring buffer, and writes queued frames through another.
 
-A connection never interprets the bytes. Data and the end of the connection go to its `Receiver`, and an error
-never leaves the connection's own tasks. The owner's side is described by `ConnectionHost`.
+A connection never interprets the bytes: it passes data, and the end of the connection, to its `Receiver`. An
+error in its tasks closes this connection only. `ConnectionHost` is the interface of its owner.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 __all__ = ["NULL_RECEIVER", "Connection", "ConnectionHost", "Frame", "NullReceiver", "Pieces", "Receiver"]
 
 READS_PER_TURN = 8  # reads of one connection before other tasks run
-MAX_IMMEDIATE_READS = 4  # reads by `read_now`: one may be short, or fail for a moment
+MAX_IMMEDIATE_READS = 4  # reads by `read_now`: a read may be short, or fail temporarily
 DISCARD_INTERVAL = 0.01  # seconds between reads of data that is discarded
-MAX_RENDERED_AGE = 0.02  # seconds between the rendering of a frame and its sending
-MAX_EMPTY_AGE = 0.03  # seconds for which it counts that a connection had nothing unread
+MAX_RENDERED_AGE = 0.02  # seconds; an older frame is rendered again before it is sent
+MAX_EMPTY_AGE = 0.03  # seconds; after this a short read does not show that nothing else is unread
 
 EMPTY_BUFFER = RingBuffer(0)
 
@@ -42,22 +42,24 @@
         self.sock: socket.socket | None = None
         self.inbound = RingBuffer(inbound_size)
         self.outbound = RingBuffer(outbound_size)
-        self.pending_frames: deque[Frame] = deque()  # not wholly in the outbound ring
-        self.buffered_frames: deque[Frame] = deque()  # with bytes in the outbound ring, not wholly sent
+        self.pending_frames: deque[Frame] = deque()  # not completely in the outbound ring
+        self.buffered_frames: deque[Frame] = deque()  # with bytes in the outbound ring, not completely sent
         self.queued_bytes = 0  # size of the pending frames
-        self.buffered_offset = 0  # bytes ever put into the outbound ring
-        self.sent_offset = 0  # bytes ever accepted by the system
-        self.rendered_at = inf  # when the oldest frame in the ring that has not been sent was rendered
+        self.buffered_offset = 0  # total of bytes put into the outbound ring
+        self.sent_offset = 0  # total of bytes accepted by the system
+        self.rendered_at = inf  # when the oldest unsent frame in the ring was rendered; inf: there is none
         self.is_connected = self.is_closed = self.is_finishing = False
-        self.write_side_closed = False  # our side has been shut down
+        self.write_side_closed = False  # this side has been shut down for writing
         self.no_delay = False  # TCP_NODELAY is on
         self.is_receiving = False  # the receiver's `on_data` is running
         self.discarded_bytes = 0  # bytes that arrived after `finish`
         self.last_received_at = 0.0  # when data last arrived, in monotonic seconds
-        self.last_read_size = 0  # bytes for which the latest read had room
-        self.last_empty_at = monotonic()  # what is read next has arrived after that; see `empty_until`
-        self.polled_descriptor: int | None = None  # while the read loop waits for the socket to be readable
-        self.backlog_data_at: float | None = None  # when the last data arrived that waited in the backlog
+        self.last_read_size = 0  # buffer size of the latest read
+        # the next data read arrived after this (monotonic seconds); see `empty_until`
+        self.last_empty_at = monotonic()
+        self.polled_descriptor: int | None = None  # set while the read loop waits for input
+        # when the last data arrived that the system received before the accept (monotonic seconds)
+        self.backlog_data_at: float | None = None
         self.task_count = 0  # tasks that use the socket
         self.cancel_scope = anyio.CancelScope()
         self.write_wait_scope: anyio.CancelScope | None = None  # set while the system accepts no more
@@ -79,7 +81,7 @@
         return frame
 
     def write_now(self, pieces: Pieces) -> bool:
-        """Writes before what is queued on other connections; False if the system did not accept it all."""
+        """Queues a frame and sends this connection's queue at once; False if part of it remains unsent."""
         self.write(pieces)
         self.send_pending()
         return not self.pending_frames and not self.outbound.used
@@ -97,7 +99,7 @@
         return True
 
     def withdraw_expired(self, now: float) -> None:
-        """Withdraws expired frames, so that a client that does not read can't make the queue grow."""
+        """Withdraws expired frames, which bounds the queue for a client that does not read."""
         for frame in list(self.pending_frames):
             if frame.expires_at is not None and frame.expires_at < now:
                 self.withdraw(frame)
@@ -107,7 +109,7 @@
         return frame.ring_end is not None and self.sent_offset >= frame.ring_end
 
     def send_pending(self) -> None:
-        """Sends what the system accepts now; a task of its own waits to send the rest."""
+        """Sends what the system accepts now, and starts a task that waits to send the rest."""
         if self.sock is None or not self.is_connected or self.is_closed or self.write_wait_scope is not None:
             return
         calls = self.manager.calls
@@ -135,8 +137,8 @@
             latest = inf if is_rerendered else self.rendered_at + MAX_RENDERED_AGE
             count, remedy = self.manager.calls.send(self.sock, data, latest)
             if remedy is Remedy.LATE:
-                self._requeue_unsent_frames()  # what was rendered tells a time that has passed since
-                is_rerendered = True  # once: rendering itself may take that long on a slow machine
+                self._requeue_unsent_frames()  # the rendered time remaining is out of date
+                is_rerendered = True  # only once: on a slow machine, rendering alone may take that long
                 continue
             is_rerendered = False
             if remedy is not Remedy.DONE:
@@ -183,10 +185,10 @@
         return True
 
     def _requeue_unsent_frames(self) -> None:
-        """Moves the frames of which the system accepted nothing from the ring back to the queue.
+        """Moves the frames of which the system has accepted nothing from the ring back to the queue.
 
-        While a peer does not read, these frames can still be withdrawn: a graceful shutdown, a purge or a
-        disconnected client must find them not begun.
+        These frames can then still be withdrawn because of a graceful shutdown, a purge or a disconnected
+        client, while the peer does not read.
         """
         self.rendered_at = inf
         while self.buffered_frames:
@@ -204,7 +206,7 @@
 
     async def _wait_to_write(self, remedy: Remedy) -> None:
         async def wait() -> None:
-            """Until the system takes more, or a shortage may be over."""
+            """Waits until the system accepts more output, or a shortage may be over."""
             if self.sock is None or self.is_closed:
                 return
             if remedy is Remedy.PAUSE:
@@ -223,7 +225,7 @@
         return self.backoff.next()
 
     def finish(self) -> None:
-        """Shuts down our side once the queue is sent, and discards input until the peer closes its side.
+        """Shuts down this side once the queue is sent, and discards input until the peer closes its side.
 
         Closing a socket with unread input resets the connection, which would destroy what was just written.
         """
@@ -242,9 +244,8 @@
         if self.write_wait_scope is not None:
             self.write_wait_scope.cancel()
         if self.sock is not None:
-            self.manager.calls.shut_down(
-                self.sock, socket.SHUT_RDWR
-            )  # fails if the peer was first: no matter
+            # fails if the peer has closed already, which does not matter
+            self.manager.calls.shut_down(self.sock, socket.SHUT_RDWR)
         self._release_socket()
         self.manager.unflushed.pop(self, None)
         self.manager.connections.pop(self, None)
@@ -257,21 +258,21 @@
         self.receiver = NULL_RECEIVER
 
     def _release_socket(self) -> None:
-        """Closes the socket once no task waits on it: its number may be reused at once."""
+        """Closes the socket once no task waits on it, as its descriptor may be reused immediately."""
         if self.is_closed and not self.task_count and self.sock is not None:
             self.manager.calls.close(self.sock)
             self.sock = None
             self.manager.open_sockets -= 1
 
     def has_unread(self) -> bool:
-        """Whether bytes have arrived that were not read yet; also True when that can't be determined."""
+        """Whether there are unread bytes; also True if that can't be determined."""
         if self.sock is None:
             return False
         has_data, remedy = self.manager.calls.peek(self.sock)
         return has_data or remedy not in (Remedy.DONE, Remedy.WAIT, Remedy.BROKEN)
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed or reset the connection, and that was not read yet."""
+        """Whether the peer has closed or reset the connection, as far as a peek at the socket shows."""
         if self.sock is None:
             return False
         has_data, remedy = self.manager.calls.peek(self.sock)
@@ -281,7 +282,7 @@
         """Reads until the connection ends."""
         reads = 0
         while self.sock is not None and not self.is_closed:
-            if self.is_finishing and reads:  # a peer that sends without end must not use up the CPU
+            if self.is_finishing and reads:  # a peer that keeps sending must not use up the CPU
                 await anyio.sleep(DISCARD_INTERVAL)
             count, remedy = self._read_once()
             if self.is_closed:
@@ -299,7 +300,7 @@
             if self.is_closed:
                 return
             if count < self.last_read_size and monotonic() < self.last_empty_at + MAX_EMPTY_AGE:
-                await self._wait_until_readable()  # a short read: most probably nothing more is there
+                await self._wait_until_readable()  # a short read: most probably nothing else is unread
             elif reads % READS_PER_TURN == 0:
                 await lowlevel.checkpoint()
 
@@ -315,28 +316,35 @@
                 self.last_empty_at = empty_until
 
     def empty_until(self) -> float:
-        """Returns until when the connection is known to have had nothing unread (monotonic seconds).
+        """Returns the latest time at which the connection is known to have had nothing unread.
 
-        Whatever is read now arrived after that, however long the process was kept from running.
+        Data that is read now arrived after that time, even if the process was stopped in between.
+
+        Returns:
+            Monotonic seconds.
         """
         if self.polled_descriptor is None:
             return self.last_empty_at
         return max(self.last_empty_at, self.manager.selector.empty_until(self.polled_descriptor))
 
     def begin_at_last_data(self) -> None:
-        """Notes that what is still to be handled ends with the last data that waited in the backlog."""
+        """Dates the next message by the last data that arrived before the accept.
+
+        The receiver calls this before the last complete message: a message is complete when its last bytes
+        arrive, so its waiting time counts from then and not from when the connection entered the backlog.
+        """
         if self.backlog_data_at is not None and not self.has_unread():
             self.last_empty_at = max(self.last_empty_at, self.backlog_data_at)
         self.backlog_data_at = None
 
     def catch_up(self, max_age: float) -> None:
-        """Reads what has arrived, unless nothing that is older than `max_age` seconds can be unread."""
+        """Reads what has arrived, unless no data older than `max_age` seconds can be unread."""
         oldest = monotonic() - max_age
         if self.last_empty_at < oldest and self.empty_until() < oldest:
             self.read_now()
 
     def read_now(self) -> None:
-        """Reads what has arrived without waiting for the read loop's turn, where a decision depends on it."""
+        """Reads what has arrived at once, for a decision that can't wait until the read loop runs."""
         for _ in range(MAX_IMMEDIATE_READS):
             if (
                 self.sock is None
@@ -350,10 +358,10 @@
                 return
 
     def _read_once(self) -> tuple[int, Remedy]:
-        """Reads once and passes the data on; closes the connection where the peer has.
+        """Reads once and passes the data to the receiver; closes the connection if the peer has closed it.
 
         Returns:
-            The number of bytes read, and DONE or why there are none.
+            The number of bytes read, and DONE, or the remedy that says why there are none.
         """
         assert self.sock is not None
         ring = self.inbound
@@ -388,7 +396,7 @@
         try:
             with scope:
                 await work()
-        except Exception:  # noqa: BLE001 - a fault on one connection must not end the others' tasks
+        except Exception:  # noqa: BLE001 - an error on one connection must not end the tasks of others
             logger.exception("connection_task_failed")
             self.close(AttemptEnd.UNPARSABLE)
             self.manager.flush()
--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -1,7 +1,7 @@
 """Owns all connections of the program: connects, adopts accepted sockets, flushes, and bounds queued memory.
 
-It never interprets bytes, and does not choose which client's connection is closed to free a descriptor: its
-callers pass that choice in.
+It never interprets bytes. Its callers choose which connection is closed to free a descriptor, and pass a
+function that does it.
 """
 
 from __future__ import annotations
@@ -30,35 +30,40 @@
 COMMAND_BUFFER_BYTES = 8 * 1024  # ring size of the direction that carries requests and commands
 BODY_BUFFER_BYTES = 32 * 1024  # ring size of the direction that carries response bodies
 QUEUED_MEMORY_SHARE = 0.25  # share of the memory limit that output queued for slow readers may use
-SOCKET_RELEASE_TURNS = 3  # turns of the event loop until a closed connection has released its socket
-BACKLOG_WAIT_THRESHOLD = 0.03  # seconds in the backlog from which on the age of a connection's data is read
-CONNECT_FAILURE_ENDS = {  # how a connection that was not established ends
+SOCKET_RELEASE_TURNS = 3  # turns of the event loop in which a closed connection releases its socket
+BACKLOG_WAIT_THRESHOLD = (
+    0.03  # seconds; after a longer wait in the backlog, the system is asked for the age of the data
+)
+CONNECT_FAILURE_ENDS = {  # the end of a connection that was not established
     Remedy.REFUSED: AttemptEnd.CONNECTION_REFUSED,
     Remedy.RESET: AttemptEnd.CUT_BEFORE_SEND,
-    Remedy.DESCRIPTORS: AttemptEnd.NOT_SENT,  # a shortage of ours: the upstream is not at fault
+    Remedy.DESCRIPTORS: AttemptEnd.NOT_SENT,  # a shortage on this machine: the upstream is not at fault
 }
 
 
 def _ignore_call_failure(call: Call, error: str, remedy: Remedy) -> None:
-    """Stands in until `ConnectionManager.on_call_failed` is set."""
+    """Does nothing; the default of `ConnectionManager.on_call_failed`."""
 
 
 def _close_nothing() -> None:
-    """Stands in until `ConnectionManager.shed_idle` is set."""
+    """Does nothing; the default of `ConnectionManager.shed_idle`."""
 
 
 class ConnectionManager(DescriptorBudget):
     """All connections of the program, and the limits that they share.
 
     Attributes:
-        on_call_failed: Called with each system call that fails unexpectedly, its errno's name and the remedy.
-        shed_idle: Closes a connection that can be spared, to free its descriptor.
+        on_call_failed: Called when a system call fails unexpectedly, with the call, the errno's name and the
+            remedy.
+        shed_idle: Closes an idle connection, to free its descriptor.
         queued_bytes: Bytes of queued frames on all connections.
-        queued_bytes_limit: When they exceed this, the connection with the most is closed.
+        queued_bytes_limit: While `queued_bytes` exceeds this, a flush closes the connection with the largest
+            queue.
         connections: The open connections.
-        unflushed: Connections with something to write, in the order of their first write.
-        is_short_of_descriptors: Accepting has paused, and not recovered since.
-        backlog_empty_at: No connection has waited in the listen backlog for longer (monotonic seconds).
+        unflushed: Connections with queued output, in the order of their first write.
+        is_short_of_descriptors: Accepting has paused for lack of descriptors and not recovered since.
+        backlog_empty_at: When the listen backlog was last seen empty (monotonic seconds): connections accepted now
+            entered it later.
     """
 
     def __init__(self, task_group: TaskGroup, limits: ResourceLimits, selector: TimedSelector):
@@ -76,7 +81,7 @@
         self.backlog_empty_at = monotonic()
 
     def flush(self) -> None:
-        """Writes all that is queued, as far as the system accepts it."""
+        """Writes all queued output, as far as the system accepts it."""
         while self.unflushed:
             connections = list(self.unflushed)
             self.unflushed.clear()
@@ -86,7 +91,7 @@
                 self._close_largest_queue()
 
     def _close_largest_queue(self) -> None:
-        """Closes the connection of the slowest reader, so that one peer can't exhaust the memory."""
+        """Closes the connection with the most queued output, so that one peer can't exhaust the memory."""
         largest = max(self.connections, key=lambda connection: connection.queued_bytes)
         logger.warning("connection_closed reason=memory_limit queued_bytes={}", largest.queued_bytes)
         largest.close(AttemptEnd.MEMORY_LIMIT)
@@ -99,9 +104,9 @@
         """Starts to connect.
 
         Args:
-            receiver: Handles the events of the connection, also a failure to connect.
+            receiver: Handles the events of the connection, including a failure to connect.
             address: The peer.
-            timeout: Seconds until the attempt to connect fails.
+            timeout: Seconds after which connecting fails.
             may_use_reserve: The connection may use the reserved descriptors.
 
         Returns:
@@ -111,7 +116,7 @@
         self.connections[connection] = None
 
         async def connect_and_read() -> None:
-            """The whole life of the connection, in one task."""
+            """Connects, then reads until the connection ends."""
             await self._connect(connection, address, timeout, may_use_reserve)
             self.flush()
             await connection.read_loop()
@@ -122,10 +127,10 @@
     async def _connect(
         self, connection: Connection, address: Address, max_wait: float, may_use_reserve: bool
     ) -> None:
-        """Connects, or closes the connection with the reason.
+        """Connects, or closes the connection with the end that says why it failed.
 
-        A shortage on this machine must not count against the peer: the attempt is repeated until its time is
-        up.
+        A shortage on this machine must not count against the peer, so connecting is retried until `max_wait`
+        seconds have passed.
         """
         deadline = monotonic() + max_wait
         backoff = Backoff()
@@ -147,7 +152,11 @@
     async def _try_to_connect(
         self, connection: Connection, address: Address, deadline: float, may_use_reserve: bool
     ) -> Remedy:
-        """Returns DONE once connected, PAUSE where this machine is short of something for a moment."""
+        """Tries to connect once.
+
+        Returns:
+            DONE once connected; PAUSE if this machine is temporarily short of a resource; else the reason.
+        """
         remedy = await self._open_socket(connection, may_use_reserve)
         if connection.sock is None:
             return remedy
@@ -159,7 +168,7 @@
         return Remedy.UNREACHABLE if scope.cancelled_caught else self.calls.connected(connection.sock)
 
     async def _open_socket(self, connection: Connection, may_use_reserve: bool) -> Remedy:
-        """Gives a connection a socket; if there is none, returns why."""
+        """Opens a socket for a connection; the remedy says why if `connection.sock` is still None."""
         if self.open_sockets >= self.descriptor_limit and not may_use_reserve:
             self.shed_idle()
             for _ in range(SOCKET_RELEASE_TURNS):
@@ -175,7 +184,7 @@
         return Remedy.PAUSE if remedy is Remedy.RETRY else remedy
 
     def _discard_socket(self, connection: Connection) -> None:
-        """Closes the socket of an attempt to connect that is to be repeated."""
+        """Closes the socket of a connection before connecting is retried."""
         if connection.sock is not None:
             self.calls.close(connection.sock)
             connection.sock = None
@@ -208,7 +217,7 @@
         reclaim_descriptor: DescriptorReclaimer,
         max_wait: float,
     ) -> None:
-        """Accepts what waits in the backlog and closes the listener, after `max_wait` seconds at most."""
+        """Accepts the connections in the backlog and closes the listener, within `max_wait` seconds."""
         await Acceptor(self, listener, make_receiver, reclaim_descriptor).drain_backlog(max_wait)
 
     def adopt(self, sock: socket.socket, receiver: Receiver) -> None:
@@ -226,7 +235,10 @@
         self.task_group.start_soon(connection.run_task, connection.read_loop, connection.cancel_scope)
 
     def _record_backlog_wait(self, connection: Connection, sock: socket.socket) -> None:
-        """Notes since when the first data of a connection may have waited in the backlog."""
+        """Records the earliest time at which the first data of a connection can have arrived.
+
+        After a long wait, also records when the last data that arrived in the backlog did.
+        """
         connection.last_empty_at = self.backlog_empty_at
         now = monotonic()
         waited = now - self.backlog_empty_at
--- a/ironhinge/net/connection_protocols.py
+++ b/ironhinge/net/connection_protocols.py
@@ -1,4 +1,4 @@
-"""What a connection needs of its owner, and of whoever handles its events."""
+"""The interfaces of a connection to its owner and to the handler of its events."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 
 class ConnectionHost(Protocol):
-    """What a connection needs of its owner, which shares the counts among all its connections."""
+    """The owner of connections, as a connection uses it; all its connections share the counts."""
 
     calls: SocketCalls
     selector: TimedSelector
     task_group: TaskGroup  # runs the connection's tasks
-    connections: dict[Connection, None]  # the open ones; a connection that closes removes itself
-    unflushed: dict[Connection, None]  # those with something to write, in the order of their first write
+    connections: dict[Connection, None]  # open connections; one that closes removes itself
+    unflushed: dict[Connection, None]  # connections with queued output, in the order of their first write
     queued_bytes: int  # bytes of queued frames
     open_sockets: int
     finishing_count: int  # connections that have finished writing and wait for the peer to close
 
     def flush(self) -> None:
-        """Writes everything that is queued on any connection, as far as the system accepts it."""
+        """Writes the queued output of all connections, as far as the system accepts it."""
 
 
 class Receiver(Protocol):
     """Handles the events of one connection."""
 
     def on_connected(self, connection: Connection, /) -> None:
-        """The connection is established."""
+        """Called once the connection is established."""
 
     def on_data(self, connection: Connection, data: memoryview, /) -> None:
-        """Bytes have arrived; `data` is valid during the call only."""
+        """Called with bytes that have arrived; `data` is valid only during the call."""
 
     def on_closed(self, connection: Connection, end: AttemptEnd, /) -> None:
-        """The connection has ended; called once."""
+        """Called once, when the connection has ended."""
 
 
 class NullReceiver:
--- a/ironhinge/net/decision_loop.py
+++ b/ironhinge/net/decision_loop.py
@@ -1,7 +1,7 @@
-"""The one place where events go to the decisions and their commands are carried out.
+"""Passes all events to the router and executes the commands that it returns.
 
-Events are handled one at a time and in order, also those that a command causes at once. A fault of the
-decisions costs the request at hand, not the program.
+Events are handled one at a time and in order, including those that the execution of a command causes. An
+error in the router fails the request of the current event, not the program.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 from ..routing import Router
 from .clock import MILLISECOND, Clock
 
-UNCOUNTED_DELAY = MILLISECOND  # that may pass between the reading of a request and its decision, uncounted
+UNCOUNTED_DELAY = MILLISECOND  # a shorter delay between reading a request and handling it is ignored
 
 CommandHandlers = Mapping[type, Callable[[Any], None]]
 
 
 class _RequestWithDeadline(NamedTuple):
-    """A request that waits for the decisions, and the instant until which its client waits."""
+    """A queued request, and the instant until which its client waits."""
 
     request: RequestReceived
     deadline: int
 
     def as_of(self, now: int) -> RequestReceived:
-        """The request with the time that is left now."""
+        """Returns the request with the time that remains at `now`."""
         time_remaining = self.deadline - now
         if time_remaining >= self.request.time_remaining - UNCOUNTED_DELAY:
             return self.request
@@ -36,7 +36,12 @@
 
 
 class DecisionLoop:
-    """Hands events to a router and its commands to their handlers."""
+    """Passes events to a router and its commands to their handlers.
+
+    Attributes:
+        router: Makes the routing decisions.
+        handlers: The function that executes each type of command; set before the first event.
+    """
 
     def __init__(
         self,
@@ -48,21 +53,21 @@
         self.router = router
         self.handlers: CommandHandlers = {}
         self._clock = clock
-        self._on_fault = on_fault  # gets the id of the request at hand, empty where there is none
-        self._on_queue_empty = on_queue_empty  # all events have been handled
+        self._on_fault = on_fault  # called with the id of the current request; empty: the event has none
+        self._on_queue_empty = on_queue_empty  # called when all events have been handled
         self._queue: deque[Event | _RequestWithDeadline] = deque()
         self._is_handling = False
 
     def report(self, event: Event) -> None:
-        """Hands an event to the decisions and carries out what they answer."""
+        """Passes an event to the router and executes the commands that it returns."""
         self._queue.append(event)
         self._handle_queue()
 
     def report_request(self, request: RequestReceived, deadline: int) -> None:
-        """Hands over a request whose client waits until that instant.
+        """Passes a request to the router, with the instant until which its client waits.
 
-        What is left of that is worked out when the decisions learn of it: the process may be stopped between
-        the reading of a request and that.
+        The remaining time is calculated when the router handles the request, as the process may be stopped
+        after the request was read.
         """
         self._queue.append(_RequestWithDeadline(request, deadline))
         self._handle_queue()
@@ -85,6 +90,6 @@
         try:
             for command in self.router.handle(now, event):
                 handlers[type(command)](command)
-        except Exception:  # noqa: BLE001 - a fault costs the request at hand, not the program
+        except Exception:  # noqa: BLE001 - an error fails the current request, not the program
             logger.exception("decision_failed event={}", type(event).__name__)
             self._on_fault(getattr(event, "request_id", ""))
