--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -62,8 +62,8 @@
         connections: The open connections.
         unflushed: Connections with queued output, in the order of their first write.
         is_short_of_descriptors: Accepting has paused for lack of descriptors and not recovered since.
-        backlog_empty_at: When the listen backlog was last seen empty (monotonic seconds): connections accepted now
-            entered it later.
+        backlog_empty_at: When the listen backlog was last seen empty (monotonic seconds); connections accepted
+            now have entered it since.
     """
 
     def __init__(self, task_group: TaskGroup, limits: ResourceLimits, selector: TimedSelector):
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -1,7 +1,7 @@
-"""Follows the discovery service: keeps a connection to it, wherever it is by now, and applies what it tells.
+"""Follows the discovery service: keeps a connection to its configured address and applies its events.
 
-Events are numbered; those that are known already are passed over. What each means is reported to the
-decisions, and attempts that have not begun and should not go any more are withdrawn.
+Events are numbered; those that were applied already are ignored. Each event is reported to the router, and
+unsent attempts that it makes invalid are withdrawn.
 """
 
 from __future__ import annotations
@@ -32,33 +32,35 @@
 from .upstream import Upstream
 from .upstream_pool import UpstreamPool
 
-SILENCE_TIMEOUT = (
-    2 * SECOND
-)  # the service writes each second; its events count as told 4 s after it falls silent
+# The service writes every second; 4 s after it falls silent, its events count as delivered.
+SILENCE_TIMEOUT = 2 * SECOND
 SILENCE_CHECK_INTERVAL = SECOND // 4
 MIN_RECONNECT_PAUSE = 0.05  # seconds
-MAX_RECONNECT_PAUSE = 0.4  # seconds; its events count as told 2 s after a break
-RELOADABLE_FIELDS = (
-    "seed",
-    "known",
-    "known_index",
-    "discovery_address",
-)  # what each configuration may say anew
-MAX_WRITE_INTERVAL_MS = 1000  # the service writes in order, and that often at least
+MAX_RECONNECT_PAUSE = 0.4  # seconds; 2 s after the connection breaks, events count as delivered
+# fields that may change in a reloaded configuration without a warning; only `discovery_address` takes effect
+RELOADABLE_FIELDS = "seed", "known", "known_index", "discovery_address"
+MAX_WRITE_INTERVAL_MS = 1000  # the service writes in order, with no longer interval than this
 
 
 class DiscoveryListener(Protocol):
-    """What hears of discovery events."""
+    """Receives the discovery events."""
 
     def report(self, event: Event) -> None:
-        """Hands an event to the decisions."""
+        """Reports an event to the router."""
 
     def withdraw_unsent(self, is_affected: Callable[[Attempt], bool]) -> None:
-        """Withdraws attempts of which nothing has been written."""
+        """Withdraws the affected attempts of which nothing has been written."""
 
 
 class Discovery:
-    """What the discovery service has told, and the connection to it."""
+    """The connection to the discovery service, and the progress through its events.
+
+    Attributes:
+        last_index: Index of the last event applied.
+        connection: The current connection; None before the first.
+        traffic_account: Records endpoint list updates, if this extension is in use.
+        local_store: Records purges and the progress of discovery, if this extension is in use.
+    """
 
     def __init__(
         self,
@@ -68,7 +70,7 @@
         clock: Clock,
         listener: DiscoveryListener,
     ):
-        self.last_index = 0  # of the last event
+        self.last_index = 0
         self.connection: DiscoveryConnection | None = None
         self.traffic_account: TrafficAccount | None = None
         self.local_store: LocalCopyStore | None = None
@@ -77,20 +79,20 @@
         self._pool = pool
         self._clock = clock
         self._listener = listener
-        self._caught_up_at = clock.now()  # all that there was to tell by then is known
+        self._caught_up_at = clock.now()  # all events up to this instant have been received
 
     def set_caught_up(self, now: int) -> None:
-        """All that there was to tell by now has been told."""
+        """Records that all events up to `now` have been received."""
         self._caught_up_at = now
 
     def apply_known(self) -> None:
-        """Applies what the configuration holds of the list, before any client is served."""
+        """Applies the endpoint list of the configuration, before any client is served."""
         for update in self._config.known:
             self.apply(update)
         self.last_index = max(self.last_index, self._config.known_index)
 
     def apply(self, update: DiscoveryUpdate | Keepalive) -> None:
-        """Takes in one event; those that are known already are passed over."""
+        """Applies one event, unless it was applied already."""
         if self.local_store is not None:
             self.local_store.on_discovery_progress(self._clock.unix_ms() - MAX_WRITE_INTERVAL_MS)
         if isinstance(update, Keepalive) or update.event_index <= self.last_index:
@@ -135,7 +137,7 @@
         if upstream is None:
             upstream = self._pool.add(endpoint.id, address)
         elif upstream.address != address or started_unix_ms > upstream.started_unix_ms:
-            upstream.retire()  # another process listens there now
+            upstream.retire()  # a new process replaced the one that these connections lead to
         if endpoint.state is not upstream.state:
             logger.info("upstream_state_changed upstream={} state={}", endpoint.id, endpoint.state)
         upstream.address = address
@@ -144,18 +146,18 @@
         return endpoint._replace(started_at=upstream.started_at if started_unix_ms else 0)
 
     def _set_started_at(self, upstream: Upstream, started_unix_ms: int) -> None:
-        """Turns a start into an instant once: told again it must not look like another restart."""
+        """Converts a start time to an instant, once: a repeated one must not look like another restart."""
         if started_unix_ms > upstream.started_unix_ms:
             upstream.started_unix_ms = started_unix_ms
             upstream.started_at = self._clock.start_instant(started_unix_ms, self._caught_up_at)
 
     def catch_up(self, max_age: float) -> None:
-        """Reads what the service has told, unless nothing older than `max_age` seconds can be unread."""
+        """Reads the events that have arrived, unless none older than `max_age` seconds can be unread."""
         if self.connection is not None:
             self.connection.connection.catch_up(max_age)
 
     async def follow(self) -> None:
-        """Keeps a connection to the discovery service, wherever it is by now."""
+        """Keeps a connection to the discovery service, also after a reload changes its address."""
         pause = MIN_RECONNECT_PAUSE
         timeout = self._clock.seconds(self._config.transport.connect_timeout)
         while True:
@@ -172,20 +174,20 @@
                 await anyio.sleep(spread(pause))
 
     async def _wait_until_closed(self, current: DiscoveryConnection) -> None:
-        """Until a connection is closed, or was silent for too long."""
+        """Waits until a connection is closed; closes it after `SILENCE_TIMEOUT` without a frame."""
         while not current.closed.is_set():
             with anyio.move_on_after(self._clock.seconds(SILENCE_CHECK_INTERVAL)):
                 await current.closed.wait()
             if self._clock.now() > current.last_received_at + SILENCE_TIMEOUT:
-                current.connection.read_now()  # it may be we who were late
+                current.connection.read_now()  # this process may have been late to read
             if self._clock.now() > current.last_received_at + SILENCE_TIMEOUT:
                 current.connection.close(AttemptEnd.TIMED_OUT)
 
     def apply_config(self, config: DirectorConfig) -> None:
-        """What a new configuration changes while all else lives on: where the discovery service is.
+        """Applies a reloaded configuration: connects to the discovery service at its new address.
 
-        It is asked there for what follows the last event that is known. Other changes are logged: they take a
-        restart.
+        The new connection continues after the last event applied. Changes of other fields need a restart and
+        are logged.
         """
         for name in DirectorConfig._fields:
             if name not in RELOADABLE_FIELDS and getattr(config, name) != getattr(self._config, name):
--- a/ironhinge/net/discovery_connection.py
+++ b/ironhinge/net/discovery_connection.py
@@ -1,4 +1,4 @@
-"""The connection to the discovery service: it writes where to go on from, and hands on what comes."""
+"""The connection to the discovery service: sends the index of the last event and receives those after it."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class UpdateReceiver(Protocol):
-    """What follows the discovery service's events."""
+    """Applies the events of the discovery service."""
 
-    last_index: int
+    last_index: int  # index of the last event applied
 
     def apply(self, update: DiscoveryUpdate | discovery_wire.Keepalive) -> None:
-        """Takes in one event; those that are known already are passed over."""
+        """Applies one event, unless it was applied already."""
 
     def set_caught_up(self, now: int) -> None:
-        """All that there was to tell by now has been told."""
+        """Records that all events up to `now` have been received."""
 
 
 class DiscoveryConnection:
@@ -32,18 +32,20 @@
     def __init__(self, receiver: UpdateReceiver, clock: Clock):
         self.closed = anyio.Event()
         self.has_received = False
-        self.last_received_at = clock.now()  # a whole frame, or the connect
+        self.last_received_at = (
+            clock.now()
+        )  # when the last complete frame arrived; at first, when connecting began
         self.connection: Connection
         self._receiver = receiver
         self._clock = clock
         self._wire = discovery_wire.DiscoveryWire()
 
     def on_connected(self, connection: Connection) -> None:
-        """Asks for what follows the last event that is known."""
+        """Requests the events after the last one applied."""
         connection.write((discovery_wire.encode_hello(self._receiver.last_index),))
 
     def on_data(self, connection: Connection, data: memoryview) -> None:
-        """Reads events and hands them on in order."""
+        """Decodes events and applies them in order; closes the connection if they can't be parsed."""
         updates, error = self._wire.feed(data)
         for update in updates:
             self.has_received = True
@@ -56,5 +58,5 @@
             connection.close(AttemptEnd.UNPARSABLE)
 
     def on_closed(self, connection: Connection, end: AttemptEnd) -> None:
-        """Wakes whoever waits for the end of the connection."""
+        """Wakes the task that waits for the end of the connection."""
         self.closed.set()
--- a/ironhinge/net/discovery_wire.py
+++ b/ironhinge/net/discovery_wire.py
@@ -1,8 +1,8 @@
 """The discovery service's protocol: numbered changes of the endpoint list, and purges.
 
-A frame is a length (4 bytes, big-endian, counting what follows), the event's index (8 bytes), a kind (1 byte)
-and a payload. This module knows no socket and does not hold the list; of a connection it remembers only an
-incomplete frame.
+A frame is a length (4 bytes, big-endian, counting the bytes after it), the event's index (8 bytes), a kind
+(1 byte) and a payload. This module does no I/O and does not store the list; the only state of a connection is
+an incomplete frame.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 INDEX_BYTES = 8  # size of an event's index
 LENGTH_BYTES = 4  # size of the field that holds a frame's length
 HEADER_BYTES = INDEX_BYTES + 1  # index and kind
-MAX_FRAME_LENGTH = 16_777_216  # the protocol's bound
+MAX_FRAME_LENGTH = 16_777_216  # limit of the protocol
 
 # id, IPv4 address, port, state, zone, kind, cell, weight in thousandths, start as Unix time in milliseconds
 ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
@@ -30,7 +30,7 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame holds."""
+    """The kind of a frame's payload."""
 
     KEEPALIVE = 0
     FULL_LIST = 1
@@ -40,21 +40,21 @@
 
 
 class Keepalive(NamedTuple):
-    """Nothing has changed, and the discovery service is alive."""
+    """Shows that the discovery service is alive and has no new events."""
 
 
 DiscoveryEvent = Keepalive | EndpointListUpdate | PurgeUpdate
 
 
 def encode_hello(last_index: int) -> bytes:
-    """Encodes what a client sends first: the index of the last event that it has."""
+    """Encodes a client's first message: the index of the last event that it has applied."""
     return last_index.to_bytes(INDEX_BYTES, "big")
 
 
 def _decode_record(values: tuple[Any, ...]) -> EndpointRecord:
     number, host, port, state, zone, kind, cell, weight, started_unix_ms = values
     if state >= len(ENDPOINT_STATES):
-        raise UnparsableError(f"a record with state {state}")
+        raise UnparsableError(f"unknown endpoint state {state}")
     endpoint = Endpoint(
         id=f"s-{number:08x}",
         state=ENDPOINT_STATES[state],
@@ -76,7 +76,9 @@
             return Keepalive()
         case FrameKind.FULL_LIST | FrameKind.LIST_CHANGES:
             if len(payload) % ENDPOINT_RECORD.size:
-                raise UnparsableError(f"records of {len(payload)} bytes")
+                raise UnparsableError(
+                    f"payload of {len(payload)} bytes is not a whole number of endpoint records"
+                )
             records = tuple(map(_decode_record, ENDPOINT_RECORD.iter_unpack(payload)))
             return EndpointListUpdate(index, kind == FrameKind.FULL_LIST, records)
         case FrameKind.PURGE_OBJECT if len(payload) == OBJECT_PURGE.size:
@@ -85,11 +87,11 @@
         case FrameKind.PURGE_GROUP if len(payload) == GROUP_PURGE.size:
             group, unix_ms = GROUP_PURGE.unpack(payload)
             return PurgeUpdate(index, None, group, unix_ms)
-    raise UnparsableError(f"a frame of kind {kind} and {len(payload)} bytes")
+    raise UnparsableError(f"unknown frame kind {kind}, or wrong payload size of {len(payload)} bytes for it")
 
 
 class DiscoveryWire:
-    """Decodes the bytes of one connection, which may arrive in any pieces."""
+    """Decodes the bytes of one connection, which may arrive in pieces of any size."""
 
     __slots__ = ("_buffered",)
 
@@ -97,10 +99,10 @@
         self._buffered = bytearray()
 
     def feed(self, data: memoryview) -> tuple[list[DiscoveryEvent], UnparsableError | None]:
-        """Adds bytes.
+        """Decodes more bytes.
 
         Returns:
-            The events that are complete now, and the error that made the rest unreadable, if any.
+            The events that are now complete, and the error after which nothing can be decoded, if any.
         """
         events: list[DiscoveryEvent] = []
         self._buffered += data
@@ -111,7 +113,7 @@
                 start = offset + LENGTH_BYTES
                 end = start + int.from_bytes(self._buffered[offset:start], "big")
                 if not HEADER_BYTES <= end - start <= MAX_FRAME_LENGTH:
-                    raise UnparsableError(f"a frame of {end - start} bytes")
+                    raise UnparsableError(f"frame length of {end - start} bytes is out of range")
                 if len(self._buffered) < end:
                     break
                 events.append(_decode_frame(bytes(self._buffered[start:end])))
--- a/ironhinge/net/gossip.py
+++ b/ironhinge/net/gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from the other directors of the tier; they may be lost, and so may the socket."""
+"""Sends and receives gossip datagrams between the directors of the tier; datagrams may be lost."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 from .socket_calls import SocketCalls
 from .system_calls import Backoff, Remedy
 
-DATAGRAM_READ_SIZE = 512  # bytes; the protocol has 256 at most
+DATAGRAM_READ_SIZE = 512  # bytes; the protocol allows 256 at most
 
 
 class GossipHandler(Protocol):
-    """What hears of datagrams."""
+    """Receives the datagrams."""
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """A datagram came from the peer with that index."""
+        """Handles a datagram from the peer with the index `sender`."""
 
 
 class Gossip:
-    """The socket to the other directors; without one, nothing is sent."""
+    """The datagram socket for the other directors; without a socket, nothing is sent or received."""
 
     def __init__(self, config: DirectorConfig, calls: SocketCalls, handler: GossipHandler):
-        self.sock: socket.socket | None = None  # none where the configuration has no address for it
+        self.sock: socket.socket | None = None  # None: the configuration has no address for it
         self._config = config
         self._calls = calls
         self._handler = handler
 
     def send(self, command: SendGossip) -> None:
-        """Sends to one peer, or to all where the platform has an address for that."""
+        """Sends a datagram to one peer, or to all if there is a broadcast address."""
         config = self._config
         target = config.gossip_broadcast if command.peer is None else config.gossip_peers[command.peer]
         if self.sock is not None and target is not None:
             self._calls.send_datagram(self.sock, command.data, target)
 
     def broadcast(self, data: bytes) -> None:
-        """Sends to all of the tier at once, or to each where there is no address for all.
+        """Sends a datagram to the broadcast address, or to each peer if there is none.
 
-        Does nothing where the settings do not allow gossip.
+        Does nothing if the settings do not allow gossip.
         """
         config = self._config
         if not config.deployment.gossip_allowed:
@@ -54,7 +54,7 @@
                 self.send(SendGossip(index, data))
 
     async def receive_loop(self) -> None:
-        """Hands on the datagrams of other directors."""
+        """Receives datagrams and passes those of configured peers to the handler."""
         backoff = Backoff()
         while self.sock is not None:
             data, sender, remedy = self._calls.receive_datagram(self.sock, DATAGRAM_READ_SIZE)
--- a/ironhinge/net/ring_buffer.py
+++ b/ironhinge/net/ring_buffer.py
@@ -1,6 +1,6 @@
-"""A byte ring of fixed size: the bytes in transit in one direction of one connection.
+"""A ring buffer of fixed size, for the bytes of one direction of a connection.
 
-It never grows, knows neither sockets nor frames, and never exposes space that still holds unread bytes.
+It never grows, does no I/O, and never returns space as writable that holds unread bytes.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 class RingBuffer:
     """A queue of bytes in a block of memory that is allocated once.
 
-    Readers and writers get views into that block, so that nothing is copied between it and a socket. A view
-    is valid until the next call that consumes or writes.
+    Readers and writers get views of that block, so that sockets read and write it without a copy. A view is
+    valid until the next call that consumes or writes.
 
     Attributes:
         size: Capacity in bytes.
@@ -38,7 +38,7 @@
         """Adds `count` bytes that were written into `writable()` to the held bytes.
 
         Raises:
-            RingBufferError: There was less free space than that.
+            RingBufferError: There is less free space than `count` bytes.
         """
         if not 0 <= count <= self.size - self.used:
             raise RingBufferError(
--- a/ironhinge/net/timed_selector.py
+++ b/ironhinge/net/timed_selector.py
@@ -1,4 +1,4 @@
-"""A selector that knows until when each socket had nothing to read, however long the process was stopped."""
+"""A selector that records until when each socket had nothing to read, even if the process was stopped."""
 
 from __future__ import annotations
 
@@ -7,27 +7,25 @@
 from time import monotonic
 from typing import Any
 
-LONG_POLL_THRESHOLD = (
-    0.005  # seconds from which on the time of a poll has to be known better than by its start
-)
+LONG_POLL_THRESHOLD = 0.005  # seconds; the start of a longer poll is too imprecise as its time
 NEVER = -inf
 
 
 class TimedSelector(selectors.DefaultSelector):
     """The event loop's selector, with the times at which polls found nothing to read.
 
-    A socket that was polled and not found readable had nothing to read when that poll began. A poll that took
-    long may have waited for other sockets, or the process may have been stopped within it; it is repeated
-    without waiting, so that its time is known. What is read from a socket arrived after the last poll that
-    found nothing there, however many turns of the event loop pass until a task reads it.
+    A socket that a poll did not find readable had nothing to read when the poll began. A long poll may have
+    waited for other sockets, or the process may have been stopped during it; it is repeated without waiting,
+    so that its time is precise. Data that is read from a socket arrived after the last poll that found
+    nothing there, however many turns of the event loop pass until a task reads it.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self._poll_number = 0
-        self._polled_at = NEVER  # the start of the latest poll
-        self._first_polls: dict[int, int] = {}  # the first poll that a descriptor takes part in
-        self._empty_until: dict[int, float] = {}  # of the descriptors that were found readable
+        self._polled_at = NEVER  # time of the latest poll
+        self._first_polls: dict[int, int] = {}  # by descriptor, the number of the first poll that includes it
+        self._empty_until: dict[int, float] = {}  # by descriptor found readable, the time of the poll before
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         """Registers like `selectors.DefaultSelector.register`."""
@@ -54,7 +52,7 @@
             if ready or timeout is None:
                 polled_at = ended_at
                 ready = super().select(0)
-            else:  # it found nothing for all of its time
+            else:  # nothing was readable until the timeout
                 polled_at += max(0.0, timeout)
         for key, events in ready:
             descriptor = key.fd
@@ -66,9 +64,9 @@
         return ready
 
     def empty_until(self, descriptor: int) -> float:
-        """Returns until when a poll knows that a socket had nothing to read; `NEVER` if none does.
+        """Returns the time of the latest poll that found nothing to read on a socket; `NEVER`: none did.
 
-        The descriptor has to be registered, or to have been found readable by its latest registration.
+        The descriptor has to be registered, or to have been found readable during its latest registration.
 
         Returns:
             Monotonic seconds.
@@ -78,7 +76,7 @@
         return self._empty_until.get(descriptor, self._polled_at)
 
     def end_polling(self, descriptor: int) -> float:
-        """Returns what `empty_until` does, and forgets it: another socket may get that number."""
+        """Returns what `empty_until` does and deletes it, as another socket may get the same descriptor."""
         if self._first_polls.pop(descriptor, self._poll_number + 1) > self._poll_number:
             return NEVER
         return self._empty_until.pop(descriptor, self._polled_at)
--- a/ironhinge/net/upstream.py
+++ b/ironhinge/net/upstream.py
@@ -1,6 +1,6 @@
-"""Upstreams (caches, parents, the origin), the connections to them and what is in flight there.
+"""Upstreams (caches, parents, the origin), the connections to them and the operations in flight on these.
 
-Nothing here decides or answers a request: what arrives goes to the `OperationHandler`.
+This module makes no routing decision and answers no client: it passes answers to the `OperationHandler`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class OperationHandler(Protocol):
-    """What hears of the ends of operations."""
+    """Handles the ends of operations."""
 
     def finish_operation(
         self,
@@ -29,14 +29,14 @@
         end: AttemptEnd,
         answer: upstream_wire.UpstreamAnswer | None = None,
     ) -> None:
-        """Ends an operation, with the answer where there is one."""
+        """Ends an operation, with its answer if there is one."""
 
     def warn(self, kind: str, text: str) -> None:
-        """Logs something that upstreams can cause in any number."""
+        """Logs a warning, at a limited rate per kind, as upstreams can cause any number of them."""
 
 
 class UpstreamOperation:
-    """What is in flight at an upstream: an attempt or a health check."""
+    """An attempt or a health check that is sent to an upstream."""
 
     __slots__ = (
         "connection",
@@ -53,18 +53,18 @@
     is_health_check = True
 
     def __init__(self, operation_id: str, upstream: Upstream, started_at: int):
-        self.operation_id = operation_id  # its id on the wire
+        self.operation_id = operation_id  # identifies its command and answer on the wire
         self.upstream = upstream
         self.started_at = started_at
         self.deadline = started_at
-        self.start_deadline = 0  # not begun by then it must never be; 0: any time
-        self.leaves_copy = False  # its answer's bytes are a copy, with tag and date
+        self.start_deadline = 0  # not sent after this, as its idempotency key may be forgotten; 0: no limit
+        self.leaves_copy = False  # the body of its answer is a copy, and needs a tag and a date
         self.connection: UpstreamConnection | None = None
         self.frame: Frame | None = None
         self.is_finished = False
 
     def withdraw(self) -> bool:
-        """True when nothing of it had been written, and now never will be."""
+        """Withdraws its command; False if part of it has been written already."""
         if self.connection is None or self.frame is None:
             return True
         return self.connection.connection.withdraw(self.frame)
@@ -77,24 +77,25 @@
         self.upstream = upstream
         self.wire = upstream_wire.UpstreamWire()
         self.operations: dict[str, UpstreamOperation] = {}
-        # ids given up here, and when no answer can come any more: a late one could pass for a later one's
+        # ids of ended operations, each with the time after which no late answer is expected; until then it is
+        # not used again here, as the late answer would be taken for the answer to the new operation
         self.retired_ids: dict[str, int] = {}
-        self.is_retired = False  # takes nothing more
+        self.is_retired = False  # takes no new operations
         self.idle_since = 0
         self.connection: Connection
         self._handler = handler
         self._connect_timeout = connect_timeout
 
     def on_connected(self, connection: Connection) -> None:
-        """The connection is up: what waits is written by the manager's next flush."""
+        """Does nothing: the next flush writes the queued commands."""
 
     def on_data(self, connection: Connection, data: memoryview) -> None:
-        """Reads answers and ends the operations that they belong to."""
+        """Decodes answers and ends their operations; closes the connection if they can't be parsed."""
         answers, error = self.wire.feed(data)
         for answer in answers:
             operation = self.operations.get(answer.operation_id)
             if operation is None:
-                continue  # given up, and answered all the same
+                continue  # a late answer to an operation that has ended
             mismatch = self._find_mismatch(operation, answer)
             if mismatch is not None:
                 error = mismatch
@@ -112,37 +113,44 @@
     def _find_mismatch(
         operation: UpstreamOperation, answer: upstream_wire.UpstreamAnswer
     ) -> upstream_wire.UnparsableError | None:
-        """What shows that an answer is none to this operation."""
+        """Returns the error if an answer can't belong to this operation."""
         lacks_tag = not (answer.produced_unix_ms and answer.has_tag)
         if operation.leaves_copy and answer.end is AttemptEnd.SERVED and lacks_tag:
-            return upstream_wire.UnparsableError("bytes without their tag or date")
+            return upstream_wire.UnparsableError("copy without an entity tag or a date")
         if (answer.end in HEALTH_CHECK_ENDS) is not operation.is_health_check:
-            return upstream_wire.UnparsableError(f"{answer.end.name} as the answer to another command")
+            return upstream_wire.UnparsableError(f"answer {answer.end.name} does not match its command")
         return None
 
     def retire_if_desynchronized(self) -> None:
-        """Takes nothing more where bytes have begun to come that belong to no operation.
+        """Retires the connection if an answer has begun to arrive though no operation is in flight.
 
-        The next answer would stand behind what may never end, or be read as a part of it.
+        That answer may never be completed: it would delay the next one, or the next one would be decoded as a
+        part of it.
         """
         if not self.operations and self.wire.has_partial_answer():
             self.is_retired = True
 
     def cancel(self, operation: UpstreamOperation) -> bool:
-        """Tells the upstream that nobody waits for an operation that it may have.
+        """Sends a cancel command for an operation whose command may have reached the upstream.
 
-        False if the command is not on its way. A request's next attempt may go out on another connection, and
-        two must not be in flight together: so this is written at once and not just queued.
+        It is sent at once and not only queued: the request's next attempt may use another connection, and two
+        attempts must not be in flight at the same time.
+
+        Returns:
+            Whether the system has accepted the whole command.
         """
         self.retired_ids[operation.operation_id] = operation.deadline + SECOND
         return self.connection.write_now((upstream_wire.encode_cancel(operation.operation_id),))
 
     def is_idle(self) -> bool:
-        """Whether it is up and carries nothing."""
+        """Whether the connection is established and has no operation in flight."""
         return self.connection.is_connected and not self.operations
 
     def check_timeouts(self, now: int, idle_since: int) -> None:
-        """Closes the connection if its peer stopped within an answer, or if it was idle since that time."""
+        """Closes the connection if it has stalled within an answer, or was last used before `idle_since`.
+
+        Also closes it if it is retired and has no operation in flight, and deletes expired retired ids.
+        """
         if not self.connection.is_connected:
             return
         if self._is_stalled(now):
@@ -157,16 +165,17 @@
             }
 
     def _is_stalled(self, now: int) -> bool:
-        """Whether an answer began and does not go on: what is in flight would wait for it in vain."""
+        """Whether an answer is incomplete and no more of it arrives, so that no operation can be answered."""
         last_received_at = int(self.connection.last_received_at * SECOND)
         is_overdue = self.wire.has_partial_answer() and now > last_received_at + self._connect_timeout
         return is_overdue and not self.connection.has_unread()
 
     def on_closed(self, connection: Connection, end: AttemptEnd) -> None:
-        """Ends all that is in flight.
+        """Ends all operations in flight.
 
-        A connection that breaks is one failure of the upstream, however many operations it carried: the one
-        that waited longest stands for it, and the others can be tried again.
+        An established connection that breaks counts as one failure of the upstream, however many operations
+        it carried. So only the oldest operation ends with the connection's end; the others end with one that
+        does not count against the upstream.
         """
         self.upstream.connections.remove(self)
         if end in CONNECT_FAILURES:
@@ -197,8 +206,8 @@
         self.id = upstream_id
         self.address = address
         self.state = EndpointState.READY
-        self.started_unix_ms = 0  # as the endpoint list tells it
-        self.started_at = 0  # the instant of it on the monotonic clock
+        self.started_unix_ms = 0  # as stated by the endpoint list; 0: not stated
+        self.started_at = 0  # the same instant on the monotonic clock
         self.connections: list[UpstreamConnection] = []
 
     @property
@@ -207,13 +216,13 @@
         return self.state is EndpointState.READY
 
     def retire(self) -> None:
-        """Its connections take nothing new and end with what is in flight on them."""
+        """Retires all its connections; each closes once no operation is in flight on it."""
         for each in list(self.connections):
             each.is_retired = True
             if not each.operations:
                 each.connection.close(AttemptEnd.CLOSED)
 
     def check_timeouts(self, now: int, idle_since: int) -> None:
-        """Closes connections that stalled or were idle since that time."""
+        """Closes connections that have stalled or were last used before `idle_since`."""
         for each in list(self.connections):
             each.check_timeouts(now, idle_since)
--- a/ironhinge/net/upstream_command.py
+++ b/ironhinge/net/upstream_command.py
@@ -1,4 +1,4 @@
-"""Writes the command of an attempt: the names that upstreams know its fields by stand here."""
+"""Makes the fields of an attempt's command, under their names in the upstreams' protocol."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def max_copy_age_ms(command: SendAttempt | SendAttemptWithFill) -> int:
-    """The age in milliseconds of the oldest copy that will do; 0 where the command sets none."""
+    """Returns the age in milliseconds of the oldest usable copy; 0 if the command sets no limit."""
     if isinstance(command, SendAttempt) or not command.max_copy_age:
         return 0
     return max(1, command.max_copy_age // MILLISECOND)
 
 
 def command_fields(passed: PassedFields, command: SendAttempt | SendAttemptWithFill) -> dict[str, str]:
-    """The fields of a command, in the order in which they are written.
+    """Returns the fields of a command, in the order in which they are written.
 
-    The time that is left has its place here and gets its value when the command is written.
+    The time remaining is empty here; `set_time_remaining` sets it just before the command is written.
     """
     fields = {"kind": passed.route, "obj": passed.entity}
     if passed.part is not None:
@@ -53,7 +53,7 @@
 
 
 def set_time_remaining(fields: dict[str, str], time_remaining: int) -> None:
-    """Writes what is left of the attempt's time, in whole milliseconds, rounded up.
+    """Sets the time remaining until the attempt's deadline, in whole milliseconds, rounded up.
 
     `time_remaining` is in tenths of a millisecond.
     """
--- a/ironhinge/net/upstream_pool.py
+++ b/ironhinge/net/upstream_pool.py
@@ -1,6 +1,6 @@
-"""The upstreams of a director and the choice of the connection that an operation goes out on.
+"""The upstreams of a director and their connections.
 
-No upstream is chosen here, only one of its connections.
+This module selects the connection on which an operation is sent; the router chooses the upstream.
 """
 
 from __future__ import annotations
@@ -12,11 +12,18 @@
 from .connection_manager import ConnectionManager
 from .upstream import OperationHandler, Upstream, UpstreamConnection
 
-IDLE_TIMEOUT_WHEN_FULL = SECOND  # an idle connection is kept that long while descriptors are short
+IDLE_TIMEOUT_WHEN_FULL = SECOND  # time for which an idle connection is kept while descriptors are short
 
 
 class UpstreamPool:
-    """All upstreams that are known, and their connections."""
+    """All known upstreams, and their connections.
+
+    Attributes:
+        upstreams: The upstreams by id.
+        connections_per_upstream: From this number on, operations share connections; from the number of free
+            descriptors.
+        transport: Timeouts and limits of connections.
+    """
 
     def __init__(
         self,
@@ -33,16 +40,16 @@
         self._handler = handler
 
     def add(self, upstream_id: str, address: Address) -> Upstream:
-        """An upstream that was not known before."""
+        """Adds an upstream that was not known before, and returns it."""
         upstream = self.upstreams[upstream_id] = Upstream(upstream_id, address)
         return upstream
 
     def connection_for(self, upstream: Upstream, operation_id: str) -> UpstreamConnection:
-        """The connection for an operation.
+        """Selects the connection for an operation.
 
-        One that carries nothing, the one used last; else a new one while the upstream's share of descriptors
-        allows it; else the one that carries least, since an answer that spoils its connection takes down all
-        that is in flight on it.
+        The first choice is the idle connection that was used last. If none is idle, a new one is opened while
+        the upstream's share of descriptors allows it, or if none is usable. Otherwise it is the connection
+        with the fewest operations in flight, since an answer that can't be parsed ends all of them.
         """
         usable = [
             each
@@ -55,7 +62,7 @@
         for each in sorted(idle, key=lambda each: each.idle_since, reverse=True):
             if not each.connection.peer_has_closed():
                 return each
-            # what is written to a closed connection may have run, and such requests must not be sent again
+            # a request written to a closed connection counts as possibly run, and some must not be sent again
             usable.remove(each)
             each.connection.close(AttemptEnd.CLOSED)
         if usable and len(upstream.connections) >= self.connections_per_upstream:
@@ -70,7 +77,7 @@
         return new
 
     def close_idle(self, now: int) -> None:
-        """Closes connections well before upstreams close them, so that no request crosses the close."""
+        """Closes idle connections well before upstreams do, so that no request is sent on a closing one."""
         idle_timeout = (self.transport.upstream_idle_timeout or now) // 2
         if self._manager.is_nearly_full():
             idle_timeout = IDLE_TIMEOUT_WHEN_FULL
@@ -82,7 +89,7 @@
         self.connections_per_upstream = self._manager.connections_per_upstream(in_use)
 
     def _delete_removed(self) -> None:
-        """Bounds the memory on days on which all upstreams are replaced."""
+        """Deletes removed upstreams without connections, which bounds memory if all are replaced."""
         removed = [
             upstream.id
             for upstream in self.upstreams.values()
@@ -92,7 +99,7 @@
             del self.upstreams[upstream_id]
 
     def shed_idle(self) -> None:
-        """Closes the connection that has carried nothing for longest, to make room for another.
+        """Closes the connection that has been idle the longest, to free its descriptor for another.
 
         There may be more upstreams than descriptors.
         """
--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -1,7 +1,7 @@
 """The upstreams' protocol: commands and answers are RESP arrays of bulk strings.
 
-The protocol's own words appear here and nowhere else. This module knows no socket and no open operation; of a
-connection it remembers only an incomplete answer.
+Only this module uses the names of the protocol's commands, statuses and answer attributes. It does no I/O and
+knows no operation; the only state of a connection is an incomplete answer.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 CRLF_BYTES = 2
 ARRAY_MARKER = b"*"
 ITEM_MARKER = b"$"
-MAX_ITEM_BYTES = 262_144  # the protocol's bound
-MAX_ITEMS = 16  # far more than any answer has
-MAX_LINE_BYTES = 24  # a marker, a number and CRLF are shorter
+MAX_ITEM_BYTES = 262_144  # limit of the protocol
+MAX_ITEMS = 16  # well above the items of any answer
+MAX_LINE_BYTES = 24  # above the length of a marker, a number and CRLF
 MAX_LOAD_VALUE = 1e9  # of a load report
 MAX_DATE_DIGITS = 15  # of a Unix time in milliseconds
 MAX_ERROR_EXCERPT = 60  # characters of a load report in an error text
@@ -38,7 +38,7 @@
 COMMAND_HEALTH_CHECK = b"busy"
 NO_ATTRIBUTES = "-"
 
-# An answer has an operation id, a status, and at times attributes and a body.
+# An answer has an operation id and a status, and optionally attributes and a body.
 MIN_ANSWER_ITEMS = 2
 MAX_ANSWER_ITEMS = 4
 BODY_INDEX = 3
@@ -82,7 +82,7 @@
         end: How the operation ended.
         cache_status: Where the body came from, or why there is none.
         load_report: The upstream's load by gauge name; empty if it sent none.
-        produced_unix_ms: Unix time in milliseconds at which the copy was made; 0: unknown.
+        produced_unix_ms: Unix time in milliseconds at which the copy was produced; 0: unknown.
         has_tag: Whether the copy has an entity tag.
         body: The response's body.
         tag: The copy's entity tag.
@@ -110,7 +110,7 @@
 
 
 def encode_cancel(operation_id: str) -> bytes:
-    """Encodes the notice that nobody waits for an operation any more."""
+    """Encodes the cancellation of an operation."""
     return command(COMMAND_CANCEL, operation_id.encode())
 
 
@@ -128,7 +128,7 @@
         except ValueError:
             report[name] = -1.0
         if not 0 <= report[name] < MAX_LOAD_VALUE:
-            raise UnparsableError(f"the load report '{text[:MAX_ERROR_EXCERPT]}'")
+            raise UnparsableError(f"invalid load report '{text[:MAX_ERROR_EXCERPT]}'")
     return report
 
 
@@ -136,12 +136,14 @@
     count = len(items)
     end = ANSWER_STATUSES.get(items[1]) if MIN_ANSWER_ITEMS <= count <= MAX_ANSWER_ITEMS else None
     if end is None or (end is STATUS_SERVED and count <= BODY_INDEX):
-        raise UnparsableError(f"an answer {[item[:20] for item in items[:2]]} of {count} items")
+        raise UnparsableError(
+            f"unknown status or wrong number of items: {[item[:20] for item in items[:2]]}, {count} items"
+        )
     try:
         operation_id = items[0].decode()
         attributes = items[2].decode() if count > 2 else NO_ATTRIBUTES  # noqa: PLR2004 - the third item
     except UnicodeDecodeError:
-        raise UnparsableError("an answer that is not text") from None
+        raise UnparsableError("operation id or attributes are not UTF-8") from None
     cache_status = NO_CACHE_STATUS
     load_report: dict[str, float] = {}
     produced_unix_ms = 0
@@ -164,27 +166,27 @@
 
 
 class UpstreamWire:
-    """Decodes the bytes of one upstream's connection, which may arrive in any pieces."""
+    """Decodes the bytes of one connection to an upstream, which may arrive in pieces of any size."""
 
     __slots__ = ("_bytes_needed", "_item_size", "_items", "_length", "_missing_items", "_pieces")
 
     def __init__(self) -> None:
         self._pieces: list[bytes] = []  # not decoded yet; joined only once enough has arrived
         self._length = 0  # bytes of all pieces
-        self._bytes_needed = 1  # bytes to hold before more can be decoded
-        self._missing_items = 0  # items that the answer begun still lacks; 0: none is begun
-        self._items: list[bytes] = []  # complete items of the answer begun
-        self._item_size = -1  # bytes of the item begun; -1: its length is not read yet
+        self._bytes_needed = 1  # bytes that must be buffered before more can be decoded
+        self._missing_items = 0  # items that the current answer still lacks; 0: no answer has begun
+        self._items: list[bytes] = []  # complete items of the current answer
+        self._item_size = -1  # bytes of the current item; -1: its length has not been read yet
 
     def has_partial_answer(self) -> bool:
         """Whether an answer has begun and is not complete."""
         return bool(self._length or self._missing_items)
 
     def feed(self, data: memoryview) -> tuple[list[UpstreamAnswer], UnparsableError | None]:
-        """Adds bytes.
+        """Decodes more bytes.
 
         Returns:
-            The answers that are complete now, and the error that made the rest unreadable, if any.
+            The answers that are now complete, and the error after which nothing can be decoded, if any.
         """
         self._pieces.append(bytes(data))
         self._length += len(data)
@@ -212,7 +214,7 @@
                     self._bytes_needed = self._item_size + CRLF_BYTES
                     return offset
                 if buffered[end : end + CRLF_BYTES] != CRLF:
-                    raise UnparsableError("an item of another length")
+                    raise UnparsableError("item does not end where its length says")
                 self._items.append(buffered[offset:end])
                 offset = end + CRLF_BYTES
                 self._item_size = -1
@@ -224,7 +226,7 @@
             end = buffered.find(CRLF, offset, offset + MAX_LINE_BYTES)
             if end < 0:
                 if len(buffered) - offset >= MAX_LINE_BYTES:
-                    raise UnparsableError("a line too long")
+                    raise UnparsableError("length line is too long")
                 self._bytes_needed = len(buffered) - offset + 1
                 return offset
             self._decode_length(buffered[offset:end])
@@ -236,10 +238,10 @@
         marker, maximum = (ITEM_MARKER, MAX_ITEM_BYTES) if is_item else (ARRAY_MARKER, MAX_ITEMS)
         number = line[1:]
         if line[:1] != marker or not number.isdigit() or int(number) > maximum:
-            raise UnparsableError(f"a line {line!r}")
+            raise UnparsableError(f"invalid line {line!r}")
         if is_item:
             self._item_size = int(number)
         elif int(number):
             self._missing_items = int(number)
         else:
-            raise UnparsableError("an empty answer")
+            raise UnparsableError("empty answer")
