--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -34,12 +34,9 @@
 from .upstream_command import command_fields, max_copy_age_ms, set_time_remaining
 from .upstream_pool import UpstreamPool
 
-MAX_UNREAD_AGE = 0.03  # seconds; no attempt may begin later than 0.1 s after its client disconnected
+MAX_UNREAD_AGE = 0.03  # seconds; no attempt may start more than 0.1 s after its client disconnected
 RETIRED_ID_LIFETIME = SECOND  # time after the end of an attempt in which a second answer to it may arrive
-DELIVERED = (
-    AttemptEnd.SERVED,
-    AttemptEnd.NOT_MODIFIED,
-)  # the client gets its answer; no other attempt follows
+DELIVERED = (AttemptEnd.SERVED, AttemptEnd.NOT_MODIFIED)  # no other attempt follows these ends
 ATTEMPTS_STARTED = "attempts_started"  # counter
 NOT_MODIFIED_FIELDS = {"same": "1"}  # of the answer to a client whose copy is current
 
@@ -129,7 +126,10 @@
             self.timers.schedule(command.start_deadline, attempt)
 
     def _oldest_allowed_copy(self, command: SendAttempt | SendAttemptWithFill) -> int:
-        """Returns the Unix time in milliseconds of the oldest usable copy; 0 if there is no limit."""
+        """Returns the Unix time in milliseconds of the oldest usable copy; 0 if there is no limit.
+
+        It is earlier by `ALLOWED_LATENESS` than the command's limit.
+        """
         max_age_ms = max_copy_age_ms(command)
         if not max_age_ms:
             return 0
@@ -260,7 +260,7 @@
         if end is AttemptEnd.NOT_MODIFIED and (answer is None or not held_tag or answer.tag != held_tag):
             return AttemptEnd.ERROR  # the answer does not confirm the tag of the client's copy
         if answer is not None and 0 < answer.produced_unix_ms < attempt.oldest_copy_unix_ms:
-            return AttemptEnd.ERROR  # too old a copy: the upstream has missed a purge
+            return AttemptEnd.ERROR  # the copy is too old: the upstream has not applied a purge
         return end
 
     def abandon(self, operation: UpstreamOperation, end: AttemptEnd) -> None:
@@ -298,7 +298,7 @@
     def withdraw_unsent(self, is_affected: Callable[[Attempt], bool]) -> None:
         """Withdraws the affected attempts of which nothing has been written.
 
-        Whether an attempt was sent before a drain or a purge is determined by its first byte.
+        An attempt counts as sent before a drain or a purge if its first byte was.
         """
         for request in list(self._owner.requests.values()):
             attempt = request.attempt
--- a/ironhinge/net/clock.py
+++ b/ironhinge/net/clock.py
@@ -21,9 +21,8 @@
 SECOND = 1000 * MILLISECOND
 STEP_THRESHOLD = SECOND // 4  # smallest difference from the wall clock that counts as a step
 MAX_SLEW_RATE = 500e-6  # seconds per second: the largest rate of adjtime(3)
-MAX_EVENT_DELAY = (
-    10 * SECOND
-)  # the protocol counts an event as delivered after 7 s, even if it has not arrived
+# The protocol counts an event as delivered after 7 s, even if it has not arrived.
+MAX_EVENT_DELAY = 10 * SECOND
 
 
 class Clock:
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -28,7 +28,7 @@
 MAX_IMMEDIATE_READS = 4  # reads by `read_now`: a read may be short, or fail temporarily
 DISCARD_INTERVAL = 0.01  # seconds between reads of data that is discarded
 MAX_RENDERED_AGE = 0.02  # seconds; an older frame is rendered again before it is sent
-MAX_EMPTY_AGE = 0.03  # seconds; after this a short read does not show that nothing else is unread
+MAX_EMPTY_AGE = 0.03  # seconds since a connection was known to be empty; later, a short read is repeated
 
 EMPTY_BUFFER = RingBuffer(0)
 
@@ -62,7 +62,7 @@
         self.backlog_data_at: float | None = None
         self.task_count = 0  # tasks that use the socket
         self.cancel_scope = anyio.CancelScope()
-        self.write_wait_scope: anyio.CancelScope | None = None  # set while the system accepts no more
+        self.write_wait_scope: anyio.CancelScope | None = None  # set while a task waits to send the rest
         self.backoff: Backoff | None = None  # between calls that fail for lack of a resource
 
     def write(
@@ -328,7 +328,7 @@
         return max(self.last_empty_at, self.manager.selector.empty_until(self.polled_descriptor))
 
     def begin_at_last_data(self) -> None:
-        """Dates the next message by the last data that arrived before the accept.
+        """Dates the next message by the last data that arrived before the accept, if no more is unread.
 
         The receiver calls this before the last complete message: a message is complete when its last bytes
         arrive, so its waiting time counts from then and not from when the connection entered the backlog.
--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -31,9 +31,8 @@
 BODY_BUFFER_BYTES = 32 * 1024  # ring size of the direction that carries response bodies
 QUEUED_MEMORY_SHARE = 0.25  # share of the memory limit that output queued for slow readers may use
 SOCKET_RELEASE_TURNS = 3  # turns of the event loop in which a closed connection releases its socket
-BACKLOG_WAIT_THRESHOLD = (
-    0.03  # seconds; after a longer wait in the backlog, the system is asked for the age of the data
-)
+# Seconds; after a longer wait in the backlog, the system is asked for the age of a connection's data.
+BACKLOG_WAIT_THRESHOLD = 0.03
 CONNECT_FAILURE_ENDS = {  # the end of a connection that was not established
     Remedy.REFUSED: AttemptEnd.CONNECTION_REFUSED,
     Remedy.RESET: AttemptEnd.CUT_BEFORE_SEND,
@@ -62,8 +61,8 @@
         connections: The open connections.
         unflushed: Connections with queued output, in the order of their first write.
         is_short_of_descriptors: Accepting has paused for lack of descriptors and not recovered since.
-        backlog_empty_at: When the listen backlog was last seen empty (monotonic seconds); connections accepted
-            now have entered it since.
+        backlog_empty_at: When the listen backlog was last seen empty (monotonic seconds). Connections that
+            are accepted now entered it later.
     """
 
     def __init__(self, task_group: TaskGroup, limits: ResourceLimits, selector: TimedSelector):
@@ -237,7 +236,7 @@
     def _record_backlog_wait(self, connection: Connection, sock: socket.socket) -> None:
         """Records the earliest time at which the first data of a connection can have arrived.
 
-        After a long wait, also records when the last data that arrived in the backlog did.
+        After a long wait in the backlog, also records when the last data arrived there.
         """
         connection.last_empty_at = self.backlog_empty_at
         now = monotonic()
--- a/ironhinge/net/decision_loop.py
+++ b/ironhinge/net/decision_loop.py
@@ -47,13 +47,13 @@
         self,
         router: Router,
         clock: Clock,
-        on_fault: Callable[[str], None],
+        on_error: Callable[[str], None],
         on_queue_empty: Callable[[], None],
     ):
         self.router = router
         self.handlers: CommandHandlers = {}
         self._clock = clock
-        self._on_fault = on_fault  # called with the id of the current request; empty: the event has none
+        self._on_error = on_error  # called with the id of the current request; empty: the event has none
         self._on_queue_empty = on_queue_empty  # called when all events have been handled
         self._queue: deque[Event | _RequestWithDeadline] = deque()
         self._is_handling = False
@@ -92,4 +92,4 @@
                 handlers[type(command)](command)
         except Exception:  # noqa: BLE001 - an error fails the current request, not the program
             logger.exception("decision_failed event={}", type(event).__name__)
-            self._on_fault(getattr(event, "request_id", ""))
+            self._on_error(getattr(event, "request_id", ""))
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -36,10 +36,10 @@
 SILENCE_TIMEOUT = 2 * SECOND
 SILENCE_CHECK_INTERVAL = SECOND // 4
 MIN_RECONNECT_PAUSE = 0.05  # seconds
-MAX_RECONNECT_PAUSE = 0.4  # seconds; 2 s after the connection breaks, events count as delivered
+MAX_RECONNECT_PAUSE = 0.4  # seconds; events count as delivered 2 s after the connection breaks
 # fields that may change in a reloaded configuration without a warning; only `discovery_address` takes effect
 RELOADABLE_FIELDS = "seed", "known", "known_index", "discovery_address"
-MAX_WRITE_INTERVAL_MS = 1000  # the service writes in order, with no longer interval than this
+MAX_WRITE_INTERVAL_MS = 1000  # longest interval between two frames of the service
 
 
 class DiscoveryListener(Protocol):
@@ -94,6 +94,7 @@
     def apply(self, update: DiscoveryUpdate | Keepalive) -> None:
         """Applies one event, unless it was applied already."""
         if self.local_store is not None:
+            # frames arrive in order, so that all events older than the longest interval have been received
             self.local_store.on_discovery_progress(self._clock.unix_ms() - MAX_WRITE_INTERVAL_MS)
         if isinstance(update, Keepalive) or update.event_index <= self.last_index:
             return
--- a/ironhinge/net/discovery_connection.py
+++ b/ironhinge/net/discovery_connection.py
@@ -32,9 +32,7 @@
     def __init__(self, receiver: UpdateReceiver, clock: Clock):
         self.closed = anyio.Event()
         self.has_received = False
-        self.last_received_at = (
-            clock.now()
-        )  # when the last complete frame arrived; at first, when connecting began
+        self.last_received_at = clock.now()  # when connecting began or the last complete frame arrived
         self.connection: Connection
         self._receiver = receiver
         self._clock = clock
--- a/ironhinge/net/timed_selector.py
+++ b/ironhinge/net/timed_selector.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import Any
 
-LONG_POLL_THRESHOLD = 0.005  # seconds; the start of a longer poll is too imprecise as its time
+LONG_POLL_THRESHOLD = 0.005  # seconds; a longer poll is repeated, as its start is too imprecise
 NEVER = -inf
 
 
--- a/ironhinge/net/timers.py
+++ b/ironhinge/net/timers.py
@@ -68,5 +68,5 @@
             wait = self._heap[0][0] - self._clock.now() if self._heap else SECOND
             with anyio.move_on_after(max(0, self._clock.seconds(wait))):
                 await self._earliest_changed.wait()
-            # if the process was stopped, lets other tasks read the answers that arrived before timers fire
+            # if the process was stopped, other tasks read the answers that have arrived before timers fire
             await lowlevel.checkpoint()
--- a/ironhinge/net/upstream_pool.py
+++ b/ironhinge/net/upstream_pool.py
@@ -20,8 +20,8 @@
 
     Attributes:
         upstreams: The upstreams by id.
-        connections_per_upstream: From this number on, operations share connections; from the number of free
-            descriptors.
+        connections_per_upstream: Number of connections to one upstream from which on operations share them;
+            each upstream's part of the descriptors.
         transport: Timeouts and limits of connections.
     """
 
--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -1,7 +1,7 @@
 """The upstreams' protocol: commands and answers are RESP arrays of bulk strings.
 
 Only this module uses the names of the protocol's commands, statuses and answer attributes. It does no I/O and
-knows no operation; the only state of a connection is an incomplete answer.
+keeps no record of operations; the only state of a connection is an incomplete answer.
 """
 
 from __future__ import annotations
