--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -78,7 +78,7 @@
     """An upstream's answer to one command.
 
     Attributes:
-        operation_id: The id that the command had.
+        operation_id: The id of the command.
         end: How the operation ended.
         cache_status: Where the body came from, or why there is none.
         load_report: The upstream's load by gauge name; empty if it sent none.
@@ -233,7 +233,7 @@
             offset = end + CRLF_BYTES
 
     def _decode_length(self, line: bytes) -> None:
-        """Reads the line that begins an item, or an answer if none is begun."""
+        """Decodes the line that begins an item, or an answer if none has begun."""
         is_item = self._missing_items > 0
         marker, maximum = (ITEM_MARKER, MAX_ITEM_BYTES) if is_item else (ARRAY_MARKER, MAX_ITEMS)
         number = line[1:]
