--- a/ironhinge/disk/admission.py
+++ b/ironhinge/disk/admission.py
@@ -63,11 +63,11 @@
 
     def add(self, key: PartKey) -> int:
         """Counts a request; returns an upper bound of the recent ones, this one included."""
-        mixed = (key.object_id * _OBJECT_MULTIPLIER + key.part * _PART_MULTIPLIER) & _MASK_64
+        hash_value = (key.object_id * _OBJECT_MULTIPLIER + key.part * _PART_MULTIPLIER) & _MASK_64
         estimate = _SKETCH_MAX_COUNT
         for counters in self._counters:
-            mixed = ((mixed ^ (mixed >> 30)) * _MIX_MULTIPLIER) & _MASK_64
-            column = mixed >> _SKETCH_INDEX_SHIFT
+            hash_value = ((hash_value ^ (hash_value >> 30)) * _MIX_MULTIPLIER) & _MASK_64
+            column = hash_value >> _SKETCH_INDEX_SHIFT
             counters[column] = min(_SKETCH_MAX_COUNT, counters[column] + 1)
             estimate = min(estimate, counters[column])
         self._additions += 1
--- a/ironhinge/disk/checkpoint.py
+++ b/ironhinge/disk/checkpoint.py
@@ -36,7 +36,7 @@
     writer.sync()
     with state.lock:
         chunk_count = state.index.begin_snapshot()
-        checkpoint = _describe(state, writer, identity)
+        checkpoint = _capture_checkpoint(state, writer, identity)
     pieces = pack_checkpoint(checkpoint, _index_chunks(state, chunk_count), len(state.index.block))
     try:
         if CHECKPOINT_FILE in directory.names():
@@ -83,12 +83,12 @@
         except (CorruptRecordError, IndexSizeError, OSError):
             state.count(StoreCounter.CORRUPT_CHECKPOINTS)
             continue
-        _restore(state, checkpoint, index)
+        _restore_state(state, checkpoint, index)
         return LogPosition(checkpoint.segment, checkpoint.offset)
     return None
 
 
-def _describe(state: StoreState, writer: LogWriter, identity: bytes) -> Checkpoint:
+def _capture_checkpoint(state: StoreState, writer: LogWriter, identity: bytes) -> Checkpoint:
     """Returns all that a checkpoint holds but the index block; the caller holds the lock of the state."""
     return Checkpoint(
         identity=identity,
@@ -113,7 +113,7 @@
         yield chunk
 
 
-def _restore(state: StoreState, checkpoint: Checkpoint, index: PartIndex) -> None:
+def _restore_state(state: StoreState, checkpoint: Checkpoint, index: PartIndex) -> None:
     index.entry_count = checkpoint.entry_count
     state.index = index
     state.generation = checkpoint.generation
--- a/ironhinge/disk/cli.py
+++ b/ironhinge/disk/cli.py
@@ -19,9 +19,9 @@
 
 EXIT_FAILED = 1
 _STDERR = 2
-_HEXADECIMAL = 16
+_HEX_BASE = 16
 _UNBOUNDED_BYTES = 1 << 60
-_NO_PURGE_FLOOR_MS = 1 << 50  # nothing is served from here, so no copy has to be voided
+_UNLIMITED_RETENTION_MS = 1 << 50  # nothing is served from here, so no copy has to be voided
 _MIN_ENTRIES = 1 << 16
 _MIN_SEGMENT_SIZE = 1 << 24
 
@@ -56,9 +56,9 @@
         _UNBOUNDED_BYTES,
         _largest_segment(directory),
         _checkpoint_entries(directory),
-        _NO_PURGE_FLOOR_MS,
+        _UNLIMITED_RETENTION_MS,
     )
-    stored_name = _stored_name(directory)
+    stored_name = _stored_director_name(directory)
     try:
         return Store(directory, (name or stored_name).encode(), limits, lambda: int(time.time() * 1000))
     except (StoreLockedError, ForeignStoreError, OSError) as error:
@@ -75,7 +75,7 @@
     return max([_MIN_SEGMENT_SIZE, *map(directory.size, _segment_names(directory))])
 
 
-def _stored_name(directory: StoreDirectory) -> str:
+def _stored_director_name(directory: StoreDirectory) -> str:
     """Returns the director's name as the first sound segment has it, empty where none has one."""
     from .errors import CorruptRecordError
     from .format import identity_name, unpack_segment_header
@@ -106,12 +106,12 @@
     return int(len(checkpoint.index_block) // SLOT_SIZE * MAX_LOAD)
 
 
-def show(figures: dict[str, Any], as_json: bool, name_width: int) -> None:
-    """Prints figures by name, as JSON or as a table."""
+def print_statistics(statistics: dict[str, Any], as_json: bool, name_width: int) -> None:
+    """Prints statistics by name, as JSON or as a table."""
     if as_json:
-        click.echo(json.dumps(figures))
+        click.echo(json.dumps(statistics))
         return
-    for name, value in figures.items():
+    for name, value in statistics.items():
         click.echo(f"{name:{name_width}} {value}")
 
 
@@ -133,13 +133,13 @@
 
 def _for_each_segment(store: Store, label: str, action: Callable[[int], Iterable[int]]) -> int:
     """Runs all steps of an action on each segment, with a progress bar; returns the sum of the steps."""
-    step_sum = 0
+    processed_bytes = 0
     segments = list(store.segments)
     hidden = not os.isatty(_STDERR)
     with click.progressbar(segments, label=label, file=sys.stderr, hidden=hidden) as progress:
         for segment in progress:
-            step_sum += sum(action(segment))
-    return step_sum
+            processed_bytes += sum(action(segment))
+    return processed_bytes
 
 
 @disk.command()
@@ -153,14 +153,14 @@
     started_at = time.perf_counter()
     store = open_store(folder, name, read_only=True)
     recovery_ms = round(1000 * (time.perf_counter() - started_at), 1)
-    figures: dict[str, Any] = {**store.status(), "recovery_ms": recovery_ms}
+    statistics: dict[str, Any] = {**store.status(), "recovery_ms": recovery_ms}
     status_file = folder / STATUS_FILE
     if status_file.exists():
         try:
-            figures["last_life"] = json.loads(status_file.read_text())
+            statistics["last_life"] = json.loads(status_file.read_text())
         except ValueError:
-            figures["last_life"] = "unreadable"
-    show(figures, as_json, 22)
+            statistics["last_life"] = "unreadable"
+    print_statistics(statistics, as_json, 22)
 
 
 @disk.command()
@@ -198,7 +198,7 @@
     verified_bytes = _for_each_segment(store, "verifying", store.scrub)
     corrupt = store.counters.get(StoreCounter.CORRUPT_RECORDS, 0)
     corrupt += store.counters.get(StoreCounter.MISSING_SEGMENTS, 0)
-    show({"bytes": verified_bytes, "entries": len(store.index), "unsound": corrupt}, as_json, 10)
+    print_statistics({"bytes": verified_bytes, "entries": len(store.index), "unsound": corrupt}, as_json, 10)
     sys.exit(EXIT_FAILED if corrupt else 0)
 
 
@@ -213,7 +213,7 @@
     _for_each_segment(store, "compacting", lambda segment: store.compact(segment, lambda _: True))
     after = store.used_bytes()
     store.close()
-    show({"before": before, "after": after}, as_json, 10)
+    print_statistics({"before": before, "after": after}, as_json, 10)
 
 
 @disk.command()
@@ -224,7 +224,7 @@
 def drop(folder: Path, object_id: str, name: str, as_json: bool) -> None:
     """Drop all parts of an object (16 hex digits) that are there."""
     try:
-        object_number = int(object_id, _HEXADECIMAL)
+        object_number = int(object_id, _HEX_BASE)
     except ValueError:
         raise click.BadParameter(f"'{object_id}' is not hex digits", param_hint="OBJ") from None
     store = open_store(folder, name, read_only=False)
@@ -232,5 +232,5 @@
     for key in keys:
         store.drop(key)
     store.close()
-    show({"dropped": len(keys)}, as_json, 10)
+    print_statistics({"dropped": len(keys)}, as_json, 10)
     sys.exit(0 if keys else EXIT_FAILED)
--- a/ironhinge/disk/compaction.py
+++ b/ironhinge/disk/compaction.py
@@ -27,7 +27,7 @@
 from .state import StoreCounter, StoreState
 from .writer import LogWriter
 
-Retain = Callable[[IndexEntry], bool]  # whether a copy is worth writing again
+RetainPredicate = Callable[[IndexEntry], bool]  # whether a copy is worth writing again
 
 
 class Compactor:
@@ -38,7 +38,7 @@
         self._directory = directory
         self._writer = writer
 
-    def compact(self, segment: int, retain: Retain) -> Iterator[int]:
+    def compact(self, segment: int, retain: RetainPredicate) -> Iterator[int]:
         """Compacts a segment; yields the bytes that each step has read or written.
 
         Args:
@@ -50,19 +50,19 @@
                 return
         data = self._read_segment(segment)
         yield len(data)
-        moved = 0
+        moved_bytes = 0
         for located in scan_records(data, SEGMENT_HEADER_SIZE, verify_bodies=False):
-            moved += self._move(located, data, segment, retain)
-            if moved >= STEP_BYTES:
+            moved_bytes += self._move_record(located, data, segment, retain)
+            if moved_bytes >= STEP_BYTES:
                 self._writer.flush()
-                yield moved
-                moved = 0
+                yield moved_bytes
+                moved_bytes = 0
         if self._state.is_full and self._writer.pending:
             return
         self._writer.flush()
         self._writer.sync()  # the new records are durable before the old ones go
         self._remove_segment(segment)
-        yield moved
+        yield moved_bytes
 
     def _read_segment(self, segment: int) -> memoryview:
         """Returns the bytes of a segment file, none where it can't be read."""
@@ -79,11 +79,13 @@
         self._state.is_full = False  # there is space again
         self._state.count(StoreCounter.SEGMENTS_COMPACTED)
 
-    def _move(self, located: LocatedRecord, data: memoryview, segment: int, retain: Retain) -> int:
+    def _move_record(
+        self, located: LocatedRecord, data: memoryview, segment: int, retain: RetainPredicate
+    ) -> int:
         """Queues a record again if it is still needed; returns its bytes, else 0."""
         header = located.header
         if header.kind is not RecordKind.PUT:
-            return self._repeat_purge(header)
+            return self._requeue_purge(header)
         with self._state.lock:
             entry = self._state.index.get(PartKey(header.object_id, header.part))
             if entry is None or (entry.segment, entry.offset) != (segment, located.offset):
@@ -122,7 +124,7 @@
         self._state.count(StoreCounter.BYTES_MOVED, header.record_size)
         return header.record_size
 
-    def _repeat_purge(self, header: RecordHeader) -> int:
+    def _requeue_purge(self, header: RecordHeader) -> int:
         """Queues a purge again while it is known, so that it outlives its segment; returns its bytes."""
         with self._state.lock:
             purges = self._state.purges
--- a/ironhinge/disk/directory.py
+++ b/ironhinge/disk/directory.py
@@ -19,7 +19,7 @@
 STATUS_FILE = "status.json"  # what the tier writes for operators, beside the store
 _LOCK_FILE = "LOCK"
 _FILE_MODE = 0o644
-_MAX_RETIRED = 4  # descriptors of removed files that stay open for reads under way
+_MAX_RETIRED_DESCRIPTORS = 4  # descriptors of removed files that stay open for reads under way
 _PIECES_PER_BATCH = 16  # of a whole file, in one call
 _MAX_PIECES_PER_CALL = 512  # IOV_MAX is 1024 on Linux; each record has up to three pieces
 
@@ -105,7 +105,7 @@
         (self.path / name).unlink()
         if descriptor != NO_DESCRIPTOR:
             self._retired_descriptors.append(descriptor)
-        while len(self._retired_descriptors) > _MAX_RETIRED:
+        while len(self._retired_descriptors) > _MAX_RETIRED_DESCRIPTORS:
             os.close(self._retired_descriptors.pop(0))
 
     def rename(self, name: str, new_name: str) -> None:
--- a/ironhinge/disk/index.py
+++ b/ironhinge/disk/index.py
@@ -133,7 +133,7 @@
             if self.entry_count >= self.capacity:
                 return False
             self.entry_count += 1
-        self._before_change(slot)
+        self._preserve_chunk(slot)
         _SLOT.pack_into(self.block, slot * SLOT_SIZE, *entry, 1)
         return True
 
@@ -168,10 +168,10 @@
     def _preferred_slot(self, key: PartKey) -> int:
         """Returns the slot that the hash of a key names."""
         object_id, part = key
-        mixed = (object_id * _OBJECT_MULTIPLIER + part * _PART_MULTIPLIER) & _MASK_64
-        mixed ^= mixed >> 29
-        mixed = (mixed * _MIX_MULTIPLIER) & _MASK_64
-        return (mixed ^ (mixed >> 32)) & self._slot_mask
+        hash_value = (object_id * _OBJECT_MULTIPLIER + part * _PART_MULTIPLIER) & _MASK_64
+        hash_value ^= hash_value >> 29
+        hash_value = (hash_value * _MIX_MULTIPLIER) & _MASK_64
+        return (hash_value ^ (hash_value >> 32)) & self._slot_mask
 
     def _find_slot(self, key: PartKey) -> tuple[int, bool]:
         """Returns the slot of a key, or the free one where it belongs, and whether the slot is used."""
@@ -184,10 +184,10 @@
         return slot, False
 
     def _overwrite(self, slot: int, data: bytes | bytearray) -> None:
-        self._before_change(slot)
+        self._preserve_chunk(slot)
         self.block[slot * SLOT_SIZE : (slot + 1) * SLOT_SIZE] = data
 
-    def _before_change(self, slot: int) -> None:
+    def _preserve_chunk(self, slot: int) -> None:
         """Copies the slot's chunk into the snapshot, where one is being taken."""
         if self._snapshot is not None:
             self.snapshot_chunk(slot // _CHUNK_SLOTS)
--- a/ironhinge/disk/purges.py
+++ b/ironhinge/disk/purges.py
@@ -55,7 +55,7 @@
         self.floor = max(self.floor, unix_ms)
         self.floor_generation = generation
 
-    def covers(self, entry: IndexEntry) -> bool:
+    def invalidates(self, entry: IndexEntry) -> bool:
         """Returns whether a purge or the floor voids a copy."""
         purged_until = max(self.objects.get(entry.object_id, 0), self.groups.get(entry.group, 0))
         if entry.generation <= self.floor_generation:
--- a/ironhinge/disk/reader.py
+++ b/ironhinge/disk/reader.py
@@ -98,14 +98,14 @@
                 f"expected {entry.record_size}"
             )
         header = unpack_record_header(memoryview(start))
-        if not _describes(header, entry):
+        if not _matches_entry(header, entry):
             raise CorruptRecordError(f"{name} at {entry.offset}: found {header}, expected {entry}")
         tag = start[RECORD_HEADER_SIZE:]
         verify_content(header, tag, body)
         return Copy(tag, entry.produced_at, body)
 
 
-def _describes(header: RecordHeader, entry: IndexEntry) -> bool:
+def _matches_entry(header: RecordHeader, entry: IndexEntry) -> bool:
     """Returns whether a header is that of the copy in the index."""
     return (
         header.kind is RecordKind.PUT
--- a/ironhinge/disk/recovery.py
+++ b/ironhinge/disk/recovery.py
@@ -40,17 +40,17 @@
         names = self._directory.names()
         self._remove_partial_files(names)
         position = load_checkpoint(self._state, self._directory, self._identity, names)
-        found = sorted(number for number in map(segment_number, names) if number is not None)
-        self._forget_missing_segments(found)
-        for number in found:
+        segment_numbers = sorted(number for number in map(segment_number, names) if number is not None)
+        self._forget_missing_segments(segment_numbers)
+        for number in segment_numbers:
             if position is not None and number == position.segment:
                 self._replay(number, position.offset)
             elif position is None or number not in self._state.segments:  # else the checkpoint has all of it
                 self._replay(number, 0)
-        if found and not self._directory.read_only:
+        if segment_numbers and not self._directory.read_only:
             self._directory.sync_directory()
         self._check_purges()
-        return max(found, default=0)
+        return max(segment_numbers, default=0)
 
     def _remove_partial_files(self, names: list[str]) -> None:
         """Removes files that were begun and not put in place."""
@@ -60,9 +60,9 @@
             if name.endswith(PARTIAL_SUFFIX):
                 self._directory.remove(name)
 
-    def _forget_missing_segments(self, found: list[int]) -> None:
+    def _forget_missing_segments(self, segment_numbers: list[int]) -> None:
         """Forgets segments that were removed by someone else; their entries are misses when looked up."""
-        for number in [number for number in self._state.segments if number not in found]:
+        for number in [number for number in self._state.segments if number not in segment_numbers]:
             self._state.segments.discard(number)
             self._state.count(StoreCounter.MISSING_SEGMENTS)
 
@@ -75,7 +75,7 @@
             self._state.count(StoreCounter.UNREADABLE_SEGMENTS)
             self._state.segments.discard(number)
             return
-        if not self._has_sound_header(name, number, data):
+        if not self._has_valid_header(name, number, data):
             return
         self._state.segments.add(number)
         end = max(offset, SEGMENT_HEADER_SIZE)
@@ -84,26 +84,26 @@
             end = located.offset + located.header.record_size
         self._state.segments.extend_total(number, end)
         if end < len(data):
-            self._cut_torn_tail(name, end, len(data))
+            self._truncate_torn_tail(name, end, len(data))
         if not self._directory.read_only and end > SEGMENT_HEADER_SIZE:
             # A process that was killed may have written it without syncing it, and the next checkpoint will
             # say that it is durable.
             self._directory.sync_file(name)
 
-    def _has_sound_header(self, name: str, number: int, data: memoryview) -> bool:
+    def _has_valid_header(self, name: str, number: int, data: memoryview) -> bool:
         """Checks the header of a segment and discards a file that has none.
 
         Raises:
             ForeignStoreError: it is another installation's or of another version.
         """
         if len(data) < SEGMENT_HEADER_SIZE:  # created, and nothing written
-            self._discard(name, number)
+            self._discard_segment(name, number)
             return False
         try:
             header = unpack_segment_header(bytes(data[:SEGMENT_HEADER_SIZE]))
         except CorruptRecordError:
             self._state.count(StoreCounter.CORRUPT_SEGMENTS)
-            self._discard(name, number)
+            self._discard_segment(name, number)
             return False
         if header.version != FORMAT_VERSION or header.identity != self._identity:
             raise ForeignStoreError(
@@ -113,12 +113,12 @@
             )
         return True
 
-    def _discard(self, name: str, number: int) -> None:
+    def _discard_segment(self, name: str, number: int) -> None:
         self._state.segments.discard(number)
         if not self._directory.read_only:
             self._directory.remove(name)
 
-    def _cut_torn_tail(self, name: str, end: int, size: int) -> None:
+    def _truncate_torn_tail(self, name: str, end: int, size: int) -> None:
         self._state.count(StoreCounter.RECORDS_TORN)
         self._state.count(StoreCounter.BYTES_TORN, size - end)
         if not self._directory.read_only:
--- a/ironhinge/disk/state.py
+++ b/ironhinge/disk/state.py
@@ -94,7 +94,7 @@
 
     def is_purged(self, entry: IndexEntry) -> bool:
         """Returns whether a copy must not be served: it is purged, or from a clock that was set back."""
-        return self.purges.covers(entry) or entry.produced_at > self.now_ms() + MAX_CLOCK_SKEW_MS
+        return self.purges.invalidates(entry) or entry.produced_at > self.now_ms() + MAX_CLOCK_SKEW_MS
 
     def purge_object(self, object_id: int, purged_at: int) -> None:
         """Voids the copies of an object that the origin produced up to then, in Unix milliseconds."""
--- a/ironhinge/disk/store.py
+++ b/ironhinge/disk/store.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from .checkpoint import write_checkpoint
-from .compaction import Compactor, Retain
+from .compaction import Compactor, RetainPredicate
 from .directory import StoreDirectory
 from .format import IDENTITY_SIZE, RECORD_HEADER_SIZE, SEGMENT_HEADER_SIZE, Record, RecordKind
 from .index import IndexEntry, PartIndex, PartKey
@@ -200,7 +200,7 @@
         with self.state.lock:
             return self.segments.compaction_candidate(self.writer.open_segment)
 
-    def compact(self, segment: int, retain: Retain) -> Iterator[int]:
+    def compact(self, segment: int, retain: RetainPredicate) -> Iterator[int]:
         """Compacts a segment; yields the bytes of each step. See `Compactor.compact`."""
         return self._compactor.compact(segment, retain)
 
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -72,7 +72,7 @@
     rejected: int = 0
 
 
-class _TrafficKind(NamedTuple):
+class _HitCountKey(NamedTuple):
     """Requests whose share of hits is reported together."""
 
     class_index: int
@@ -128,13 +128,13 @@
         self.admission = self._open_admission()
         self.counters = TierCounters()
         self._body_sizes = BodySizeEstimator()
-        self._hit_counts: dict[_TrafficKind, _HitCount] = {}
+        self._hit_counts: dict[_HitCountKey, _HitCount] = {}
         self._stored_bytes = 0
         self._read_limiter = anyio.CapacityLimiter(_READ_THREADS)
         self._write_limiter = anyio.CapacityLimiter(1)
         self._concurrent_reads = 0
         self._write_needed = anyio.Event()
-        self._pending: dict[PartKey, int] = {}  # Unix ms of copies that wait to be written
+        self._pending_produced_at: dict[PartKey, int] = {}  # Unix ms of copies that wait to be written
         self._progress_recorded_at = 0
         self._recovery_ms = (context.now() - started_at) / _TICKS_PER_MS
         fields = " ".join(f"{name}={value}" for name, value in self.store.status().items())
@@ -201,11 +201,11 @@
         """
         self._body_sizes.record(request.size, len(body))
         key = PartKey(request.object_id, request.part)
-        if self._pending.get(key, 0) >= produced_at:
+        if self._pending_produced_at.get(key, 0) >= produced_at:
             return  # the same copy arrived twice before it was written once
         previous = self.store.find(key)
         if self.store.put(key, request.group, Copy(tag.encode(), produced_at, body)):
-            self._pending[key] = produced_at
+            self._pending_produced_at[key] = produced_at
             if previous is not None:
                 self.admission.record_removed(key, previous.body_size)
             self.admission.record_stored(key, len(body))
@@ -232,10 +232,10 @@
             while True:
                 await self._write_needed.wait()
                 self._write_needed = anyio.Event()
-                written_keys = list(self._pending)
+                written_keys = list(self._pending_produced_at)
                 await anyio.to_thread.run_sync(self.write_pending, limiter=self._write_limiter)
                 for key in written_keys:
-                    self._pending.pop(key, None)
+                    self._pending_produced_at.pop(key, None)
                 await anyio.sleep(_WRITE_INTERVAL)
 
     def write_pending(self) -> None:
@@ -265,10 +265,10 @@
             "recovery_ms": self._recovery_ms,
             "written_for_kept": round(written / self._stored_bytes, 3) if self._stored_bytes else None,
             "hit_share": {
-                f"vhost {kind.class_index}, under {1 << kind.size_class} bytes": round(
+                f"vhost {hit_count_key.class_index}, under {1 << hit_count_key.size_class} bytes": round(
                     count.hits / count.requests, 4
                 )
-                for kind, count in sorted(self._hit_counts.items())
+                for hit_count_key, count in sorted(self._hit_counts.items())
             },
             "admission": {reason.value: count for reason, count in self.admission.rejections.items()},
         }
@@ -297,13 +297,13 @@
         return admission
 
     def _hit_count(self, request: interface.RequestReceived, size: int) -> _HitCount:
-        kind = _TrafficKind(request.class_index, size_class(size))
-        return self._hit_counts.setdefault(kind, _HitCount())
+        hit_count_key = _HitCountKey(request.class_index, size_class(size))
+        return self._hit_counts.setdefault(hit_count_key, _HitCount())
 
     # Maintenance
 
     async def _schedule_maintenance(self) -> None:
-        checkpointed_at = scrubbed_at = reported_at = self.context.now()
+        checkpointed_at = scrubbed_at = status_written_at = self.context.now()
         while True:
             await anyio.sleep(_WRITE_INTERVAL)
             now = self.context.now()
@@ -315,8 +315,8 @@
                 deadline = now + _CHECKPOINT_DEADLINE * TICKS_PER_SECOND
                 job = Job("checkpoint", _CHECKPOINT_PRIORITY, deadline=deadline)
                 runner.submit(job, self._checkpoint)
-            if now - reported_at > _STATUS_INTERVAL * TICKS_PER_SECOND:
-                reported_at = now
+            if now - status_written_at > _STATUS_INTERVAL * TICKS_PER_SECOND:
+                status_written_at = now
                 await anyio.to_thread.run_sync(self._write_status, limiter=self._write_limiter)
             if now - scrubbed_at > _SCRUB_INTERVAL * TICKS_PER_SECOND:
                 scrubbed_at = now
--- a/ironhinge/disk/writer.py
+++ b/ironhinge/disk/writer.py
@@ -85,10 +85,10 @@
 
     def cancel(self, key: PartKey) -> bool:
         """Takes the queued copies of a part out of the queue; returns whether there were any."""
-        remaining = [each for each in self.pending if each.entry is None or each.entry.key != key]
-        is_changed = len(remaining) < len(self.pending)
+        remaining = [queued for queued in self.pending if queued.entry is None or queued.entry.key != key]
+        was_queued = len(remaining) < len(self.pending)
         self.pending = remaining
-        return is_changed
+        return was_queued
 
     def flush(self) -> int:
         """Writes what is queued; returns how many bytes.
@@ -111,7 +111,7 @@
             try:
                 self._directory.sync(self._descriptor)
             except OSError:
-                self._quarantine_segment()
+                self._close_after_failed_sync()
                 raise
             self._is_unsynced = False
 
@@ -159,12 +159,12 @@
                     raise
                 self._state.count(StoreCounter.FAILED_WRITES)
                 self._state.is_full = True
-                self._abandon_segment()
-                self._requeue(self._pending_tombstones(batch))
+                self._close_after_failed_write()
+                self._requeue(self._non_copy_records(batch))
                 return written
 
     @staticmethod
-    def _pending_tombstones(batch: list[PendingRecord]) -> list[PendingRecord]:
+    def _non_copy_records(batch: list[PendingRecord]) -> list[PendingRecord]:
         """Returns the records of a failed write that must not be lost with its copies.
 
         Tombstones must reach the disk before any later record of discovery progress: else that record would
@@ -228,7 +228,7 @@
         if is_newest and not self._state.is_purged(written):
             self._state.insert(written, current)
 
-    def _abandon_segment(self) -> None:
+    def _close_after_failed_write(self) -> None:
         """Closes the segment of a failed write, after cutting off what the write left behind.
 
         Where it can't be cut, recovery tells the torn tail from sound records.
@@ -238,7 +238,7 @@
                 self._directory.truncate(segment_file_name(self.segment), self._offset)
             self.close()
 
-    def _quarantine_segment(self) -> None:
+    def _close_after_failed_sync(self) -> None:
         """Closes the segment of a failed sync and queues every known purge again for the next one.
 
         Nobody knows what of the segment is durable, and a later sync that succeeds says nothing of it: see
