--- a/ironhinge/disk/__init__.py
+++ b/ironhinge/disk/__init__.py
@@ -1,7 +1,7 @@
-"""A second tier of copies on a persistent disk: a log-structured store of parts, admission, and recovery.
+"""A persistent tier of copies on the director's disk: a log-structured store, admission and crash recovery.
 
-The tier never serves a byte that it has not verified, nor a copy older than a purge that is known or can't be
-known, and never blocks the event loop on the disk. The router decides which request is served from it;
-`admission` decides what is stored. `store` and the modules below it are a library of their own that knows no
-director.
+The tier serves only bytes whose checksum matches, and no copy that is older than a known purge or than a
+purge that it may have missed. Disk I/O never blocks the event loop. The router decides which requests are
+served from the tier; `admission` decides what is stored. `store` and the modules that it uses are an
+independent library: they do not depend on the director.
 """
--- a/ironhinge/disk/admission.py
+++ b/ironhinge/disk/admission.py
@@ -1,9 +1,10 @@
-"""Admission: which parts are worth their place in the tier and the writes that they cost.
+"""Admission: decides which parts of objects are stored on disk, given limited space and a write budget.
 
-Every part is ranked by its request rate over its size, decaying with time; parts are counted one by one, and
-one that was requested only once lately is in a sketch alone. A copy is admitted when the parts that rank
-above it leave space for it, its object and its size class are below their shares, and the write budget
-allows it. Times are tenths of a millisecond; this module has no clock and sees no bodies.
+Parts are ranked by request rate divided by size; the rate decays exponentially. Each part of an object is
+counted separately. A part enters the ranking with its second recent request; before that, only a sketch
+counts it. A copy is admitted if the parts ranked above it leave space for it, its object and its size class
+stay within their shares of the capacity, and the write budget allows it. Times are tenths of a millisecond;
+this module reads no clock and no bodies.
 """
 
 from __future__ import annotations
@@ -16,15 +17,16 @@
 from .index import PartKey
 
 TICKS_PER_SECOND = 10_000
-_HALF_LIFE_TICKS = 60 * TICKS_PER_SECOND  # of request rates; a disk holds far more than a cache's memory
-_BUCKET_WIDTH = 0.5  # of scores, which are binary logarithms
-_NO_CUTOFF = -(1 << 30)
-_MIN_REQUESTS = 2  # before a part is ranked
+# Half-life of request rates. It is long because a disk holds far more than a cache's memory.
+_HALF_LIFE_TICKS = 60 * TICKS_PER_SECOND
+_BUCKET_WIDTH = 0.5  # range of scores (base-2 logarithms) that share a bucket
+_NO_CUTOFF = -(1 << 30)  # below every bucket: all ranked parts fit
+_MIN_REQUESTS = 2  # recent requests after which a part is ranked
 _REQUESTS_PER_CUTOFF_UPDATE = 256
 
 _SKETCH_ROWS = 4
 _SKETCH_COLUMNS = 1 << 14
-_SKETCH_INDEX_SHIFT = 64 - 14  # the top bits of the hash name a column
+_SKETCH_INDEX_SHIFT = 64 - 14  # the top 14 bits of the hash select a column
 _SKETCH_MAX_COUNT = 15
 _HALVED_COUNTS = bytes(count >> 1 for count in range(256))
 _MASK_64 = (1 << 64) - 1
@@ -34,7 +36,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a copy was not admitted; the values are the names in the status."""
+    """Why a copy was not admitted; the values are keys of the status output."""
 
     RARELY_REQUESTED = "rare"
     LOW_RANK = "rank"
@@ -44,25 +46,25 @@
 
 
 class AdmissionPolicy(NamedTuple):
-    """What operators set; shares are of the capacity."""
+    """The operators' limits; shares are fractions of the capacity."""
 
     capacity: int  # bytes
-    table_size: int = 65_536  # parts that are ranked
+    table_size: int = 65_536  # maximum number of ranked parts
     object_share: float = 0.05
     class_share: float = 0.5
-    write_rate: float = 0.0  # bytes a second; 0: unlimited
-    write_burst: float = 0.0  # bytes
+    write_rate: float = 0.0  # bytes per second; 0: unlimited
+    write_burst: float = 0.0  # bytes; capacity of the token bucket
 
 
 class FrequencySketch:
-    """A count-min sketch of saturating counters, halved now and then so that it forgets."""
+    """A count-min sketch of saturating counters, halved periodically so that old requests lose weight."""
 
     def __init__(self) -> None:
         self._counters = [bytearray(_SKETCH_COLUMNS) for _ in range(_SKETCH_ROWS)]
         self._additions = 0
 
     def add(self, key: PartKey) -> int:
-        """Counts a request; returns an upper bound of the recent ones, this one included."""
+        """Counts a request; returns an upper bound on the part's recent requests, including this one."""
         hash_value = (key.object_id * _OBJECT_MULTIPLIER + key.part * _PART_MULTIPLIER) & _MASK_64
         estimate = _SKETCH_MAX_COUNT
         for counters in self._counters:
@@ -81,38 +83,45 @@
 
 
 class _RankedPart(NamedTuple):
-    """A part in the table of rates."""
+    """A part in the ranking."""
 
-    score: float  # log2 of the decayed rate over the size
+    # log2(decayed request rate / size) plus the time in half-lives, so that decay doesn't change the score
+    score: float
     size: int  # bytes
 
     @property
     def bucket(self) -> int:
-        """The bucket of scores that it is in."""
+        """The bucket that the score falls into."""
         return floor(self.score / _BUCKET_WIDTH)
 
 
 class Admission:
-    """Ranks what is requested and decides what is stored.
+    """Ranks requested parts and decides which copies are stored.
 
-    The caller reports each request, and every copy that enters or leaves the tier.
+    The caller reports every request and every copy that is added to or removed from the tier.
     """
 
     def __init__(self, policy: AdmissionPolicy):
         self.policy = policy
         self.rejections = dict.fromkeys(RejectionReason, 0)
-        self.object_bytes: dict[int, int] = {}  # stored, by object
-        self.class_bytes: dict[int, int] = {}  # stored, by size class
+        self.object_bytes: dict[int, int] = {}  # bytes stored per object
+        self.class_bytes: dict[int, int] = {}  # bytes stored per size class
         self._sketch = FrequencySketch()
-        self._parts: OrderedDict[PartKey, _RankedPart] = OrderedDict()  # the longest unrequested first
-        self._bucket_bytes: dict[int, int] = {}  # of the ranked parts, by bucket of scores
+        self._parts: OrderedDict[PartKey, _RankedPart] = OrderedDict()  # least recently requested first
+        self._bucket_bytes: dict[int, int] = {}  # bytes of the ranked parts per bucket
         self._cutoff_bucket = _NO_CUTOFF  # parts in this bucket and below do not fit
         self._requests_since_update = 0
         self._write_tokens = float(policy.write_burst)
         self._refilled_at = 0
 
     def record_request(self, now: int, key: PartKey, size: int) -> None:
-        """Counts a request for a part of that many bytes: the best estimate, or 0 if unknown."""
+        """Counts a request for a part.
+
+        Args:
+            now: tenths of a millisecond.
+            key: the requested part.
+            size: best estimate of the part's size in bytes; 0 if unknown.
+        """
         previous = self._parts.pop(key, None)
         if previous is None and self._sketch.add(key) < _MIN_REQUESTS:
             return
@@ -132,7 +141,7 @@
             self.update_cutoff()
 
     def update_cutoff(self) -> None:
-        """Finds the bucket of scores in which the capacity is exhausted, from the best bucket down."""
+        """Sets the cutoff to the bucket that exceeds the capacity, adding up from the highest score down."""
         self._requests_since_update = 0
         free_bytes = self.policy.capacity
         self._cutoff_bucket = _NO_CUTOFF
@@ -143,7 +152,7 @@
                 return
 
     def should_store(self, now: int, key: PartKey, size: int) -> bool:
-        """Returns whether a copy is worth its place and its writing; if so, its writing is charged."""
+        """Returns whether to store a copy; if so, charges its size to the write budget."""
         reason = self._rejection_reason(now, key, size)
         if reason is None:
             return True
@@ -151,21 +160,21 @@
         return False
 
     def should_retain(self, key: PartKey) -> bool:
-        """Returns whether a stored copy is worth writing again when its segment is compacted."""
+        """Returns whether compaction should write a stored copy again instead of evicting it."""
         return self._is_above_cutoff(key)
 
     def record_write(self, size: int) -> None:
-        """Charges bytes written for other reasons, as by compaction: all writes wear the disk."""
+        """Charges other writes, such as those of compaction, to the budget, as all writes wear the disk."""
         if self.policy.write_rate:
             self._write_tokens = max(-self.policy.write_burst, self._write_tokens - size)
 
     def record_stored(self, key: PartKey, size: int) -> None:
-        """Counts a copy that is in the tier from now on."""
+        """Counts a copy that was added to the tier."""
         _add_bytes(self.object_bytes, key.object_id, size)
         _add_bytes(self.class_bytes, size_class(size), size)
 
     def record_removed(self, key: PartKey, size: int) -> None:
-        """Counts a copy that is no longer in the tier."""
+        """Subtracts a copy that was removed from the tier."""
         _add_bytes(self.object_bytes, key.object_id, -size)
         _add_bytes(self.class_bytes, size_class(size), -size)
 
@@ -188,7 +197,7 @@
         return part is not None and part.bucket > self._cutoff_bucket
 
     def _charge_write_tokens(self, now: int, size: int) -> bool:
-        """Refills the token bucket of writes and charges a copy, where there are enough tokens."""
+        """Refills the token bucket of writes, then charges a copy; returns False if tokens are lacking."""
         refill = (now - self._refilled_at) * self.policy.write_rate / TICKS_PER_SECOND
         self._write_tokens = min(self.policy.write_burst, self._write_tokens + refill)
         self._refilled_at = now
@@ -202,20 +211,20 @@
 
 
 def size_class(size: int) -> int:
-    """Returns the size class of a part: its size is below two to the power of it."""
+    """Returns the size class of a part: the smallest exponent `n` with `size < 2**n`."""
     return size.bit_length()
 
 
 def _combined_score(previous: _RankedPart, score: float, size: int) -> float:
-    """Returns the logarithm of the sum of two rates, at the size that is known now."""
+    """Returns the score for the sum of the two rates, with the previous score converted to the new size."""
     previous_score = previous.score + log2(previous.size) - log2(size)
     return max(previous_score, score) + log2(1 + 2 ** -abs(previous_score - score))
 
 
-def _add_bytes(totals: dict[int, int], name: int, size: int) -> None:
-    """Adds to one of the totals; one that is not positive any more is removed."""
-    total = totals.get(name, 0) + size
+def _add_bytes(totals: dict[int, int], total_key: int, size: int) -> None:
+    """Adds a size, which may be negative, to one of the totals; removes a total that is not positive."""
+    total = totals.get(total_key, 0) + size
     if total > 0:
-        totals[name] = total
+        totals[total_key] = total
     else:
-        totals.pop(name, None)
+        totals.pop(total_key, None)
--- a/ironhinge/disk/checkpoint.py
+++ b/ironhinge/disk/checkpoint.py
@@ -1,4 +1,4 @@
-"""Writes and loads the checkpoint files of a store; the previous checkpoint is kept beside the newest."""
+"""Writes and loads the checkpoint files of a store; the previous checkpoint is kept as a fallback."""
 
 from __future__ import annotations
 
@@ -20,17 +20,20 @@
 
 
 class LogPosition(NamedTuple):
-    """A place in the log."""
+    """A position in the log: a segment number and an offset in its file."""
 
     segment: int
     offset: int
 
 
 def write_checkpoint(state: StoreState, directory: StoreDirectory, writer: LogWriter, identity: bytes) -> int:
-    """Makes the log durable and writes a checkpoint of it; the caller holds the writer's lock.
+    """Flushes and syncs the log, then writes a checkpoint; the caller holds the writer's lock.
 
     Returns:
-        The size of the checkpoint in bytes; 0 where the disk accepts no more writes.
+        The size of the checkpoint in bytes; 0 if the disk accepts no more writes.
+
+    Raises:
+        OSError: the sync failed, or a write failed for a reason other than a full or unwritable disk.
     """
     writer.flush()
     writer.sync()
@@ -55,19 +58,19 @@
 def load_checkpoint(
     state: StoreState, directory: StoreDirectory, identity: bytes, names: list[str]
 ) -> LogPosition | None:
-    """Takes over the newest sound checkpoint.
+    """Loads the newest valid checkpoint into the state.
 
     Args:
-        state: what is loaded goes there.
-        directory: where the files are.
-        identity: of this installation.
-        names: the files that are there.
+        state: is replaced by the contents of the checkpoint.
+        directory: the directory of the store.
+        identity: identity of this installation.
+        names: names of the files in the directory.
 
     Returns:
-        Where the log continues after the checkpoint; None where there is no sound one.
+        The position in the log from which to replay; None if there is no valid checkpoint.
 
     Raises:
-        ForeignStoreError: it is another installation's.
+        ForeignStoreError: the checkpoint belongs to another installation.
     """
     for name in (CHECKPOINT_FILE, PREVIOUS_CHECKPOINT_FILE):
         if name not in names:
@@ -76,7 +79,7 @@
             checkpoint = unpack_checkpoint(memoryview(directory.read(name)))
             if checkpoint.identity != identity:
                 raise ForeignStoreError(
-                    f"{name} is another installation's: found '{identity_name(checkpoint.identity)}', "
+                    f"{name} belongs to another installation: found '{identity_name(checkpoint.identity)}', "
                     f"expected '{identity_name(identity)}'"
                 )
             index = PartIndex(state.max_entries, checkpoint.index_block)
@@ -89,7 +92,7 @@
 
 
 def _capture_checkpoint(state: StoreState, writer: LogWriter, identity: bytes) -> Checkpoint:
-    """Returns all that a checkpoint holds but the index block; the caller holds the lock of the state."""
+    """Copies the state, except the index block, into a checkpoint; the caller holds the state's lock."""
     return Checkpoint(
         identity=identity,
         generation=state.generation,
@@ -106,7 +109,10 @@
 
 
 def _index_chunks(state: StoreState, chunk_count: int) -> Iterator[bytes]:
-    """Yields the index as it was, one chunk at a time: a lookup must not wait for all of it."""
+    """Yields the chunks of the index snapshot.
+
+    The state's lock is taken for one chunk at a time, so that no lookup waits for the copy of a whole index.
+    """
     for number in range(chunk_count):
         with state.lock:
             chunk = state.index.release_chunk(number)
--- a/ironhinge/disk/checkpoint_format.py
+++ b/ironhinge/disk/checkpoint_format.py
@@ -1,7 +1,7 @@
-"""Binary form of checkpoints: what is known at one moment, so that recovery reads only the log's tail.
+"""Binary format of checkpoints: the state of a store, so that recovery replays only the tail of the log.
 
-A header of fixed size is followed by one row for each segment and purge, the index block, and a checksum of
-all of it. This module does no I/O.
+A header of fixed size is followed by one row per segment and per purge, the index block, and a checksum of
+everything before it. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
 from .segments import SegmentUsage
 
 _MAGIC = b"IHcheck\1"
-# magic, version, identity, the seven integers of `Checkpoint`, then the counts of segments, object purges and
-# group purges, and the size of the index block
+# Magic, version, identity, the seven integers of `Checkpoint`, then the number of segments, of object purges
+# and of group purges, and the size of the index block.
 _HEADER = struct.Struct("<8sI16sQQQQQQQIIIQ")
-_SEGMENT_ROW = struct.Struct("<QQQ")  # number, bytes in all, live bytes
-_PURGE_ROW = struct.Struct("<QQ")  # object or group, Unix ms
+_SEGMENT_ROW = struct.Struct("<QQQ")  # number, total bytes, live bytes
+_PURGE_ROW = struct.Struct("<QQ")  # object ID or group, time of the purge in Unix ms
 
 
 class Checkpoint(NamedTuple):
-    """What is known of a store at one moment."""
+    """The state of a store at one moment."""
 
     identity: bytes
-    generation: int  # of the newest record that is included
-    segment: int  # where the log continues
-    offset: int
-    purges_known_until: int  # Unix ms
-    purge_floor: int  # Unix ms; copies produced up to then are void
-    purge_floor_generation: int  # the floor applies to records up to this generation
+    generation: int  # generation of the newest record included
+    segment: int  # replay of the log begins in this segment ...
+    offset: int  # ... at this offset
+    purges_known_until: int  # Unix ms; see `PurgeTable.known_until`
+    purge_floor: int  # Unix ms; see `PurgeTable.floor`
+    purge_floor_generation: int  # see `PurgeTable.floor_generation`
     entry_count: int
     segments: dict[int, SegmentUsage]
-    object_purges: dict[int, int]  # Unix ms by object
-    group_purges: dict[int, int]  # Unix ms by group
+    object_purges: dict[int, int]  # time of the purge in Unix ms, by object ID
+    group_purges: dict[int, int]  # time of the purge in Unix ms, by group
     index_block: bytes = b""
 
 
 def pack_checkpoint(
     checkpoint: Checkpoint, index_chunks: Iterable[bytes], index_size: int
 ) -> Iterator[bytes]:
-    """Yields the bytes of a checkpoint piece by piece.
+    """Yields the bytes of a checkpoint file in pieces.
 
     Args:
-        checkpoint: everything but the index, whose `index_block` is not read.
-        index_chunks: the index block; each chunk is requested only when it is written.
-        index_size: bytes of all chunks together.
+        checkpoint: the checkpoint; its `index_block` is ignored.
+        index_chunks: the index block; iterated lazily, as the pieces are requested.
+        index_size: total bytes of the chunks.
     """
     header = _HEADER.pack(
         _MAGIC,
@@ -76,10 +76,10 @@
 
 
 def unpack_checkpoint(data: memoryview) -> Checkpoint:
-    """Returns the checkpoint that a file holds.
+    """Parses a checkpoint file.
 
     Raises:
-        CorruptRecordError: it is truncated, of another version, damaged, or not a checkpoint.
+        CorruptRecordError: the file is truncated or corrupt, has another version, or is not a checkpoint.
     """
     if len(data) < _HEADER.size + CHECKSUM_SIZE:
         raise CorruptRecordError(
@@ -92,7 +92,9 @@
     groups_end = objects_end + group_count * _PURGE_ROW.size
     end = groups_end + index_size
     if magic != _MAGIC or version != FORMAT_VERSION:
-        raise CorruptRecordError(f"not a checkpoint of version {FORMAT_VERSION}: {magic!r}, {version}")
+        raise CorruptRecordError(
+            f"not a checkpoint of version {FORMAT_VERSION}: magic {magic!r}, version {version}"
+        )
     if end + CHECKSUM_SIZE != len(data):
         raise CorruptRecordError(f"checkpoint of {len(data)} bytes, expected {end + CHECKSUM_SIZE}")
     if xxhash.xxh3_64_digest(data[:end]) != bytes(data[end:]):
--- a/ironhinge/disk/cli.py
+++ b/ironhinge/disk/cli.py
@@ -1,4 +1,7 @@
-"""The commands on a tier's directory. Those that change it take its lock, so its director must be down."""
+"""Commands that inspect and change a tier's directory.
+
+Commands that change it take its lock, which fails while its director runs.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 import click
 
-if TYPE_CHECKING:  # the store is imported only by the commands that open it
+if TYPE_CHECKING:  # at run time only the commands that open a store import it
     from .directory import StoreDirectory
     from .index import IndexEntry
     from .store import Store
@@ -21,31 +24,33 @@
 _STDERR = 2
 _HEX_BASE = 16
 _UNBOUNDED_BYTES = 1 << 60
-_UNLIMITED_RETENTION_MS = 1 << 50  # nothing is served from here, so no copy has to be voided
+# Keeps recovery from raising the purge floor for missed purges: these commands serve no copies, so none has
+# to be invalidated.
+_UNLIMITED_RETENTION_MS = 1 << 50
 _MIN_ENTRIES = 1 << 16
 _MIN_SEGMENT_SIZE = 1 << 24
 
 folder_argument = click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 name_option = click.option(
-    "--name", default="", help="The director's, where it is not the folder's only one."
+    "--name", default="", help="Name of the director; by default, the name stored in the folder."
 )
 json_option = click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
 
 
 @click.group()
 def disk() -> None:
-    """The tier of copies on disk: look at a folder, verify it, make room in it."""
+    """Inspect, verify and compact a folder of the disk tier."""
 
 
 def open_store(folder: Path, name: str, *, read_only: bool) -> Store:
-    """Returns the store of a folder, with limits as large as it needs.
+    """Opens the store in a folder, with limits that its contents do not exceed.
 
-    Ends the program with code 1 where it can't be opened.
+    Exits with code 1 if it can't be opened.
 
     Args:
         folder: the tier's directory.
-        name: the director's; if empty, the one that the first sound segment names.
-        read_only: whether nothing is changed, so that no lock is needed.
+        name: name of the director; if empty, the one in the first valid segment header that has one.
+        read_only: open without the lock and change nothing.
     """
     from .directory import StoreDirectory
     from .errors import ForeignStoreError, StoreLockedError
@@ -71,12 +76,12 @@
 
 
 def _largest_segment(directory: StoreDirectory) -> int:
-    """Returns the size that segments are allowed to have: at least that of each that is there."""
+    """Returns the size of the largest segment, but at least `_MIN_SEGMENT_SIZE`."""
     return max([_MIN_SEGMENT_SIZE, *map(directory.size, _segment_names(directory))])
 
 
 def _stored_director_name(directory: StoreDirectory) -> str:
-    """Returns the director's name as the first sound segment has it, empty where none has one."""
+    """Returns the director's name in the first valid segment header that has one, else an empty string."""
     from .errors import CorruptRecordError
     from .format import identity_name, unpack_segment_header
 
@@ -91,7 +96,10 @@
 
 
 def _checkpoint_entries(directory: StoreDirectory) -> int:
-    """Returns how many entries the checkpoint's index was made for."""
+    """Returns the capacity of the checkpoint's index in entries, or a default if there is no checkpoint.
+
+    The index of a checkpoint is loaded only into a store with the same capacity.
+    """
     from .checkpoint import CHECKPOINT_FILE
     from .checkpoint_format import unpack_checkpoint
     from .errors import CorruptRecordError
@@ -107,7 +115,7 @@
 
 
 def print_statistics(statistics: dict[str, Any], as_json: bool, name_width: int) -> None:
-    """Prints statistics by name, as JSON or as a table."""
+    """Prints statistics with their names, as JSON or as a table."""
     if as_json:
         click.echo(json.dumps(statistics))
         return
@@ -116,7 +124,7 @@
 
 
 def _copy_fields(entry: IndexEntry, *, is_purged: bool) -> dict[str, Any]:
-    """Returns an entry under the names of the `ls` output, which are fixed."""
+    """Returns the fields of an entry by their fixed keys in the output of `ls`."""
     return {
         "obj": f"{entry.object_id:016x}",
         "part": entry.part,
@@ -132,7 +140,7 @@
 
 
 def _for_each_segment(store: Store, label: str, action: Callable[[int], Iterable[int]]) -> int:
-    """Runs all steps of an action on each segment, with a progress bar; returns the sum of the steps."""
+    """Runs an action on each segment, with a progress bar; returns the total of the bytes that it yields."""
     processed_bytes = 0
     segments = list(store.segments)
     hidden = not os.isatty(_STDERR)
@@ -147,7 +155,7 @@
 @name_option
 @json_option
 def status(folder: Path, name: str, as_json: bool) -> None:
-    """What a folder holds, and what its recovery found; also while its director is up."""
+    """Show statistics of a folder and of its recovery; works while its director runs."""
     from .directory import STATUS_FILE
 
     started_at = time.perf_counter()
@@ -169,7 +177,7 @@
 @click.option("--most", "max_copies", type=int, default=100, show_default=True)
 @json_option
 def ls(folder: Path, name: str, max_copies: int, as_json: bool) -> None:
-    """List copies: object, part, bytes, date, segment."""
+    """List copies: object, part, size in bytes, production time (Unix ms), segment."""
     store = open_store(folder, name, read_only=True)
     copies: list[dict[str, Any]] = []
     for entry in store.index.entries():
@@ -191,7 +199,7 @@
 @name_option
 @json_option
 def verify(folder: Path, name: str, as_json: bool) -> None:
-    """Read all copies and check them; code 1 if any is not sound."""
+    """Verify the checksums of all copies; code 1 if a copy is corrupt or a segment is missing."""
     from .state import StoreCounter
 
     store = open_store(folder, name, read_only=True)
@@ -207,7 +215,7 @@
 @name_option
 @json_option
 def compact(folder: Path, name: str, as_json: bool) -> None:
-    """Write anew what is live, segment by segment, and remove the rest."""
+    """Compact all segments: rewrite their live copies and remove the old files."""
     store = open_store(folder, name, read_only=False)
     before = store.used_bytes()
     _for_each_segment(store, "compacting", lambda segment: store.compact(segment, lambda _: True))
@@ -222,7 +230,7 @@
 @name_option
 @json_option
 def drop(folder: Path, object_id: str, name: str, as_json: bool) -> None:
-    """Drop all parts of an object (16 hex digits) that are there."""
+    """Remove the copies of all parts of an object (ID of 16 hex digits); code 1 if there are none."""
     try:
         object_number = int(object_id, _HEX_BASE)
     except ValueError:
--- a/ironhinge/disk/compaction.py
+++ b/ironhinge/disk/compaction.py
@@ -1,7 +1,7 @@
-"""Compaction: writes again what of a segment is live and worth it, then removes the file.
+"""Compaction: writes the records of a segment that are still needed to the end of the log, then removes it.
 
-A crash within leaves the old record, or both; a moved record keeps its generation, so it can't undo a newer
-one.
+After a crash during compaction a record may exist in both places. A moved record keeps its generation, so its
+replay can't override a newer record.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from .state import StoreCounter, StoreState
 from .writer import LogWriter
 
-RetainPredicate = Callable[[IndexEntry], bool]  # whether a copy is worth writing again
+RetainPredicate = Callable[[IndexEntry], bool]  # whether compaction keeps a live copy
 
 
 class Compactor:
-    """Compacts one segment after another; the caller holds the writer's lock during each step."""
+    """Compacts segments; the caller holds the writer's lock during each step."""
 
     def __init__(self, state: StoreState, directory: StoreDirectory, writer: LogWriter):
         self._state = state
@@ -39,11 +39,14 @@
         self._writer = writer
 
     def compact(self, segment: int, retain: RetainPredicate) -> Iterator[int]:
-        """Compacts a segment; yields the bytes that each step has read or written.
+        """Compacts a segment; yields the number of bytes that each step read or wrote.
+
+        While the disk is full, live copies are evicted instead of written again, and the segment is kept if
+        purges of it still wait to be written.
 
         Args:
-            segment: one that is not open for writing; for any other nothing is done.
-            retain: asked for each live copy; one that it refuses is evicted.
+            segment: number of the segment; nothing is done if it is unknown or open for writing.
+            retain: called for each live copy; a copy for which it returns False is evicted.
         """
         with self._state.lock:
             if segment not in self._state.segments or segment == self._writer.open_segment:
@@ -60,12 +63,12 @@
         if self._state.is_full and self._writer.pending:
             return
         self._writer.flush()
-        self._writer.sync()  # the new records are durable before the old ones go
+        self._writer.sync()  # the new records must be durable before the old ones are removed
         self._remove_segment(segment)
         yield moved_bytes
 
     def _read_segment(self, segment: int) -> memoryview:
-        """Returns the bytes of a segment file, none where it can't be read."""
+        """Returns the bytes of a segment file; empty if it can't be read."""
         try:
             return memoryview(self._directory.read(segment_file_name(segment)))
         except OSError:
@@ -82,7 +85,7 @@
     def _move_record(
         self, located: LocatedRecord, data: memoryview, segment: int, retain: RetainPredicate
     ) -> int:
-        """Queues a record again if it is still needed; returns its bytes, else 0."""
+        """Queues a record to be written again if it is still needed; returns its size, else 0."""
         header = located.header
         if header.kind is not RecordKind.PUT:
             return self._requeue_purge(header)
@@ -97,7 +100,7 @@
         return self._move_copy(located, data, entry)
 
     def _move_copy(self, located: LocatedRecord, data: memoryview, entry: IndexEntry) -> int:
-        """Queues a copy again if it is sound; returns the bytes of its record, else 0."""
+        """Queues a copy to be written again if its checksum matches; returns its record's size, else 0."""
         header = located.header
         tag_offset = located.offset + RECORD_HEADER_SIZE
         body_offset = tag_offset + header.tag_size
@@ -125,7 +128,7 @@
         return header.record_size
 
     def _requeue_purge(self, header: RecordHeader) -> int:
-        """Queues a purge again while it is known, so that it outlives its segment; returns its bytes."""
+        """Queues a purge to be written again if it is still in the purge table; returns its size, else 0."""
         with self._state.lock:
             purges = self._state.purges
             match header.kind:
--- a/ironhinge/disk/directory.py
+++ b/ironhinge/disk/directory.py
@@ -1,6 +1,6 @@
-"""The calls to the file system, behind one class so that tests can make any of them fail.
+"""File system calls of the store, in one class so that tests can replace it and make any call fail.
 
-This module does not know what the bytes mean.
+This module does not interpret the bytes.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from .errors import StoreLockedError
 
 NO_DESCRIPTOR = -1
-PARTIAL_SUFFIX = ".part"  # of a file that `replace` has not yet put in place
-STATUS_FILE = "status.json"  # what the tier writes for operators, beside the store
+PARTIAL_SUFFIX = ".part"  # of a file that `replace` is still writing
+STATUS_FILE = "status.json"  # statistics that the tier writes for operators
 _LOCK_FILE = "LOCK"
 _FILE_MODE = 0o644
-_MAX_RETIRED_DESCRIPTORS = 4  # descriptors of removed files that stay open for reads under way
-_PIECES_PER_BATCH = 16  # of a whole file, in one call
-_MAX_PIECES_PER_CALL = 512  # IOV_MAX is 1024 on Linux; each record has up to three pieces
+_MAX_RETIRED_DESCRIPTORS = 4  # descriptors of removed files kept open for reads in progress
+_PIECES_PER_BATCH = 16  # pieces that `replace` writes in one call
+_MAX_PIECES_PER_CALL = 512  # below IOV_MAX, 1024 on Linux; a record has up to three pieces
 
 
 class StoreDirectory:
-    """The files of one directory."""
+    """The files of a store's directory."""
 
     def __init__(self, path: Path, read_only: bool = False):
         self.path = path
@@ -37,10 +37,10 @@
             path.mkdir(parents=True, exist_ok=True)
 
     def lock(self) -> None:
-        """Takes the directory's lock, which the system releases when the process ends.
+        """Takes the directory's lock, which the operating system releases when the process exits.
 
         Raises:
-            StoreLockedError: another process holds it.
+            StoreLockedError: another process holds the lock.
         """
         descriptor = os.open(self.path / _LOCK_FILE, os.O_RDWR | os.O_CREAT, _FILE_MODE)
         try:
@@ -48,7 +48,7 @@
         except OSError:
             os.close(descriptor)
             raise StoreLockedError(
-                f"{self.path} is in use by another process: expected to lock its file {_LOCK_FILE}"
+                f"{self.path} is in use by another process: could not lock its file {_LOCK_FILE}"
             ) from None
         self._lock_descriptor = descriptor
 
@@ -57,15 +57,15 @@
         return sorted(path.name for path in self.path.iterdir())
 
     def create(self, name: str) -> int:
-        """Creates a file and returns a descriptor to write it; `close` closes it.
+        """Creates a file and returns a descriptor for writing, to be closed with `close`.
 
         Raises:
-            FileExistsError: there is such a file.
+            FileExistsError: the file exists already.
         """
         return os.open(self.path / name, os.O_RDWR | os.O_CREAT | os.O_EXCL, _FILE_MODE)
 
     def write(self, descriptor: int, pieces: Sequence[bytes], offset: int) -> None:
-        """Writes all pieces, one behind the other, at an offset."""
+        """Writes all pieces consecutively, starting at an offset."""
         for start in range(0, len(pieces), _MAX_PIECES_PER_CALL):
             batch = pieces[start : start + _MAX_PIECES_PER_CALL]
             size = sum(map(len, batch))
@@ -76,15 +76,15 @@
             offset += size
 
     def sync(self, descriptor: int) -> None:
-        """Makes what was written durable."""
+        """Makes the data written to an open file durable."""
         os.fdatasync(descriptor)
 
     def sync_file(self, name: str) -> None:
-        """Makes a file durable, whoever wrote it."""
+        """Makes a file durable, including data that another process wrote."""
         self._sync_path(self.path / name)
 
     def sync_directory(self) -> None:
-        """Makes the names of the files durable."""
+        """Makes the creation, renaming and removal of files durable."""
         self._sync_path(self.path)
 
     def close(self, descriptor: int) -> None:
@@ -96,11 +96,11 @@
         return (self.path / name).stat().st_size
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file to that many bytes."""
+        """Truncates a file to a size in bytes."""
         os.truncate(self.path / name, size)
 
     def remove(self, name: str) -> None:
-        """Removes a file; reads of it that are under way still succeed."""
+        """Removes a file; reads in progress still succeed, as its descriptor is kept open for a while."""
         descriptor = self._read_descriptors.pop(name, NO_DESCRIPTOR)
         (self.path / name).unlink()
         if descriptor != NO_DESCRIPTOR:
@@ -109,11 +109,11 @@
             os.close(self._retired_descriptors.pop(0))
 
     def rename(self, name: str, new_name: str) -> None:
-        """Renames a file over any that has the new name."""
+        """Renames a file, replacing any file that has the new name."""
         (self.path / name).replace(self.path / new_name)
 
     def replace(self, name: str, pieces: Iterable[bytes]) -> int:
-        """Writes a whole file in one atomic step: a reader finds the old one or the new one.
+        """Replaces a file atomically: after a crash there is either the old file or the new one.
 
         Returns:
             The size of the file in bytes.
@@ -135,7 +135,7 @@
         return (self.path / name).read_bytes()
 
     def read_at(self, name: str, offset: int, *sizes: int) -> list[bytes]:
-        """Returns pieces of these sizes, one behind the other; shorter ones where the file ends."""
+        """Returns consecutive pieces of the given sizes; they are shorter if the file ends before."""
         descriptor = self._read_descriptor(name)
         pieces = []
         for size in sizes:
@@ -154,13 +154,13 @@
             self._lock_descriptor = NO_DESCRIPTOR
 
     def _read_descriptor(self, name: str) -> int:
-        """Returns the descriptor that all reads of a file share."""
+        """Returns the descriptor that all reads of a file share, opening it if needed."""
         descriptor = self._read_descriptors.get(name, NO_DESCRIPTOR)
         if descriptor != NO_DESCRIPTOR:
             return descriptor
         descriptor = os.open(self.path / name, os.O_RDONLY)
         shared = self._read_descriptors.setdefault(name, descriptor)
-        if shared != descriptor:  # another thread opened it in between
+        if shared != descriptor:  # another thread opened the file at the same time
             os.close(descriptor)
         return shared
 
--- a/ironhinge/disk/errors.py
+++ b/ironhinge/disk/errors.py
@@ -8,15 +8,15 @@
 
 
 class DiskError(Exception):
-    """Base class of all errors that the disk tier raises itself."""
+    """Base class of the errors defined by the disk tier."""
 
 
 class CorruptRecordError(DiskError):
-    """Stored bytes are truncated, fail their checksum, or are not the record that was expected."""
+    """Stored bytes are truncated, fail their checksum, or are not the expected record."""
 
 
 class ForeignStoreError(DiskError):
-    """The directory belongs to another installation or to another version of the format."""
+    """The directory belongs to another installation or has another format version."""
 
 
 class StoreLockedError(DiskError):
@@ -24,12 +24,12 @@
 
 
 class IndexSizeError(DiskError, ValueError):
-    """A stored index block does not have the size that the configured capacity needs."""
+    """A stored index block does not have the size for the configured number of entries."""
 
 
 def is_unwritable(error: OSError) -> bool:
-    """Returns whether the error means that the disk accepts no more writes, for now or for good.
+    """Returns whether an error means that the disk accepts no more writes, temporarily or permanently.
 
-    Such errors stop admission and are counted; any other is a fault of the program and is raised.
+    Such errors are counted and stop admission; any other `OSError` is treated as a bug and propagates.
     """
     return error.errno in _UNWRITABLE_ERRNOS
--- a/ironhinge/disk/format.py
+++ b/ironhinge/disk/format.py
@@ -1,8 +1,8 @@
-"""Binary form of records and segment headers.
+"""Binary format of records and segment headers.
 
-A record is a header of fixed size with a checksum of its own, so that the lengths in it can be trusted,
-followed by the tag and the body under a second checksum. Integers are little-endian. A record never spans
-segments. This module does no I/O.
+A record consists of a header of fixed size, the tag and the body. The header has its own checksum, so that
+its lengths can be trusted; a second checksum covers tag and body. Integers are little-endian. A record never
+spans segments. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 CHECKSUM_SIZE = 8  # bytes; xxh3, 64 bits
 
 _RECORD_MAGIC = b"IHr1"
-# magic, kind, tag size, group, object, part, body size, timestamp, generation, checksum of tag and body
+# Magic, kind, tag size, group, object ID, part, body size, timestamp, generation, checksum of tag and body.
 _RECORD_FIELDS = struct.Struct("<4sBBHQIIQQQ")
 RECORD_HEADER_SIZE = _RECORD_FIELDS.size + CHECKSUM_SIZE
 
 _SEGMENT_MAGIC = b"IHseg\0\0\1"
-_SEGMENT_FIELDS = struct.Struct("<8sI16sQQ")  # magic, version, identity, number, first generation
+_SEGMENT_FIELDS = struct.Struct("<8sI16sQQ")  # magic, version, identity, number, generation
 SEGMENT_HEADER_SIZE = _SEGMENT_FIELDS.size + CHECKSUM_SIZE
 _SEGMENT_EXTENSION = "seg"
 _SEGMENT_NAME_DIGITS = 12
@@ -36,27 +36,27 @@
 
 
 class RecordKind(IntEnum):
-    """What a record says; the values are stored."""
+    """The kind of a record; the values are stored on disk."""
 
     PUT = 1  # a copy
-    DROP = 2  # a tombstone of one copy
+    DROP = 2  # the tombstone of one copy
     PURGE_OBJECT = 3
     PURGE_GROUP = 4
-    DISCOVERY_PROGRESS = 5  # every purge up to the timestamp is known
+    DISCOVERY_PROGRESS = 5  # all purges up to the timestamp are known
 
 
 _KIND_BY_VALUE = {kind.value: kind for kind in RecordKind}
 
 
 class Record(NamedTuple):
-    """A record to be packed; fields that its kind does not use stay at their defaults."""
+    """A record to be packed; fields that its kind does not use keep their defaults."""
 
     kind: RecordKind
     generation: int
     object_id: int = 0
     part: int = 0
     group: int = 0
-    timestamp: int = 0  # Unix ms: when the origin produced the copy, or up to when the purge applies
+    timestamp: int = 0  # Unix ms: production time of the copy, time of the purge, or discovery progress
     tag: bytes = b""
     body: bytes = b""
 
@@ -76,12 +76,12 @@
 
     @property
     def record_size(self) -> int:
-        """Bytes of the whole record."""
+        """Size of the whole record in bytes."""
         return RECORD_HEADER_SIZE + self.tag_size + self.body_size
 
 
 class LocatedRecord(NamedTuple):
-    """A record in a segment: its header and the offset at which it begins."""
+    """The header of a record in a segment and the offset at which the record begins."""
 
     header: RecordHeader
     offset: int
@@ -93,7 +93,7 @@
     version: int
     identity: bytes
     number: int
-    generation: int  # the newest one when the segment was started
+    generation: int  # generation of the newest record when the segment was started
 
 
 def _checksum(tag: Buffer, body: Buffer) -> int:
@@ -104,7 +104,7 @@
 
 
 def pack_record(record: Record) -> tuple[bytes, ...]:
-    """Returns the bytes of a record in pieces, so that a long body is not copied."""
+    """Returns the bytes of a record in pieces, which avoids copying a long body."""
     header = _RECORD_FIELDS.pack(
         _RECORD_MAGIC,
         record.kind,
@@ -124,7 +124,7 @@
     """Returns the record header at the start of `data`.
 
     Raises:
-        CorruptRecordError: the bytes are not a sound header.
+        CorruptRecordError: the bytes are not a valid record header.
     """
     if len(data) < RECORD_HEADER_SIZE:
         raise CorruptRecordError(f"truncated record header: {len(data)} bytes, expected {RECORD_HEADER_SIZE}")
@@ -136,7 +136,9 @@
         raise CorruptRecordError("record header does not match its checksum")
     kind = _KIND_BY_VALUE.get(kind_value)
     if kind is None:
-        raise CorruptRecordError(f"record of kind {kind_value}, expected one of {sorted(_KIND_BY_VALUE)}")
+        raise CorruptRecordError(
+            f"unknown record kind {kind_value}, expected one of {sorted(_KIND_BY_VALUE)}"
+        )
     header = RecordHeader(kind, *fields)
     if header.body_size > MAX_BODY_SIZE:
         raise CorruptRecordError(f"record body of {header.body_size} bytes, expected at most {MAX_BODY_SIZE}")
@@ -144,7 +146,7 @@
 
 
 def verify_content(header: RecordHeader, tag: Buffer, body: Buffer) -> None:
-    """Checks tag and body against the header.
+    """Verifies the checksum of tag and body.
 
     Raises:
         CorruptRecordError: the checksum does not match.
@@ -158,12 +160,12 @@
 
 
 def scan_records(data: memoryview, offset: int, *, verify_bodies: bool) -> Iterator[LocatedRecord]:
-    """Yields the records of a segment from an offset on, up to the first that is not sound.
+    """Yields the records of a segment from an offset on and stops before the first corrupt or truncated one.
 
     Args:
         data: the bytes of the whole segment.
         offset: where the first record begins.
-        verify_bodies: whether tags and bodies are checked too, not headers alone.
+        verify_bodies: whether to verify tags and bodies too, instead of headers only.
     """
     while offset + RECORD_HEADER_SIZE <= len(data):
         try:
@@ -181,7 +183,7 @@
 
 
 def pack_segment_header(identity: bytes, number: int, generation: int) -> bytes:
-    """Returns the bytes with which a segment file begins."""
+    """Returns the bytes of a segment header."""
     header = _SEGMENT_FIELDS.pack(_SEGMENT_MAGIC, FORMAT_VERSION, identity, number, generation)
     return header + xxhash.xxh3_64_digest(header)
 
@@ -190,10 +192,12 @@
     """Returns the header at the start of a segment file.
 
     Raises:
-        CorruptRecordError: the bytes are not a sound segment header.
+        CorruptRecordError: the bytes are not a valid segment header.
     """
     if len(data) < SEGMENT_HEADER_SIZE or not data.startswith(_SEGMENT_MAGIC):
-        raise CorruptRecordError(f"not a segment: {len(data)} bytes, expected a start of {_SEGMENT_MAGIC!r}")
+        raise CorruptRecordError(
+            f"not a segment: {len(data)} bytes, expected a header that begins with {_SEGMENT_MAGIC!r}"
+        )
     expected = data[_SEGMENT_FIELDS.size : SEGMENT_HEADER_SIZE]
     if xxhash.xxh3_64_digest(data[: _SEGMENT_FIELDS.size]) != expected:
         raise CorruptRecordError("segment header does not match its checksum")
@@ -201,17 +205,17 @@
 
 
 def identity_name(identity: bytes) -> str:
-    """Returns the name that an identity was made from, as far as it fits."""
+    """Returns the installation name in an identity, which is truncated to `IDENTITY_SIZE` bytes."""
     return identity.rstrip(b"\0").decode(errors="replace")
 
 
 def segment_file_name(number: int) -> str:
-    """Returns the name of the file of a segment."""
+    """Returns the file name of a segment."""
     return f"{number:0{_SEGMENT_NAME_DIGITS}x}.{_SEGMENT_EXTENSION}"
 
 
 def segment_number(file_name: str) -> int | None:
-    """Returns the number of the segment that a file holds, or None if it holds none."""
+    """Returns the number of the segment with a file name, or None if it is not the name of a segment file."""
     stem, _, extension = file_name.partition(".")
     if extension != _SEGMENT_EXTENSION or len(stem) != _SEGMENT_NAME_DIGITS:
         return None
--- a/ironhinge/disk/index.py
+++ b/ironhinge/disk/index.py
@@ -1,7 +1,7 @@
-"""The index from parts to the places of their records: an open-addressed table in one block of bytes.
+"""The index: maps each part to the location of its record, with open addressing in one block of bytes.
 
-The table never grows: all slots are allocated at the start and at most three quarters of them are used, so an
-entry costs 59 to 118 bytes. Checkpoints store the block as it stands.
+The table never grows: all slots are allocated at the start and at most three quarters of them are used, so at
+full capacity an entry costs 59 to 118 bytes. Checkpoints store the block unchanged.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from .errors import IndexSizeError
 from .format import RECORD_HEADER_SIZE
 
-# object, part, segment, offset, body size, timestamp, generation, group, tag size, whether the slot is used
+# Object ID, part, segment, offset, body size, timestamp, generation, group, tag size, 1 if the slot is used.
 _SLOT = struct.Struct("<QIIIIQQHBB")
-_KEY = struct.Struct("<QI")  # the start of a slot
+_KEY = struct.Struct("<QI")  # object ID and part, the first fields of a slot
 SLOT_SIZE = _SLOT.size
-_USED_OFFSET = SLOT_SIZE - 1  # of the byte that says whether a slot is used
-MAX_LOAD = 0.75  # share of slots in use
+_USED_OFFSET = SLOT_SIZE - 1  # offset in a slot of the byte that marks it as used
+MAX_LOAD = 0.75  # maximum fraction of slots in use
 _MIN_SLOTS = 16
-_CHUNK_SLOTS = 1024  # slots that a snapshot copies together
+_CHUNK_SLOTS = 1024  # slots that a snapshot copies at once
 _CHUNK_SIZE = _CHUNK_SLOTS * SLOT_SIZE
 _MASK_64 = (1 << 64) - 1
 _OBJECT_MULTIPLIER = 0x9E3779B97F4A7C15
@@ -29,48 +29,48 @@
 
 
 class PartKey(NamedTuple):
-    """Names one part of one object."""
+    """Identifies one part of an object."""
 
     object_id: int
     part: int
 
 
 class IndexEntry(NamedTuple):
-    """Where the record of a part's copy is, and what the record's header says of it."""
+    """The location of the record of a part's copy, and fields of the record's header."""
 
     object_id: int
     part: int
     segment: int
     offset: int
     body_size: int
-    produced_at: int  # Unix ms at which the origin produced the copy
+    produced_at: int  # time at which the origin produced the copy, in Unix ms
     generation: int
     group: int
     tag_size: int
 
     @property
     def key(self) -> PartKey:
-        """The part that the copy is of."""
+        """The key of the part."""
         return PartKey(self.object_id, self.part)
 
     @property
     def record_size(self) -> int:
-        """Bytes of the whole record."""
+        """Size of the whole record in bytes."""
         return RECORD_HEADER_SIZE + self.tag_size + self.body_size
 
 
 class PartIndex:
-    """An open-addressed hash table of fixed size; a snapshot of it can be taken while it changes."""
+    """An open-addressing hash table of fixed size, with snapshots that stay consistent while it changes."""
 
     def __init__(self, min_capacity: int, block: bytes | None = None):
-        """Allocates the slots, or takes over the block of a checkpoint.
+        """Allocates empty slots, or copies the block of a checkpoint.
 
         Args:
-            min_capacity: how many entries must fit.
-            block: the slots as a checkpoint stored them.
+            min_capacity: number of entries that must fit.
+            block: the slots stored in a checkpoint; the caller then sets `entry_count`.
 
         Raises:
-            IndexSizeError: the block was stored for another capacity.
+            IndexSizeError: the size of the block does not match the capacity.
         """
         slot_count = _MIN_SLOTS
         while slot_count * MAX_LOAD < min_capacity:
@@ -84,23 +84,25 @@
         self.block = bytearray(size) if block is None else bytearray(block)
         self.entry_count = 0
         self._slot_mask = slot_count - 1
-        self._snapshot: list[bytes | None] | None = None  # the chunks copied so far, while one is taken
+        self._snapshot: list[bytes | None] | None = (
+            None  # chunks copied so far; None: no snapshot in progress
+        )
 
     def __len__(self) -> int:
         return self.entry_count
 
     def begin_snapshot(self) -> int:
-        """Fixes the block as it is now: from here on a chunk is copied before it changes.
+        """Begins a copy-on-write snapshot: from now on a chunk is copied before it changes.
 
         Returns:
-            The number of chunks.
+            The number of chunks of the snapshot.
         """
         chunk_count = -(-len(self.block) // _CHUNK_SIZE)
         self._snapshot = [None] * chunk_count
         return chunk_count
 
     def snapshot_chunk(self, number: int) -> bytes:
-        """Returns a chunk as it was when the snapshot began."""
+        """Returns a chunk with its contents at the beginning of the snapshot."""
         assert self._snapshot is not None, "no snapshot has begun"
         chunk = self._snapshot[number]
         if chunk is None:
@@ -109,25 +111,25 @@
         return chunk
 
     def release_chunk(self, number: int) -> bytes:
-        """Returns a chunk of the snapshot and frees it, so that not all of them stay in memory."""
+        """Returns a chunk of the snapshot and frees it, to save memory; each chunk can be released once."""
         chunk = self.snapshot_chunk(number)
         if self._snapshot is not None:
             self._snapshot[number] = b""
         return chunk
 
     def end_snapshot(self) -> None:
-        """Frees what is left of the snapshot."""
+        """Ends the snapshot and frees its remaining chunks."""
         self._snapshot = None
 
     def get(self, key: PartKey) -> IndexEntry | None:
-        """Returns the entry of a part."""
+        """Returns the entry of a part, or None if there is none."""
         slot, is_used = self._find_slot(key)
         if not is_used:
             return None
         return IndexEntry(*_SLOT.unpack_from(self.block, slot * SLOT_SIZE)[:-1])
 
     def put(self, entry: IndexEntry) -> bool:
-        """Adds or replaces an entry; returns False where the index is full."""
+        """Adds or replaces an entry; returns False if the index is full."""
         slot, is_used = self._find_slot(entry.key)
         if not is_used:
             if self.entry_count >= self.capacity:
@@ -140,7 +142,7 @@
     def remove(self, key: PartKey) -> bool:
         """Removes an entry; returns whether there was one.
 
-        Entries behind it move up, so that no gap ends a later search too early.
+        Entries after it are shifted back into the gap, because an empty slot ends the search for a key.
         """
         gap, is_used = self._find_slot(key)
         if not is_used:
@@ -160,13 +162,13 @@
         return True
 
     def entries(self) -> Iterator[IndexEntry]:
-        """Yields all entries in the order of their slots."""
+        """Yields all entries in slot order."""
         for start in range(0, len(self.block), SLOT_SIZE):
             if self.block[start + _USED_OFFSET]:
                 yield IndexEntry(*_SLOT.unpack_from(self.block, start)[:-1])
 
     def _preferred_slot(self, key: PartKey) -> int:
-        """Returns the slot that the hash of a key names."""
+        """Returns the slot at which the search for a key starts, from the hash of the key."""
         object_id, part = key
         hash_value = (object_id * _OBJECT_MULTIPLIER + part * _PART_MULTIPLIER) & _MASK_64
         hash_value ^= hash_value >> 29
@@ -174,7 +176,7 @@
         return (hash_value ^ (hash_value >> 32)) & self._slot_mask
 
     def _find_slot(self, key: PartKey) -> tuple[int, bool]:
-        """Returns the slot of a key, or the free one where it belongs, and whether the slot is used."""
+        """Returns the slot of a key, or the free slot for it, and whether the slot is used."""
         block = self.block
         slot = self._preferred_slot(key)
         while block[slot * SLOT_SIZE + _USED_OFFSET]:
@@ -188,6 +190,6 @@
         self.block[slot * SLOT_SIZE : (slot + 1) * SLOT_SIZE] = data
 
     def _preserve_chunk(self, slot: int) -> None:
-        """Copies the slot's chunk into the snapshot, where one is being taken."""
+        """Copies the chunk of a slot into the snapshot in progress, if any, before the slot changes."""
         if self._snapshot is not None:
             self.snapshot_chunk(slot // _CHUNK_SLOTS)
--- a/ironhinge/disk/reader.py
+++ b/ironhinge/disk/reader.py
@@ -1,4 +1,4 @@
-"""Reads copies and verifies them: bytes that fail their checksum are never returned."""
+"""Reads and verifies copies: bytes that fail their checksum are never returned."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from .index import IndexEntry, PartKey
 from .state import StoreCounter, StoreState
 
-STEP_BYTES = 1 << 20  # that a step of background work reads or writes
+STEP_BYTES = 1 << 20  # bytes that a step of background work reads or writes before it yields
 
 
 class Copy(NamedTuple):
-    """A part's body as the origin produced it, and its validator."""
+    """A copy of a part: the body that the origin produced, with its validator and production time."""
 
-    tag: bytes
+    tag: bytes  # validator of the body
     produced_at: int  # Unix ms
     body: bytes
 
 
 class CopyReader:
-    """Reads what the index points to; any number of threads may use it."""
+    """Reads the copies that the index points to; any number of threads may use it."""
 
     def __init__(self, state: StoreState, directory: StoreDirectory):
         self._state = state
         self._directory = directory
 
     def get(self, key: PartKey) -> Copy | None:
-        """Returns the copy of a part, or None where there is none that may be served."""
+        """Returns the copy of a part, or None if there is none that may be served."""
         entry = self._state.find(key)
         if entry is None:
             return None
         copy = self.read(entry)
-        if copy is None:  # compaction may have moved it meanwhile
+        if copy is None:  # compaction may have moved the record in the meantime
             entry = self._state.find(key)
             copy = self.read(entry) if entry is not None else None
         if copy is not None and entry is not None and self._state.is_purged(entry):
@@ -52,7 +52,7 @@
     def read(self, entry: IndexEntry) -> Copy | None:
         """Returns the copy that an entry points to.
 
-        One that is missing, unreadable or corrupt is counted, removed from the index, and None is returned.
+        If it is missing, unreadable or corrupt, counts that, removes the entry and returns None.
         """
         try:
             return self._read_verified(entry)
@@ -67,7 +67,7 @@
         return None
 
     def scrub(self, segment: int) -> Iterator[int]:
-        """Verifies all live copies of a segment; yields the bytes that each step has read."""
+        """Verifies all live copies of a segment; yields the number of body bytes that each step read."""
         with self._state.lock:
             entries = [entry for entry in self._state.index.entries() if entry.segment == segment]
         step_bytes = 0
@@ -86,8 +86,8 @@
         """Returns the copy that an entry points to.
 
         Raises:
-            CorruptRecordError: the bytes are not that copy.
-            OSError: they could not be read.
+            CorruptRecordError: the bytes are not a valid record of that copy.
+            OSError: the file could not be read.
         """
         name = segment_file_name(entry.segment)
         start_size = RECORD_HEADER_SIZE + entry.tag_size
@@ -106,7 +106,7 @@
 
 
 def _matches_entry(header: RecordHeader, entry: IndexEntry) -> bool:
-    """Returns whether a header is that of the copy in the index."""
+    """Returns whether a record header belongs to the copy of an index entry."""
     return (
         header.kind is RecordKind.PUT
         and (header.object_id, header.part) == entry.key
--- a/ironhinge/disk/recovery.py
+++ b/ironhinge/disk/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery at the start: the newest sound checkpoint, then the log from where the checkpoint ends."""
+"""Recovery at startup: loads the newest valid checkpoint and replays the log from its position."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Recovery:
-    """Brings the state of a store back from its directory."""
+    """Restores the state of a store from its directory."""
 
     def __init__(
         self, state: StoreState, directory: StoreDirectory, identity: bytes, purge_retention_ms: int
@@ -29,13 +29,13 @@
         self._purge_retention_ms = purge_retention_ms
 
     def run(self) -> int:
-        """Recovers everything; a directory that is not read-only is cleaned up and made durable.
+        """Restores the state; unless the directory is read-only, also cleans it up and makes it durable.
 
         Returns:
-            The number of the newest segment; 0 where there is none.
+            The number of the newest segment; 0 if there is none.
 
         Raises:
-            ForeignStoreError: the directory is another installation's or of another version.
+            ForeignStoreError: the directory belongs to another installation or has another format version.
         """
         names = self._directory.names()
         self._remove_partial_files(names)
@@ -45,7 +45,7 @@
         for number in segment_numbers:
             if position is not None and number == position.segment:
                 self._replay(number, position.offset)
-            elif position is None or number not in self._state.segments:  # else the checkpoint has all of it
+            elif position is None or number not in self._state.segments:  # else: in the checkpoint
                 self._replay(number, 0)
         if segment_numbers and not self._directory.read_only:
             self._directory.sync_directory()
@@ -53,7 +53,7 @@
         return max(segment_numbers, default=0)
 
     def _remove_partial_files(self, names: list[str]) -> None:
-        """Removes files that were begun and not put in place."""
+        """Removes temporary files of replacements that were not completed."""
         if self._directory.read_only:
             return
         for name in names:
@@ -61,13 +61,13 @@
                 self._directory.remove(name)
 
     def _forget_missing_segments(self, segment_numbers: list[int]) -> None:
-        """Forgets segments that were removed by someone else; their entries are misses when looked up."""
+        """Removes segments from the state whose files are gone; lookups of their entries are misses."""
         for number in [number for number in self._state.segments if number not in segment_numbers]:
             self._state.segments.discard(number)
             self._state.count(StoreCounter.MISSING_SEGMENTS)
 
     def _replay(self, number: int, offset: int) -> None:
-        """Applies the records of a segment from an offset on, and cuts off a torn tail."""
+        """Applies the records of a segment from an offset on and truncates a torn tail."""
         name = segment_file_name(number)
         try:
             data = memoryview(self._directory.read(name))
@@ -86,17 +86,17 @@
         if end < len(data):
             self._truncate_torn_tail(name, end, len(data))
         if not self._directory.read_only and end > SEGMENT_HEADER_SIZE:
-            # A process that was killed may have written it without syncing it, and the next checkpoint will
-            # say that it is durable.
+            # A process that was killed may have written to this segment without a sync, but the next
+            # checkpoint will treat its records as durable.
             self._directory.sync_file(name)
 
     def _has_valid_header(self, name: str, number: int, data: memoryview) -> bool:
-        """Checks the header of a segment and discards a file that has none.
+        """Checks the header of a segment; discards the file if it has no valid header.
 
         Raises:
-            ForeignStoreError: it is another installation's or of another version.
+            ForeignStoreError: the segment belongs to another installation or has another format version.
         """
-        if len(data) < SEGMENT_HEADER_SIZE:  # created, and nothing written
+        if len(data) < SEGMENT_HEADER_SIZE:  # the file was created, but the header not written
             self._discard_segment(name, number)
             return False
         try:
@@ -107,7 +107,7 @@
             return False
         if header.version != FORMAT_VERSION or header.identity != self._identity:
             raise ForeignStoreError(
-                f"{name} is of version {header.version} or of another installation: found "
+                f"{name} has version {header.version} or belongs to another installation: found "
                 f"'{identity_name(header.identity)}', expected version {FORMAT_VERSION} and "
                 f"'{identity_name(self._identity)}'"
             )
@@ -125,12 +125,12 @@
             self._directory.truncate(name, end)
 
     def _check_purges(self) -> None:
-        """Raises the purge floor where purges may have been missed, or ages can't be known."""
+        """Raises the purge floor if purges may have been missed or the ages of copies are unknown."""
         now_ms = self._state.now_ms()
         known_until = self._state.purges.known_until
         if known_until > now_ms + MAX_CLOCK_SKEW_MS:  # the clock was set back
             self._state.raise_purge_floor(known_until)
         elif known_until < now_ms - self._purge_retention_ms:
-            # The control plane repeats only the purges of the retention time: what came between the last
-            # known one and that can't be learned any more.
+            # The control plane repeats purges only for the retention time. Older ones that were issued after
+            # `known_until` have been missed.
             self._state.raise_purge_floor(now_ms - self._purge_retention_ms)
--- a/ironhinge/disk/segments.py
+++ b/ironhinge/disk/segments.py
@@ -1,4 +1,4 @@
-"""How many bytes of each segment file are in use, and which one compaction should take next."""
+"""Total and live bytes of each segment file, and the choice of the segment to compact next."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @dataclass(slots=True)
 class SegmentUsage:
-    """Bytes of one segment file."""
+    """Sizes of one segment file."""
 
     total_bytes: int
-    live_bytes: int
+    live_bytes: int  # bytes of records that the index points to
 
     @property
     def live_share(self) -> float:
-        """The part of the file that compaction would have to write again."""
+        """The fraction of the file that compaction would have to write again."""
         return self.live_bytes / self.total_bytes
 
 
 class SegmentTable:
-    """The segments of a store by number, in the order in which they were found or started."""
+    """The segments of a store by number, in the order in which they were added."""
 
     def __init__(self, usages: Mapping[int, SegmentUsage] | None = None):
         self._usages = dict(sorted(usages.items())) if usages is not None else {}
@@ -38,11 +38,11 @@
         return number in self._usages
 
     def add(self, number: int) -> None:
-        """Adds a segment that holds only its header, unless it is there already."""
+        """Adds a segment that contains only its header, unless the table already has it."""
         self._usages.setdefault(number, SegmentUsage(SEGMENT_HEADER_SIZE, 0))
 
     def discard(self, number: int) -> None:
-        """Removes a segment if it is there."""
+        """Removes a segment, if the table has it."""
         self._usages.pop(number, None)
 
     def set_total(self, number: int, total_bytes: int) -> None:
@@ -55,23 +55,23 @@
         usage.total_bytes = max(usage.total_bytes, total_bytes)
 
     def add_live(self, entry: IndexEntry) -> None:
-        """Counts an entry's record as live, where its segment is still there."""
+        """Counts an entry's record as live, if its segment still exists."""
         usage = self._usages.get(entry.segment)
         if usage is not None:
             usage.live_bytes += entry.record_size
 
     def remove_live(self, entry: IndexEntry) -> None:
-        """Counts an entry's record as dead, where its segment is still there."""
+        """Counts an entry's record as dead, if its segment still exists."""
         usage = self._usages.get(entry.segment)
         if usage is not None:
             usage.live_bytes -= entry.record_size
 
     def total_bytes(self) -> int:
-        """Returns the bytes of all segment files."""
+        """Returns the total size of all segment files in bytes."""
         return sum(usage.total_bytes for usage in self._usages.values())
 
     def live_bytes(self) -> int:
-        """Returns the bytes of all live records."""
+        """Returns the total size of all live records in bytes."""
         return sum(usage.live_bytes for usage in self._usages.values())
 
     def snapshot(self) -> dict[int, SegmentUsage]:
@@ -79,10 +79,10 @@
         return {number: replace(usage) for number, usage in self._usages.items()}
 
     def compaction_candidate(self, active: int | None) -> int | None:
-        """Returns the segment with the smallest live share, of equal ones the oldest.
+        """Returns the segment with the smallest live share, the oldest on a tie; None if there is none.
 
         Args:
-            active: the segment that is being written, which can't be compacted.
+            active: the segment that is open for writing, which can't be compacted.
         """
         closed = [number for number in self._usages if number != active]
         if not closed:
--- a/ironhinge/disk/state.py
+++ b/ironhinge/disk/state.py
@@ -1,4 +1,4 @@
-"""What a store knows in memory: the index, the segments, the purges, and the counters of its status."""
+"""The state of a store in memory: index, segments, purges and status counters."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from .purges import PurgeTable
 from .segments import SegmentTable
 
-MAX_CLOCK_SKEW_MS = 60_000  # a copy produced further in the future was stamped before the clock was set back
+# A time further in the future than this was stamped before the wall clock was set back.
+MAX_CLOCK_SKEW_MS = 60_000
 
 
 class StoreCounter(StrEnum):
-    """What a store counts; the values are the names in its status."""
+    """Counters of a store; the values are keys of its status output."""
 
     BYTES_MOVED = "bytes_moved"
     BYTES_TORN = "bytes_torn"
@@ -35,9 +36,9 @@
 
 
 class StoreState:
-    """The state that reading, writing, compaction and recovery share.
+    """The state shared by reading, writing, compaction and recovery.
 
-    `lock` guards all of it and is never held while the disk works.
+    `lock` guards all of it and is never held during disk I/O.
     """
 
     def __init__(self, max_entries: int, now_ms: Callable[[], int]):
@@ -48,20 +49,23 @@
         self.index = PartIndex(max_entries)
         self.segments = SegmentTable()
         self.purges = PurgeTable()
-        self.generation = 0  # of the newest record
+        self.generation = 0  # generation of the newest record
         self.is_full = False  # the disk accepts no more writes
 
     def count(self, counter: StoreCounter, amount: int = 1) -> None:
-        """Adds to a counter."""
+        """Increments a counter."""
         self.counters[counter] = self.counters.get(counter, 0) + amount
 
     def next_generation(self) -> int:
-        """Returns the generation of a new record."""
+        """Returns the generation for a new record."""
         self.generation += 1
         return self.generation
 
     def insert(self, entry: IndexEntry, previous: IndexEntry | None) -> None:
-        """Puts an entry into the index, in place of the previous one of its part."""
+        """Adds an entry to the index, replacing the previous entry of its part.
+
+        If the index is full, counts that and does nothing.
+        """
         if not self.index.put(entry):
             self.count(StoreCounter.INDEX_FULL)
             return
@@ -70,7 +74,7 @@
             self.segments.remove_live(previous)
 
     def remove(self, entry: IndexEntry) -> None:
-        """Removes an entry from the index, where it is there."""
+        """Removes an entry from the index, if present."""
         if self.index.remove(entry.key):
             self.segments.remove_live(entry)
 
@@ -82,7 +86,7 @@
                 self.remove(current)
 
     def find(self, key: PartKey) -> IndexEntry | None:
-        """Returns the entry of a part if its copy may still be served, else removes it."""
+        """Returns the entry of a part if its copy may be served; otherwise removes it and returns None."""
         with self.lock:
             entry = self.index.get(key)
             if entry is None:
@@ -93,25 +97,25 @@
             return entry
 
     def is_purged(self, entry: IndexEntry) -> bool:
-        """Returns whether a copy must not be served: it is purged, or from a clock that was set back."""
+        """Returns whether a copy must not be served: it is purged, or was stamped before a clock setback."""
         return self.purges.invalidates(entry) or entry.produced_at > self.now_ms() + MAX_CLOCK_SKEW_MS
 
     def purge_object(self, object_id: int, purged_at: int) -> None:
-        """Voids the copies of an object that the origin produced up to then, in Unix milliseconds."""
+        """Invalidates the copies of an object that the origin produced up to `purged_at` (Unix ms)."""
         for dropped_at in self.purges.record_object(object_id, purged_at):
             self.raise_purge_floor(dropped_at)
 
     def raise_purge_floor(self, unix_ms: int) -> None:
-        """Voids all copies produced up to then.
+        """Invalidates all copies stored so far that were produced up to a time.
 
-        Those of records that come later are not affected: whoever brings them has checked them.
+        Copies stored later are not affected: their caller has already checked them against its purges.
         """
         if self.generation:
             self.purges.raise_floor(unix_ms, self.generation)
             self.count(StoreCounter.PURGE_FLOOR_RAISED)
 
     def apply(self, header: RecordHeader, segment: int, offset: int) -> None:
-        """Replays a record that recovery found in the log."""
+        """Applies a record that recovery reads from the log."""
         self.generation = max(self.generation, header.generation)
         match header.kind:
             case RecordKind.PUT:
--- a/ironhinge/disk/store.py
+++ b/ironhinge/disk/store.py
@@ -1,10 +1,10 @@
-"""The store of copies: a log of records in segment files, an index of it in memory, and its recovery.
+"""The store of copies: a log of records in segment files with an index in memory.
 
-The store is synchronous: one thread writes, any number read, and no work runs in the background. A copy that
-was put is readable once `flush` has written it and survives a power cut once `sync` has returned. A power cut
-before that costs the newest copies, never a wrong one. A copy that was replaced or dropped may come back
-after a crash as the older one with its own date, so callers hold dates against purges; `get` does so for all
-that the store knows of.
+The store is synchronous: one thread writes, any number of threads read, and nothing runs in the background. A
+copy is readable once `flush` has written it and survives a power cut once `sync` has returned. A power cut
+before that loses the newest copies, but never leaves a wrong one. After a crash, a copy that was replaced or
+dropped may reappear with its original production time. Callers therefore compare production times with
+purges; `get` does so for the purges that the store knows.
 """
 
 from __future__ import annotations
@@ -26,32 +26,32 @@
 
 
 class StoreLimits(NamedTuple):
-    """Bounds of a store."""
+    """Limits of a store."""
 
-    capacity: int = 1 << 30  # bytes on disk, checkpoints not counted
+    capacity: int = 1 << 30  # bytes on disk, without checkpoints
     segment_size: int = 1 << 24  # bytes
     max_entries: int = 1 << 20
-    purge_retention_ms: int = 0  # for how long the control plane repeats a purge
+    purge_retention_ms: int = 0  # time for which the control plane repeats a purge
 
 
 class Store:
-    """The copies in one directory."""
+    """The store of copies in one directory."""
 
     def __init__(
         self, directory: StoreDirectory, identity: bytes, limits: StoreLimits, now_ms: Callable[[], int]
     ):
-        """Locks the directory, unless it is read-only, and recovers what it holds.
+        """Locks the directory, unless it is read-only, and recovers its contents.
 
         Args:
-            directory: where the files are.
-            identity: of the installation; only its first 16 bytes count.
-            limits: the bounds; `max_entries` must be that of the checkpoint for the checkpoint to count.
-            now_ms: the wall clock, in Unix milliseconds.
+            directory: the directory of the store.
+            identity: identity of the installation; only its first 16 bytes are used.
+            limits: the limits; a checkpoint written with an index of another size is ignored.
+            now_ms: returns the wall-clock time in Unix milliseconds.
 
         Raises:
-            StoreLockedError: another process has the directory.
-            ForeignStoreError: it is another installation's or of another version.
-            OSError: the file system failed.
+            StoreLockedError: another process has locked the directory.
+            ForeignStoreError: the directory belongs to another installation or has another format version.
+            OSError: a file system call failed.
         """
         self.directory = directory
         self.limits = limits
@@ -67,12 +67,12 @@
 
     @property
     def counters(self) -> dict[StoreCounter, int]:
-        """What has been counted since the start; a counter appears with its first event."""
+        """The counters since the store was opened; a counter is absent while it is zero."""
         return self.state.counters
 
     @property
     def index(self) -> PartIndex:
-        """Where each copy is."""
+        """The index of the copies."""
         return self.state.index
 
     @property
@@ -87,28 +87,28 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes that wait to be written."""
+        """Bytes that are queued to be written."""
         return self.writer.pending_bytes
 
     @property
     def write_lock(self) -> threading.RLock:
-        """The lock of whoever writes, compacts or takes a checkpoint."""
+        """The lock held while writing, compacting or taking a checkpoint."""
         return self.writer.lock
 
     def find(self, key: PartKey) -> IndexEntry | None:
-        """Returns the entry of a part's copy if it may be served; does not touch the disk."""
+        """Returns the entry of a part's copy if it may be served; does no I/O."""
         return self.state.find(key)
 
     def get(self, key: PartKey) -> Copy | None:
-        """Returns a part's copy, verified, or None where there is none that may be served."""
+        """Returns a part's verified copy, or None if there is none that may be served."""
         return self._reader.get(key)
 
     def is_purged(self, entry: IndexEntry) -> bool:
-        """Returns whether a copy must not be served any more."""
+        """Returns whether a copy must no longer be served."""
         return self.state.is_purged(entry)
 
     def put(self, key: PartKey, group: int, copy: Copy) -> bool:
-        """Queues a copy; returns False where it can't be stored or is purged already."""
+        """Queues a copy to be written; returns False if it can't be stored or is already purged."""
         record_size = RECORD_HEADER_SIZE + len(copy.tag) + len(copy.body)
         with self.state.lock:
             if self.directory.read_only or self.is_full:
@@ -124,7 +124,7 @@
             return True
 
     def drop(self, key: PartKey) -> bool:
-        """Removes a part's copy; returns whether there was one."""
+        """Removes a part's copy, written or queued; returns whether there was one."""
         with self.state.lock:
             entry = self.index.get(key)
             was_pending = self.writer.cancel(key)
@@ -136,11 +136,13 @@
             return True
 
     def purge(self, object_id: int | None, group: int, purged_at: int) -> None:
-        """Voids copies that the origin produced up to a time: at once, and on disk with the next sync.
+        """Invalidates copies that the origin produced up to a time.
+
+        The purge takes effect at once and is durable after the next `flush` and `sync`.
 
         Args:
-            object_id: whose copies; None for those of the whole group.
-            group: the group, or the one that the object belongs to.
+            object_id: the purged object; None to purge the whole group.
+            group: the purged group, or the group of the purged object.
             purged_at: Unix milliseconds.
         """
         with self.state.lock:
@@ -152,9 +154,10 @@
                 self.writer.enqueue_object_purge(object_id, group, purged_at)
 
     def record_discovery_progress(self, unix_ms: int) -> None:
-        """Notes that every purge up to then is known.
+        """Records that all purges up to a time are known.
 
-        While the disk is full it is not written: to know less after a restart is safe.
+        While the disk is full, this is not written. After a restart the store then assumes an earlier time,
+        which is safe.
         """
         with self.state.lock:
             if unix_ms <= self.state.purges.known_until:
@@ -165,47 +168,47 @@
                 self.writer.enqueue(Record(RecordKind.DISCOVERY_PROGRESS, generation, timestamp=unix_ms))
 
     def flush(self) -> int:
-        """Writes what is queued; returns how many bytes. See `LogWriter.flush`."""
+        """Writes the queued records; returns the number of bytes written. See `LogWriter.flush`."""
         return self.writer.flush()
 
     def sync(self) -> None:
-        """Makes what was flushed durable.
+        """Makes the flushed records durable.
 
         Raises:
-            OSError: the disk failed.
+            OSError: the sync failed.
         """
         self.writer.sync()
 
     def checkpoint(self) -> int:
-        """Writes a checkpoint, so that the next start reads only the log's tail; returns its bytes."""
+        """Writes a checkpoint, so that the next start replays only the tail of the log; returns its size."""
         with self.write_lock:
             return write_checkpoint(self.state, self.directory, self.writer, self._identity)
 
     def used_bytes(self) -> int:
-        """Returns the bytes of all segment files."""
+        """Returns the total size of all segment files in bytes."""
         with self.state.lock:
             return self.segments.total_bytes()
 
     def live_bytes(self) -> int:
-        """Returns the bytes of all records that may still be served."""
+        """Returns the total size of all live records in bytes."""
         with self.state.lock:
             return self.segments.live_bytes()
 
     def needs_compaction(self) -> bool:
-        """Returns whether the disk is full, or what is written and queued exceeds the capacity."""
+        """Returns whether the disk is full, or the written and queued bytes exceed the capacity."""
         return self.is_full or self.used_bytes() + self.pending_bytes > self.limits.capacity
 
     def compaction_candidate(self) -> int | None:
-        """Returns the closed segment with the smallest live share, of equal ones the oldest."""
+        """Returns the segment to compact next, or None. See `SegmentTable.compaction_candidate`."""
         with self.state.lock:
             return self.segments.compaction_candidate(self.writer.open_segment)
 
     def compact(self, segment: int, retain: RetainPredicate) -> Iterator[int]:
-        """Compacts a segment; yields the bytes of each step. See `Compactor.compact`."""
+        """Compacts a segment; yields the number of bytes of each step. See `Compactor.compact`."""
         return self._compactor.compact(segment, retain)
 
     def scrub(self, segment: int) -> Iterator[int]:
-        """Verifies all live copies of a segment; yields the bytes of each step."""
+        """Verifies all live copies of a segment; yields the number of bytes of each step."""
         return self._reader.scrub(segment)
 
     def close(self) -> None:
@@ -216,7 +219,7 @@
         self.directory.release()
 
     def status(self) -> dict[str, int]:
-        """Returns figures for operators, under the names that the status output has."""
+        """Returns statistics for operators by their keys in the status output."""
         with self.state.lock:
             return {
                 "entries": len(self.index),
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -1,8 +1,8 @@
-"""The disk tier of one director: reads in threads, writes in one thread, and background maintenance.
+"""The disk tier of a director: reads in several threads, writes in one thread, background maintenance.
 
-The tier never blocks the event loop on the disk and does not decide what is served. A read that exceeds its
-timeout is a miss, as is every fault of the disk. What is in flight is bounded: beyond the bounds a copy is
-not stored, or not looked up.
+Disk I/O never blocks the event loop. The tier does not decide which requests are served from it. A read that
+fails or exceeds its timeout is a miss. Reads in progress and queued writes are bounded: beyond the bounds,
+lookups find no copy and copies are not stored.
 """
 
 from __future__ import annotations
@@ -29,51 +29,51 @@
 from .state import StoreCounter
 from .store import Store, StoreLimits
 
-SWITCH_INTERVAL = 0.0005  # seconds after which a thread of the tier lets the event loop run
+SWITCH_INTERVAL = 0.0005  # seconds after which a thread of the tier yields the GIL to the event loop
 _PARTIAL_STATUS_FILE = "status.part"
 _READ_THREADS = 4
-_MAX_CONCURRENT_READS = 64  # running or waiting for a thread
-_MAX_PENDING_BYTES = 8 << 20
-_WRITE_INTERVAL = 0.05  # seconds; copies that arrive within it are written together
-_PROGRESS_INTERVAL_MS = 2000  # between two records of discovery progress
+_MAX_CONCURRENT_READS = 64  # reads that run or wait for a thread
+_MAX_PENDING_BYTES = 8 << 20  # queued bytes above which no copy is admitted
+_WRITE_INTERVAL = 0.05  # seconds; copies that arrive in one interval are written together
+_PROGRESS_INTERVAL_MS = 2000  # minimum time between two records of discovery progress
 _CHECKPOINT_INTERVAL = 60.0  # seconds
-_CHECKPOINT_DEADLINE = 5  # seconds
+_CHECKPOINT_DEADLINE = 5  # seconds until the deadline of the checkpoint's job
 _SCRUB_INTERVAL = 600.0  # seconds
 _STATUS_INTERVAL = 5.0  # seconds
-_ADMITTED_SHARE = 0.95  # of the capacity that admission fills
+_ADMITTED_SHARE = 0.95  # share of the disk capacity that admission fills
 _MAX_RANKED_PARTS = 65_536
-_WRITE_BURST_SECONDS = 4
+_WRITE_BURST_SECONDS = 4  # the write burst is this many seconds at the write rate
 _TICKS_PER_MS = TICKS_PER_SECOND // 1000
 _COMPACTION_PRIORITY, _CHECKPOINT_PRIORITY, _SCRUB_PRIORITY = 2, 1, 0
 _INITIAL_BYTES_PER_SIZE_UNIT = 1000.0
-_MAX_SIZE_WEIGHT = 1e6  # size units over which the estimate of bytes is averaged
-NO_COPY = -1
+_MAX_SIZE_WEIGHT = 1e6  # size units over which the bytes per size unit are averaged
+NO_COPY = -1  # the result of a lookup that found no copy
 
 
 @dataclass(frozen=True, slots=True)
 class TierContext:
-    """What a tier needs of the director that it belongs to."""
+    """The parameters and services of the director that a tier uses."""
 
     director_name: str
     deployment: interface.Deployment
-    now: Callable[[], int]  # monotonic, tenths of a millisecond
+    now: Callable[[], int]  # monotonic clock, in tenths of a millisecond
     unix_ms: Callable[[], int]
     runner: Runner
 
 
 @dataclass(slots=True)
 class TierCounters:
-    """What a tier counts."""
+    """Counters of a tier."""
 
     hits: int = 0
     misses: int = 0
-    slow_reads: int = 0
+    slow_reads: int = 0  # reads that exceeded their timeout
     stored: int = 0
-    rejected: int = 0
+    rejected: int = 0  # copies that were not admitted
 
 
 class _HitCountKey(NamedTuple):
-    """Requests whose share of hits is reported together."""
+    """The request class and size class by which hits are counted."""
 
     class_index: int
     size_class: int
@@ -86,18 +86,18 @@
 
 
 class BodySizeEstimator:
-    """Estimates the bytes of a body from the size that a request states in the deployment's unit."""
+    """Estimates the bytes of a body from the request's `size`, which is in the deployment's unit."""
 
     def __init__(self) -> None:
         self._bytes_per_unit = _INITIAL_BYTES_PER_SIZE_UNIT
         self._weight = 0.0
 
     def estimate(self, size: float) -> int:
-        """Returns the bytes that a body of that stated size is expected to have."""
+        """Returns the estimated bytes of a body for the size in its request."""
         return int(size * self._bytes_per_unit)
 
     def record(self, size: float, body_size: int) -> None:
-        """Learns from a body; one without a stated size says nothing."""
+        """Updates the estimate from a body; ignores requests without a size."""
         if not size:
             return
         self._weight = min(self._weight + size, _MAX_SIZE_WEIGHT)
@@ -105,7 +105,10 @@
 
 
 class DiskTier:
-    """The store as the director and the router see it."""
+    """The local store of the director and its router.
+
+    Maps requests to parts, applies admission, runs disk I/O in threads and schedules maintenance.
+    """
 
     def __init__(
         self,
@@ -115,9 +118,14 @@
     ):
         """Opens the store and recovers it.
 
+        Args:
+            config: the operators' settings.
+            context: the director's parameters and services.
+            open_directory: opens the directory of the store; replaced in tests.
+
         Raises:
-            DiskError: the directory is locked or another installation's.
-            OSError: the file system failed.
+            DiskError: the directory is locked, belongs to another installation or has another format version.
+            OSError: a file system call failed.
         """
         started_at = context.now()
         sys.setswitchinterval(SWITCH_INTERVAL)
@@ -134,7 +142,7 @@
         self._write_limiter = anyio.CapacityLimiter(1)
         self._concurrent_reads = 0
         self._write_needed = anyio.Event()
-        self._pending_produced_at: dict[PartKey, int] = {}  # Unix ms of copies that wait to be written
+        self._pending_produced_at: dict[PartKey, int] = {}  # Unix ms, of queued copies
         self._progress_recorded_at = 0
         self._recovery_ms = (context.now() - started_at) / _TICKS_PER_MS
         fields = " ".join(f"{name}={value}" for name, value in self.store.status().items())
@@ -143,7 +151,7 @@
     # Called by the router
 
     def lookup(self, now: int, request: interface.RequestReceived) -> int:
-        """Counts a request; returns the age of its copy, in tenths of a millisecond, or `NO_COPY`."""
+        """Counts a request; returns the age of its copy in tenths of a millisecond, or `NO_COPY`."""
         key = PartKey(request.object_id, request.part)
         size = self._body_sizes.estimate(request.size)
         self.admission.record_request(now, key, size)
@@ -168,7 +176,7 @@
     # Called by the director
 
     async def read(self, request: interface.RequestReceived) -> Copy | None:
-        """Returns the copy for a request, verified; None is a miss, also where the disk is too slow."""
+        """Returns the verified copy for a request, or None if there is none that can be read in time."""
         key = PartKey(request.object_id, request.part)
         copy: Copy | None = None
         self._concurrent_reads += 1
@@ -191,18 +199,18 @@
         return copy
 
     def store_copy(self, request: interface.RequestReceived, tag: str, produced_at: int, body: bytes) -> None:
-        """Queues a copy for the disk.
+        """Queues a copy to be written to the disk.
 
         Args:
-            request: what it answered.
+            request: the request whose answer is stored.
             tag: the validator of the body.
-            produced_at: Unix milliseconds at which the origin produced it.
-            body: all of it.
+            produced_at: time at which the origin produced the body, in Unix milliseconds.
+            body: the complete body.
         """
         self._body_sizes.record(request.size, len(body))
         key = PartKey(request.object_id, request.part)
         if self._pending_produced_at.get(key, 0) >= produced_at:
-            return  # the same copy arrived twice before it was written once
+            return  # this copy or a newer one is already queued
         previous = self.store.find(key)
         if self.store.put(key, request.group, Copy(tag.encode(), produced_at, body)):
             self._pending_produced_at[key] = produced_at
@@ -214,19 +222,22 @@
             self._write_needed.set()
 
     def on_purge(self, object_id: int | None, group: int, unix_ms: int) -> None:
-        """Voids copies of an object, or of the whole group, that were produced up to then."""
+        """Invalidates copies of an object, or of the whole group, that were produced up to a time."""
         self.store.purge(object_id, group, unix_ms)
         self._write_needed.set()
 
     def on_discovery_progress(self, unix_ms: int) -> None:
-        """Notes that the discovery stream is current: every purge up to then is known."""
+        """Records that the discovery stream has delivered all purges up to a time.
+
+        Calls within `_PROGRESS_INTERVAL_MS` of the last record are ignored, to limit writes.
+        """
         if unix_ms >= self._progress_recorded_at + _PROGRESS_INTERVAL_MS:
             self._progress_recorded_at = unix_ms
             self.store.record_discovery_progress(unix_ms)
             self._write_needed.set()
 
     async def run(self) -> None:
-        """Writes what is queued and submits maintenance, until it is cancelled."""
+        """Writes queued records and submits maintenance jobs until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._schedule_maintenance)
             while True:
@@ -239,21 +250,21 @@
                 await anyio.sleep(_WRITE_INTERVAL)
 
     def write_pending(self) -> None:
-        """Writes what is queued and makes it durable.
+        """Writes the queued records and makes them durable.
 
         Raises:
-            OSError: the disk failed.
+            OSError: the write or the sync failed.
         """
         self.store.flush()
         self.store.sync()
 
     def close(self) -> None:
-        """Closes the store and leaves its last status behind."""
+        """Closes the store and writes the status file a last time."""
         self.store.close()
         self._write_status()
 
     def status(self) -> dict[str, Any]:
-        """Returns figures for operators, under the names that the status output has."""
+        """Returns statistics for operators by their keys in the status output."""
         written = self.store.counters.get(StoreCounter.BYTES_WRITTEN, 0)
         return {
             **self.store.status(),
@@ -280,7 +291,7 @@
         return Store(directory, context.director_name.encode(), limits, context.unix_ms)
 
     def _open_admission(self) -> Admission:
-        """Returns an admission that knows what the store holds."""
+        """Returns an admission that has counted the copies in the store."""
         config = self.config
         write_rate = float(config.write or 0)
         policy = AdmissionPolicy(
@@ -323,7 +334,7 @@
                 runner.submit(Job("scrub", _SCRUB_PRIORITY), self._scrub)
 
     def _compact(self) -> Iterator[int]:
-        """Compacts one segment; copies in it that rank too low are evicted."""
+        """Compacts one segment and evicts the copies in it that rank too low."""
         segment = self.store.compaction_candidate()
         if segment is None:
             return
@@ -356,11 +367,11 @@
         return self.store.write_lock
 
     def _write_status(self) -> None:
-        """Replaces the status file in one step."""
-        state = {**self.status(), "jobs": self.context.runner.scheduler.status(self.context.now())}
+        """Replaces the status file atomically."""
+        status_fields = {**self.status(), "jobs": self.context.runner.scheduler.status(self.context.now())}
         try:
             partial = self.path / _PARTIAL_STATUS_FILE
-            partial.write_text(json.dumps(state))
+            partial.write_text(json.dumps(status_fields))
             partial.replace(self.path / STATUS_FILE)
         except OSError:
-            pass  # the store has counted a full disk already
+            pass  # the status file is optional, and the store counts a full disk itself
--- a/ironhinge/disk/writer.py
+++ b/ironhinge/disk/writer.py
@@ -1,6 +1,6 @@
-"""Writes the log: a queue of records, the segment that is open for writing, and what a failed write needs.
+"""Writes the log: a queue of records, the segment open for writing, and the handling of failed writes.
 
-What was enqueued is readable once `flush` has written it and survives a power cut once `sync` has returned.
+A queued record is readable once `flush` has written it and survives a power cut once `sync` has returned.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 
 
 class PendingRecord(NamedTuple):
-    """A packed record that waits to be written."""
+    """A packed record that is queued to be written."""
 
     pieces: tuple[bytes, ...]
-    size: int  # bytes of the whole record
-    entry: IndexEntry | None  # of a copy; None for a tombstone and for discovery progress
+    size: int  # size of the whole record in bytes
+    entry: IndexEntry | None  # index entry of a copy; None for all other kinds of records
 
 
 class LogWriter:
-    """Appends records to the log. `lock` is held by whoever writes, compacts or takes a checkpoint."""
+    """Appends records to the log; `lock` is held while writing, compacting or taking a checkpoint."""
 
     def __init__(self, state: StoreState, directory: StoreDirectory, identity: bytes, segment_size: int):
         self.lock = threading.RLock()
         self.pending: list[PendingRecord] = []
         self.pending_bytes = 0
-        self.segment = 0  # the newest one, whether it is open or not
+        self.segment = 0  # number of the newest segment, open or closed
         self._state = state
         self._directory = directory
         self._identity = identity
@@ -52,12 +52,12 @@
 
     @property
     def open_segment(self) -> int | None:
-        """The segment that is open for writing."""
+        """The number of the segment that is open for writing, None if none is."""
         return self.segment if self._is_open else None
 
     @property
     def open_offset(self) -> int:
-        """Where the next record goes in the open segment; 0 where none is open."""
+        """The offset of the next record in the open segment; 0 if none is open."""
         return self._offset if self._is_open else 0
 
     @property
@@ -65,7 +65,7 @@
         return self._descriptor != NO_DESCRIPTOR
 
     def enqueue(self, record: Record, entry: IndexEntry | None = None) -> None:
-        """Queues a record; the caller holds the lock of the state."""
+        """Queues a record, unless the directory is read-only; the caller holds the state's lock."""
         if self._directory.read_only:
             return
         pieces = pack_record(record)
@@ -74,36 +74,39 @@
         self.pending_bytes += size
 
     def enqueue_object_purge(self, object_id: int, group: int, purged_at: int) -> None:
-        """Queues the tombstone of an object; the caller holds the lock of the state."""
+        """Queues the purge of an object; the caller holds the state's lock."""
         generation = self._state.next_generation()
         self.enqueue(Record(RecordKind.PURGE_OBJECT, generation, object_id, 0, group, purged_at))
 
     def enqueue_group_purge(self, group: int, purged_at: int) -> None:
-        """Queues the tombstone of a group; the caller holds the lock of the state."""
+        """Queues the purge of a group; the caller holds the state's lock."""
         generation = self._state.next_generation()
         self.enqueue(Record(RecordKind.PURGE_GROUP, generation, group=group, timestamp=purged_at))
 
     def cancel(self, key: PartKey) -> bool:
-        """Takes the queued copies of a part out of the queue; returns whether there were any."""
+        """Removes the copies of a part from the queue; returns whether there were any."""
         remaining = [queued for queued in self.pending if queued.entry is None or queued.entry.key != key]
         was_queued = len(remaining) < len(self.pending)
         self.pending = remaining
         return was_queued
 
     def flush(self) -> int:
-        """Writes what is queued; returns how many bytes.
+        """Writes the queued records; returns the number of bytes written.
 
-        Where the disk accepts no more, queued copies are dropped and admission stops until there is space;
-        what was written before is still served.
+        If the disk accepts no more writes, the queued copies are dropped and `is_full` stops admission until
+        compaction has freed space. Copies written before are still served.
+
+        Raises:
+            OSError: a write failed for a reason other than a full or unwritable disk, or a sync failed.
         """
         with self.lock:
             return self._flush()
 
     def sync(self) -> None:
-        """Makes what was flushed durable.
+        """Makes the flushed records durable.
 
         Raises:
-            OSError: the disk failed, and nothing is known of what was flushed since the last sync.
+            OSError: the sync failed; records flushed since the last sync may or may not be durable.
         """
         with self.lock:
             if not self._is_open or not self._is_unsynced:
@@ -116,7 +119,7 @@
             self._is_unsynced = False
 
     def start_segment(self) -> None:
-        """Closes the open segment and starts the next one."""
+        """Syncs and closes the open segment, if any, and starts the next one."""
         if self._is_open:
             self.sync()
             self.close()
@@ -139,7 +142,7 @@
         self._offset = SEGMENT_HEADER_SIZE
 
     def close(self) -> None:
-        """Closes the open segment; the next record starts a new one."""
+        """Closes the open segment, if any; the next record starts a new one."""
         if self._is_open:
             self._directory.close(self._descriptor)
             self._descriptor = NO_DESCRIPTOR
@@ -165,21 +168,24 @@
 
     @staticmethod
     def _non_copy_records(batch: list[PendingRecord]) -> list[PendingRecord]:
-        """Returns the records of a failed write that must not be lost with its copies.
+        """Returns the records of a failed write that must be written again, which are all but the copies.
 
-        Tombstones must reach the disk before any later record of discovery progress: else that record would
-        say that all purges are known, and a restart would serve the copies that these purges void.
+        Tombstones must reach the disk before any later record of discovery progress. Otherwise that record
+        would state that all purges are known, and after a restart the copies that they cover would be served.
         """
         return [record for record in batch if record.entry is None]
 
     def _requeue(self, records: list[PendingRecord]) -> None:
-        """Puts records before all that is queued."""
+        """Puts records at the front of the queue."""
         with self._state.lock:
             self.pending[:0] = records
             self.pending_bytes += sum(record.size for record in records)
 
     def _runs(self, batch: list[PendingRecord]) -> Iterator[list[PendingRecord]]:
-        """Yields runs that fit the open segment; starts a new one where the next record does not fit."""
+        """Splits a batch into runs, each written at once to the open segment.
+
+        Starts a new segment if none is open or the next record does not fit into the open one.
+        """
         start = 0
         while start < len(batch):
             end = self._end_of_run(batch, start) if self._is_open else start
@@ -190,6 +196,7 @@
             start = end
 
     def _end_of_run(self, batch: list[PendingRecord], start: int) -> int:
+        """Returns the end of the longest run from `start` that fits into the open segment and one write."""
         end = start
         offset = self._offset
         while end < len(batch) and end - start < _MAX_RECORDS_PER_WRITE:
@@ -200,7 +207,7 @@
         return end
 
     def _write_run(self, run: list[PendingRecord]) -> int:
-        """Writes records to the open segment and indexes their copies; returns how many bytes."""
+        """Writes records to the open segment and indexes their copies; returns the bytes written."""
         pieces = [piece for record in run for piece in record.pieces if piece]
         written = sum(record.size for record in run)
         self._directory.write(self._descriptor, pieces, self._offset)
@@ -217,11 +224,11 @@
         return written
 
     def _index_copy(self, entry: IndexEntry, offset: int) -> None:
-        """Puts a written copy into the index, unless a newer one is there."""
+        """Adds a written copy to the index, unless the index has a newer one or the copy is purged."""
         written = entry._replace(segment=self.segment, offset=offset)
         current = self._state.index.get(entry.key)
         is_moved = entry.segment != 0
-        if is_moved:  # by compaction: must not undo a newer put or a drop
+        if is_moved:  # by compaction: must not override a newer copy or a drop
             is_newest = current is not None and current.generation == entry.generation
         else:
             is_newest = current is None or current.generation < entry.generation
@@ -229,9 +236,9 @@
             self._state.insert(written, current)
 
     def _close_after_failed_write(self) -> None:
-        """Closes the segment of a failed write, after cutting off what the write left behind.
+        """Truncates the segment of a failed write to the end of its last successful write and closes it.
 
-        Where it can't be cut, recovery tells the torn tail from sound records.
+        If it can't be truncated, recovery distinguishes the torn tail from valid records.
         """
         if self._is_open:
             with suppress(OSError):
@@ -239,10 +246,10 @@
             self.close()
 
     def _close_after_failed_sync(self) -> None:
-        """Closes the segment of a failed sync and queues every known purge again for the next one.
+        """Closes the segment of a failed sync and queues all known purges again for the next segment.
 
-        Nobody knows what of the segment is durable, and a later sync that succeeds says nothing of it: see
-        fsync(2).
+        It is unknown which records of the segment are durable, and a later successful sync does not change
+        that: see fsync(2).
         """
         self._state.count(StoreCounter.FAILED_SYNCS)
         self.close()
--- a/tests/test_disk_cli.py
+++ b/tests/test_disk_cli.py
@@ -109,4 +109,4 @@
 def test_a_store_of_another_installation_ends_with_code_1(folder):
     result = run("ls", folder, "--name", "other")
     assert result.exit_code == 1
-    assert "another installation's: found 'director-1', expected 'other'" in result.output
+    assert "belongs to another installation: found 'director-1', expected 'other'" in result.output
