--- a/ironhinge/disk/admission.py
+++ b/ironhinge/disk/admission.py
@@ -3,8 +3,8 @@
 Parts are ranked by request rate divided by size; the rate decays exponentially. Each part of an object is
 counted separately. A part enters the ranking with its second recent request; before that, only a sketch
 counts it. A copy is admitted if the parts ranked above it leave space for it, its object and its size class
-stay within their shares of the capacity, and the write budget allows it. Times are tenths of a millisecond;
-this module reads no clock and no bodies.
+stay within their shares of the capacity, and the write budget allows it. Times are tenths of a millisecond,
+passed in by the caller; this module does not handle bodies.
 """
 
 from __future__ import annotations
--- a/ironhinge/disk/checkpoint.py
+++ b/ironhinge/disk/checkpoint.py
@@ -61,7 +61,7 @@
     """Loads the newest valid checkpoint into the state.
 
     Args:
-        state: is replaced by the contents of the checkpoint.
+        state: receives the contents of the checkpoint.
         directory: the directory of the store.
         identity: identity of this installation.
         names: names of the files in the directory.
--- a/ironhinge/disk/cli.py
+++ b/ironhinge/disk/cli.py
@@ -234,7 +234,7 @@
     try:
         object_number = int(object_id, _HEX_BASE)
     except ValueError:
-        raise click.BadParameter(f"'{object_id}' is not hex digits", param_hint="OBJ") from None
+        raise click.BadParameter(f"'{object_id}' is not a hexadecimal number", param_hint="OBJ") from None
     store = open_store(folder, name, read_only=False)
     keys = [entry.key for entry in store.index.entries() if entry.object_id == object_number]
     for key in keys:
--- a/ironhinge/disk/compaction.py
+++ b/ironhinge/disk/compaction.py
@@ -1,7 +1,7 @@
-"""Compaction: writes the records of a segment that are still needed to the end of the log, then removes it.
+"""Compaction: appends the records of a segment that are still needed to the log, then removes the segment.
 
-After a crash during compaction a record may exist in both places. A moved record keeps its generation, so its
-replay can't override a newer record.
+A crash during compaction leaves either the old record alone or both the old and the new one. A moved copy
+keeps its generation, so its replay can't override a newer record.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
         """Compacts a segment; yields the number of bytes that each step read or wrote.
 
         While the disk is full, live copies are evicted instead of written again, and the segment is kept if
-        purges of it still wait to be written.
+        any records are still queued to be written.
 
         Args:
             segment: number of the segment; nothing is done if it is unknown or open for writing.
@@ -128,7 +128,10 @@
         return header.record_size
 
     def _requeue_purge(self, header: RecordHeader) -> int:
-        """Queues a purge to be written again if it is still in the purge table; returns its size, else 0."""
+        """Queues a purge to be written again if it is still in the purge table; returns its size, else 0.
+
+        Drops and discovery progress are not written again.
+        """
         with self._state.lock:
             purges = self._state.purges
             match header.kind:
--- a/ironhinge/disk/directory.py
+++ b/ironhinge/disk/directory.py
@@ -100,7 +100,10 @@
         os.truncate(self.path / name, size)
 
     def remove(self, name: str) -> None:
-        """Removes a file; reads in progress still succeed, as its descriptor is kept open for a while."""
+        """Removes a file.
+
+        Reads in progress still succeed, as the descriptors of the files removed last are kept open.
+        """
         descriptor = self._read_descriptors.pop(name, NO_DESCRIPTOR)
         (self.path / name).unlink()
         if descriptor != NO_DESCRIPTOR:
@@ -113,7 +116,7 @@
         (self.path / name).replace(self.path / new_name)
 
     def replace(self, name: str, pieces: Iterable[bytes]) -> int:
-        """Replaces a file atomically: after a crash there is either the old file or the new one.
+        """Replaces a file atomically: readers, also after a crash, find either the old file or the new one.
 
         Returns:
             The size of the file in bytes.
@@ -135,7 +138,7 @@
         return (self.path / name).read_bytes()
 
     def read_at(self, name: str, offset: int, *sizes: int) -> list[bytes]:
-        """Returns consecutive pieces of the given sizes; they are shorter if the file ends before."""
+        """Returns consecutive pieces of the given sizes; pieces beyond the end of the file are shorter."""
         descriptor = self._read_descriptor(name)
         pieces = []
         for size in sizes:
--- a/ironhinge/disk/format.py
+++ b/ironhinge/disk/format.py
@@ -52,12 +52,13 @@
     """A record to be packed; fields that its kind does not use keep their defaults."""
 
     kind: RecordKind
-    generation: int
+    generation: int  # sequence number; the newer of two records of a part takes precedence
     object_id: int = 0
     part: int = 0
-    group: int = 0
-    timestamp: int = 0  # Unix ms: production time of the copy, time of the purge, or discovery progress
-    tag: bytes = b""
+    group: int = 0  # purge group
+    # Unix ms: production time of the copy, time up to which produced copies are purged, or discovery progress
+    timestamp: int = 0
+    tag: bytes = b""  # validator of the body
     body: bytes = b""
 
 
--- a/ironhinge/disk/index.py
+++ b/ironhinge/disk/index.py
@@ -1,7 +1,8 @@
 """The index: maps each part to the location of its record, with open addressing in one block of bytes.
 
-The table never grows: all slots are allocated at the start and at most three quarters of them are used, so at
-full capacity an entry costs 59 to 118 bytes. Checkpoints store the block unchanged.
+The table never grows: all slots are allocated at the start and at most three quarters of them are used, so
+an entry costs 59 to 118 bytes once the configured number of entries is reached. Checkpoints store the block
+unchanged.
 """
 
 from __future__ import annotations
@@ -84,9 +85,8 @@
         self.block = bytearray(size) if block is None else bytearray(block)
         self.entry_count = 0
         self._slot_mask = slot_count - 1
-        self._snapshot: list[bytes | None] | None = (
-            None  # chunks copied so far; None: no snapshot in progress
-        )
+        # The chunks copied so far; None if no snapshot is in progress.
+        self._snapshot: list[bytes | None] | None = None
 
     def __len__(self) -> int:
         return self.entry_count
--- a/ironhinge/disk/purges.py
+++ b/ironhinge/disk/purges.py
@@ -55,7 +55,7 @@
         self.record_progress(purged_at)
 
     def raise_floor(self, unix_ms: int, generation: int) -> None:
-        """Invalidates all copies produced up to a time whose record has the generation or an older one."""
+        """Raises the floor to a time, unless it is higher, and applies it to records up to a generation."""
         self.floor = max(self.floor, unix_ms)
         self.floor_generation = generation
 
--- a/ironhinge/disk/recovery.py
+++ b/ironhinge/disk/recovery.py
@@ -42,10 +42,11 @@
         position = load_checkpoint(self._state, self._directory, self._identity, names)
         segment_numbers = sorted(number for number in map(segment_number, names) if number is not None)
         self._forget_missing_segments(segment_numbers)
+        # The checkpoint covers all of its segments, except for the end of the one at its position.
         for number in segment_numbers:
             if position is not None and number == position.segment:
                 self._replay(number, position.offset)
-            elif position is None or number not in self._state.segments:  # else: in the checkpoint
+            elif position is None or number not in self._state.segments:
                 self._replay(number, 0)
         if segment_numbers and not self._directory.read_only:
             self._directory.sync_directory()
@@ -53,7 +54,7 @@
         return max(segment_numbers, default=0)
 
     def _remove_partial_files(self, names: list[str]) -> None:
-        """Removes temporary files of replacements that were not completed."""
+        """Removes the temporary files of interrupted replacements."""
         if self._directory.read_only:
             return
         for name in names:
--- a/ironhinge/disk/state.py
+++ b/ironhinge/disk/state.py
@@ -97,7 +97,7 @@
             return entry
 
     def is_purged(self, entry: IndexEntry) -> bool:
-        """Returns whether a copy must not be served: it is purged, or was stamped before a clock setback."""
+        """Returns whether a copy must not be served: it is purged, or dated before the clock was set back."""
         return self.purges.invalidates(entry) or entry.produced_at > self.now_ms() + MAX_CLOCK_SKEW_MS
 
     def purge_object(self, object_id: int, purged_at: int) -> None:
@@ -108,7 +108,8 @@
     def raise_purge_floor(self, unix_ms: int) -> None:
         """Invalidates all copies stored so far that were produced up to a time.
 
-        Copies stored later are not affected: their caller has already checked them against its purges.
+        Copies stored later are not affected: the caller checks them against its purges before it stores them.
+        Does nothing in a store without records.
         """
         if self.generation:
             self.purges.raise_floor(unix_ms, self.generation)
--- a/ironhinge/disk/store.py
+++ b/ironhinge/disk/store.py
@@ -44,7 +44,7 @@
 
         Args:
             directory: the directory of the store.
-            identity: identity of the installation; only its first 16 bytes are used.
+            identity: identifies the installation, such as the director's name; only 16 bytes are used.
             limits: the limits; a checkpoint written with an index of another size is ignored.
             now_ms: returns the wall-clock time in Unix milliseconds.
 
@@ -219,7 +219,7 @@
         self.directory.release()
 
     def status(self) -> dict[str, int]:
-        """Returns statistics for operators by their keys in the status output."""
+        """Returns the store's statistics by their keys in the status output."""
         with self.state.lock:
             return {
                 "entries": len(self.index),
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -69,7 +69,7 @@
     misses: int = 0
     slow_reads: int = 0  # reads that exceeded their timeout
     stored: int = 0
-    rejected: int = 0  # copies that were not admitted
+    rejected: int = 0  # copies that admission rejected
 
 
 class _HitCountKey(NamedTuple):
@@ -165,7 +165,10 @@
         return max(0, (self.context.unix_ms() - entry.produced_at) * _TICKS_PER_MS)
 
     def should_store(self, now: int, request: interface.RequestReceived) -> bool:
-        """Returns whether the answer to a request is worth storing."""
+        """Returns whether to store the answer to a request.
+
+        Returns False without asking admission if the disk or the write queue is full.
+        """
         if self.store.pending_bytes > _MAX_PENDING_BYTES or self.store.is_full:
             return False
         size = self._body_sizes.estimate(request.size) or 1
@@ -264,7 +267,7 @@
         self._write_status()
 
     def status(self) -> dict[str, Any]:
-        """Returns statistics for operators by their keys in the status output."""
+        """Returns the tier's statistics by their keys in the status output."""
         written = self.store.counters.get(StoreCounter.BYTES_WRITTEN, 0)
         return {
             **self.store.status(),
--- a/ironhinge/disk/writer.py
+++ b/ironhinge/disk/writer.py
@@ -84,7 +84,10 @@
         self.enqueue(Record(RecordKind.PURGE_GROUP, generation, group=group, timestamp=purged_at))
 
     def cancel(self, key: PartKey) -> bool:
-        """Removes the copies of a part from the queue; returns whether there were any."""
+        """Removes the copies of a part from the queue; returns whether there were any.
+
+        The caller holds the state's lock.
+        """
         remaining = [queued for queued in self.pending if queued.entry is None or queued.entry.key != key]
         was_queued = len(remaining) < len(self.pending)
         self.pending = remaining
@@ -97,7 +100,7 @@
         compaction has freed space. Copies written before are still served.
 
         Raises:
-            OSError: a write failed for a reason other than a full or unwritable disk, or a sync failed.
+            OSError: a write or sync failed for a reason other than a full or unwritable disk.
         """
         with self.lock:
             return self._flush()
@@ -249,7 +252,7 @@
         """Closes the segment of a failed sync and queues all known purges again for the next segment.
 
         It is unknown which records of the segment are durable, and a later successful sync does not change
-        that: see fsync(2).
+        that (see fsync(2)). Purges must therefore be written again.
         """
         self._state.count(StoreCounter.FAILED_SYNCS)
         self.close()
--- a/tests/test_disk_cli.py
+++ b/tests/test_disk_cli.py
@@ -103,7 +103,7 @@
 def test_drop_refuses_an_object_that_is_not_hexadecimal(folder):
     result = run("drop", folder, "zz")
     assert result.exit_code == 2
-    assert "'zz' is not hex digits" in result.output
+    assert "'zz' is not a hexadecimal number" in result.output
 
 
 def test_a_store_of_another_installation_ends_with_code_1(folder):
