--- a/ironhinge/disk/checkpoint.py
+++ b/ironhinge/disk/checkpoint.py
@@ -1,4 +1,4 @@
-"""Writes and loads the checkpoint files of a store; the previous checkpoint is kept beside the newest."""
+"""Writes and loads the checkpoint files of a store; the previous checkpoint is kept as a fallback."""
 
 from __future__ import annotations
 
@@ -20,23 +20,26 @@
 
 
 class LogPosition(NamedTuple):
-    """A place in the log."""
+    """A position in the log: a segment number and an offset in its file."""
 
     segment: int
     offset: int
 
 
 def write_checkpoint(state: StoreState, directory: StoreDirectory, writer: LogWriter, identity: bytes) -> int:
-    """Makes the log durable and writes a checkpoint of it; the caller holds the writer's lock.
+    """Flushes and syncs the log, then writes a checkpoint; the caller holds the writer's lock.
 
     Returns:
-        The size of the checkpoint in bytes; 0 where the disk accepts no more writes.
+        The size of the checkpoint in bytes; 0 if the disk accepts no more writes.
+
+    Raises:
+        OSError: the sync failed, or a write failed for a reason other than a full or unwritable disk.
     """
     writer.flush()
     writer.sync()
     with state.lock:
         chunk_count = state.index.begin_snapshot()
-        checkpoint = _describe(state, writer, identity)
+        checkpoint = _capture_checkpoint(state, writer, identity)
     pieces = pack_checkpoint(checkpoint, _index_chunks(state, chunk_count), len(state.index.block))
     try:
         if CHECKPOINT_FILE in directory.names():
@@ -55,19 +58,19 @@
 def load_checkpoint(
     state: StoreState, directory: StoreDirectory, identity: bytes, names: list[str]
 ) -> LogPosition | None:
-    """Takes over the newest sound checkpoint.
+    """Loads the newest valid checkpoint into the state.
 
     Args:
-        state: what is loaded goes there.
-        directory: where the files are.
-        identity: of this installation.
-        names: the files that are there.
+        state: receives the contents of the checkpoint.
+        directory: the directory of the store.
+        identity: identity of this installation.
+        names: names of the files in the directory.
 
     Returns:
-        Where the log continues after the checkpoint; None where there is no sound one.
+        The position in the log from which to replay; None if there is no valid checkpoint.
 
     Raises:
-        ForeignStoreError: it is another installation's.
+        ForeignStoreError: the checkpoint belongs to another installation.
     """
     for name in (CHECKPOINT_FILE, PREVIOUS_CHECKPOINT_FILE):
         if name not in names:
@@ -76,20 +79,20 @@
             checkpoint = unpack_checkpoint(memoryview(directory.read(name)))
             if checkpoint.identity != identity:
                 raise ForeignStoreError(
-                    f"{name} is another installation's: found '{identity_name(checkpoint.identity)}', "
+                    f"{name} belongs to another installation: found '{identity_name(checkpoint.identity)}', "
                     f"expected '{identity_name(identity)}'"
                 )
             index = PartIndex(state.max_entries, checkpoint.index_block)
         except (CorruptRecordError, IndexSizeError, OSError):
             state.count(StoreCounter.CORRUPT_CHECKPOINTS)
             continue
-        _restore(state, checkpoint, index)
+        _restore_state(state, checkpoint, index)
         return LogPosition(checkpoint.segment, checkpoint.offset)
     return None
 
 
-def _describe(state: StoreState, writer: LogWriter, identity: bytes) -> Checkpoint:
-    """Returns all that a checkpoint holds but the index block; the caller holds the lock of the state."""
+def _capture_checkpoint(state: StoreState, writer: LogWriter, identity: bytes) -> Checkpoint:
+    """Copies the state, except the index block, into a checkpoint; the caller holds the state's lock."""
     return Checkpoint(
         identity=identity,
         generation=state.generation,
@@ -106,14 +109,17 @@
 
 
 def _index_chunks(state: StoreState, chunk_count: int) -> Iterator[bytes]:
-    """Yields the index as it was, one chunk at a time: a lookup must not wait for all of it."""
+    """Yields the chunks of the index snapshot.
+
+    The state's lock is taken for one chunk at a time, so that no lookup waits for the copy of a whole index.
+    """
     for number in range(chunk_count):
         with state.lock:
             chunk = state.index.release_chunk(number)
         yield chunk
 
 
-def _restore(state: StoreState, checkpoint: Checkpoint, index: PartIndex) -> None:
+def _restore_state(state: StoreState, checkpoint: Checkpoint, index: PartIndex) -> None:
     index.entry_count = checkpoint.entry_count
     state.index = index
     state.generation = checkpoint.generation
