--- a/ironhinge/routing/attempt_results.py
+++ b/ironhinge/routing/attempt_results.py
@@ -22,7 +22,7 @@
     AttemptResult.RESET,
     AttemptResult.CANCELLED,
 )
-FILLED_NOTES = (CacheStatus.FILLED_FROM_SOURCE, CacheStatus.FILLED_FROM_ORIGIN, CacheStatus.JOINED_FILL)
+FILLED_STATUSES = (CacheStatus.FILLED_FROM_SOURCE, CacheStatus.FILLED_FROM_ORIGIN, CacheStatus.JOINED_FILL)
 
 
 class AttemptResults:
@@ -68,23 +68,23 @@
         elif result == MISS:
             self._record_miss(now, request, attempt)
         elif result not in NEUTRAL_RESULTS:
-            culprit = self._attribution.attribute_failure(now, request, attempt, event)
-            request.failed.append(culprit)
-        if request.may_have_run is None and result in MAY_HAVE_RUN_RESULTS:
-            request.may_have_run = attempt
+            failed_upstream = self._attribution.attribute_failure(now, request, attempt, event)
+            request.failed.append(failed_upstream)
+        if request.possibly_run_attempt is None and result in MAY_HAVE_RUN_RESULTS:
+            request.possibly_run_attempt = attempt
 
     def _record_done(self, now: int, request: RequestState, attempt: Attempt, event: AttemptFinished) -> None:
         """What a fill takes counts for its source, so that a cache's speed is that of its hits."""
         upstream, duration = attempt.upstream, event.duration
-        filler = attempt.source if event.cache_status in FILLED_NOTES else None
+        fill_source = attempt.source if event.cache_status in FILLED_STATUSES else None
         self._record_success(now, attempt, upstream, request.transfer_time)
         if not request.size:
             request.request_class.record_transfer_time(duration)
-        if filler is not None:
-            self._record_success(now, attempt, filler, request.transfer_time)
-        if filler is not None or attempt.endpoint.zone != self._deployment.zone:
+        if fill_source is not None:
+            self._record_success(now, attempt, fill_source, request.transfer_time)
+        if fill_source is not None or attempt.endpoint.zone != self._deployment.zone:
             self._congestion.record_transfer(now, duration, request, self._upstreams.ingress_link)
-        self._congestion.record_transfer(now, duration, request, filler or upstream)
+        self._congestion.record_transfer(now, duration, request, fill_source or upstream)
 
     def _record_miss(self, now: int, request: RequestState, attempt: Attempt) -> None:
         source = attempt.source
--- a/ironhinge/routing/cache_selection.py
+++ b/ironhinge/routing/cache_selection.py
@@ -30,7 +30,7 @@
     def __init__(self, upstreams: UpstreamRegistry, eligibility: Eligibility, slow_start: SlowStart):
         self._upstreams, self._eligibility, self._slow_start = upstreams, eligibility, slow_start
 
-    def check_changing(
+    def check_with_side_effects(
         self, now: int, request: RequestState, open_requests: Iterable[RequestState]
     ) -> dict[Upstream, bool]:
         """Whether each cache is eligible of which the check itself changes what is known.
@@ -38,11 +38,11 @@
         Those are the ones that owe an answer and those that may be warming up. All others can be checked one
         by one until one is eligible.
         """
-        owing = [each.attempt.upstream for each in open_requests if each.attempt is not None]
+        awaited = [each.attempt.upstream for each in open_requests if each.attempt is not None]
         maybe_warming = self._upstreams.maybe_warming
         caches = [
             upstream
-            for upstream in dict.fromkeys([*owing, *maybe_warming])
+            for upstream in dict.fromkeys([*awaited, *maybe_warming])
             if upstream.is_local_cache and may_retry_on(now, request, upstream)
         ]
         if maybe_warming:  # random numbers are drawn for those that are warming up, in the object's order
@@ -60,7 +60,7 @@
     def select_cache(self, now: int, request: RequestState, checked: dict[Upstream, bool]) -> CacheChoice:
         """The first eligible caches, given those that were checked already."""
         first = None
-        is_restricted = request.may_have_run is not None  # before that, every cache is allowed
+        is_restricted = request.possibly_run_attempt is not None  # before that, every cache is allowed
         failed, tried, is_eligible = request.failed, request.tried, self._eligibility.is_eligible
         for cache in self._upstreams.candidates.in_order(request.hash_key):
             if cache in failed or (is_restricted and not may_retry_on(now, request, cache)):
@@ -77,10 +77,12 @@
         candidates = self._upstreams.candidates.in_order(request.hash_key)
         has_capacity = self._eligibility.has_capacity
         allowed = [cache for cache in candidates if may_retry_on(now, request, cache)]
-        able = [
+        available = [
             cache for cache in allowed if now >= cache.rejecting_until and has_capacity(now, request, cache)
         ]
-        return min(able, key=lambda cache: (request.failed.count(cache), cache.ejected_until), default=None)
+        return min(
+            available, key=lambda cache: (request.failed.count(cache), cache.ejected_until), default=None
+        )
 
     @staticmethod
     def admission_rank(now: int, request: RequestState, cache: Upstream) -> AdmissionRank:
--- a/ironhinge/routing/candidates.py
+++ b/ironhinge/routing/candidates.py
@@ -13,10 +13,10 @@
 from .upstreams import Upstream
 
 REMEMBERED_CANDIDATES = 8  # first caches of an order that are remembered; rarely is one further on used
-EXPECTED_CONTENDERS = 4 * REMEMBERED_CANDIDATES  # caches looked through for these, on average
+EXPECTED_PRESELECTED = 4 * REMEMBERED_CANDIDATES  # caches looked through for these, on average
 MAX_ORDERS = 4096  # objects whose first candidates are remembered
-MAX_ADDED = 512  # caches that were added before all orders are forgotten
-MAX_MERGED = 64  # caches added since; with more of them an order is computed anew
+MAX_ADDED_CACHES = 512  # caches that were added before all orders are forgotten
+MAX_MERGED_CACHES = 64  # caches added since; with more of them an order is computed anew
 
 
 class CandidateOrder:
@@ -36,9 +36,9 @@
         new = [cache for cache in added[self.merged_count :] if cache not in self.first]
         new = [cache for cache in new if score(key, cache.hash_key) >= self.floor]
         if new:
-            known = {**dict.fromkeys(self.first), **dict.fromkeys(new)}
-            present = [cache for cache in known if cache.is_local_cache]
-            self.first = sorted(present, key=lambda cache: score(key, cache.hash_key), reverse=True)
+            merged = {**dict.fromkeys(self.first), **dict.fromkeys(new)}
+            remaining = [cache for cache in merged if cache.is_local_cache]
+            self.first = sorted(remaining, key=lambda cache: score(key, cache.hash_key), reverse=True)
         self.merged_count = len(added)
 
 
@@ -59,7 +59,7 @@
         self.caches.append(cache)
         self.hash_keys.append(cache.hash_key)
         self._hasher = None
-        if len(self.added) >= MAX_ADDED:  # bounds the memory: orders hold caches that have left
+        if len(self.added) >= MAX_ADDED_CACHES:  # bounds the memory: orders hold caches that have left
             self.added.clear()
             self._orders.clear()
         self.added.append(cache)
@@ -81,7 +81,7 @@
 
     def _remembered_order(self, key: int) -> CandidateOrder:
         order = self._orders.pop(key, None)
-        if order is None or len(self.added) - order.merged_count > MAX_MERGED:
+        if order is None or len(self.added) - order.merged_count > MAX_MERGED_CACHES:
             order = self._compute_order(key)
             if len(self._orders) >= MAX_ORDERS:
                 del self._orders[next(iter(self._orders))]
@@ -92,11 +92,11 @@
 
     def _compute_order(self, key: int) -> CandidateOrder:
         scores = self._scores(key)
-        contender_floor = MASK - MASK // max(1, len(scores)) * EXPECTED_CONTENDERS
-        contenders = [index for index, value in enumerate(scores) if value > contender_floor]
-        if len(contenders) < REMEMBERED_CANDIDATES:
-            contenders = list(range(len(scores)))
-        first = nlargest(REMEMBERED_CANDIDATES, contenders, key=scores.__getitem__)
+        preselection_floor = MASK - MASK // max(1, len(scores)) * EXPECTED_PRESELECTED
+        preselected = [index for index, value in enumerate(scores) if value > preselection_floor]
+        if len(preselected) < REMEMBERED_CANDIDATES:
+            preselected = list(range(len(scores)))
+        first = nlargest(REMEMBERED_CANDIDATES, preselected, key=scores.__getitem__)
         floor = scores[first[-1]] if len(first) == REMEMBERED_CANDIDATES else 0
         return CandidateOrder([self.caches[index] for index in first], floor, len(self.added))
 
--- a/ironhinge/routing/congestion_estimate.py
+++ b/ironhinge/routing/congestion_estimate.py
@@ -28,7 +28,7 @@
         self.uncongested_in_flight = 0.0  # the most in flight while one was not slow; fades as fast
 
     def record_transfer(
-        self, now: int, duration: int, transfer_time: int, in_flight: float, decay_time: float
+        self, now: int, duration: int, transfer_time: int, in_flight: float, half_life: float
     ) -> None:
         """Records a finished transfer.
 
@@ -37,17 +37,17 @@
             duration: How long the transfer took.
             transfer_time: How long it takes on an idle path.
             in_flight: The mean number of attempts in flight while it took place.
-            decay_time: Half-life of what was recorded before.
+            half_life: Half-life of what was recorded before.
         """
-        fade = 2 ** ((self.updated_at - now) / decay_time)
-        self.observed_time = self.observed_time * fade + duration
-        self.expected_time = self.expected_time * fade + transfer_time
+        decay = 2 ** ((self.updated_at - now) / half_life)
+        self.observed_time = self.observed_time * decay + duration
+        self.expected_time = self.expected_time * decay + transfer_time
         self.updated_at = now
-        self.weighted_in_flight = self.weighted_in_flight * fade + transfer_time * in_flight
+        self.weighted_in_flight = self.weighted_in_flight * decay + transfer_time * in_flight
         uncongested = in_flight if duration < CONGESTED_SLOWDOWN * transfer_time else 0.0
-        self.uncongested_in_flight = max(self.uncongested_in_flight * fade, uncongested)
+        self.uncongested_in_flight = max(self.uncongested_in_flight * decay, uncongested)
 
-    def slowdown(self, now: int, in_flight: int, decay_time: float, prior: float) -> float:
+    def slowdown(self, now: int, in_flight: int, half_life: float, prior: float) -> float:
         """How many times its transfer time a request would take now.
 
         What was seen is scaled by the attempts in flight now against then, since it is as old as the
@@ -57,17 +57,17 @@
         Args:
             now: The present time.
             in_flight: Attempts in flight, with the one that is asked for.
-            decay_time: Half-life of what was recorded.
+            half_life: Half-life of what was recorded.
             prior: Transfer time at full speed that the path is assumed to have shown besides.
         """
-        fade = 2 ** ((self.updated_at - now) / decay_time)
-        seen = (self.observed_time * fade + prior) / (self.expected_time * fade + prior)
+        decay = 2 ** ((self.updated_at - now) / half_life)
+        observed_slowdown = (self.observed_time * decay + prior) / (self.expected_time * decay + prior)
         if not self.weighted_in_flight:
-            return seen
-        uncongested = self.uncongested_in_flight * fade
-        in_flight_then = self.weighted_in_flight / self.expected_time
+            return observed_slowdown
+        uncongested = self.uncongested_in_flight * decay
+        observed_in_flight = self.weighted_in_flight / self.expected_time
         # comparisons, as this runs for each cache that is checked and a call of max costs more than the rest
-        most_now = in_flight if in_flight > uncongested else uncongested
-        most_then = in_flight_then if in_flight_then > uncongested else uncongested
-        slowdown = seen * most_now / most_then
+        effective_now = in_flight if in_flight > uncongested else uncongested
+        effective_then = observed_in_flight if observed_in_flight > uncongested else uncongested
+        slowdown = observed_slowdown * effective_now / effective_then
         return slowdown if slowdown > 1.0 else 1.0
--- a/ironhinge/routing/eligibility.py
+++ b/ironhinge/routing/eligibility.py
@@ -29,12 +29,12 @@
         if self._liveness.is_unresponsive(now, upstream):
             return False
         # has_capacity, without the call: this runs for each cache that is checked
-        if not self._slow_start.within_slow_start(now, request, upstream):
+        if not self._slow_start.allows(now, request, upstream):
             return False
         return self._congestion.meets_target(now, request, upstream)
 
     def has_capacity(self, now: int, request: RequestState, upstream: Upstream) -> bool:
         """Whether slow start and congestion leave room for the request at the upstream."""
-        return self._slow_start.within_slow_start(now, request, upstream) and self._congestion.meets_target(
+        return self._slow_start.allows(now, request, upstream) and self._congestion.meets_target(
             now, request, upstream
         )
--- a/ironhinge/routing/hashing.py
+++ b/ironhinge/routing/hashing.py
@@ -35,12 +35,12 @@
 
     def __init__(self, keys: list[int]):
         self._count = len(keys)
-        self._keys = self._lanes(keys)
-        self._ones = self._lanes([1] * self._count)
+        self._keys = self._pack_lanes(keys)
+        self._ones = self._pack_lanes([1] * self._count)
         self._low_halves = self._ones * MASK
 
     @staticmethod
-    def _lanes(numbers: list[int]) -> int:
+    def _pack_lanes(numbers: list[int]) -> int:
         return int.from_bytes(b"".join(number.to_bytes(LANE_BYTES, "little") for number in numbers), "little")
 
     def scores(self, first: int) -> list[int]:
--- a/ironhinge/routing/request_rates.py
+++ b/ironhinge/routing/request_rates.py
@@ -21,14 +21,14 @@
 class AdmissionRank(IntEnum):
     """How firmly a cache is to keep the copy that it fills."""
 
-    NOT_KEPT = 0
+    NOT_STORED = 0
     LOWEST = 1
     MIDDLE = 2
     HIGH = 3
 
 
 # Access to an enum member through its class is slow in Python 3.11.
-NOT_KEPT = AdmissionRank.NOT_KEPT
+NOT_STORED = AdmissionRank.NOT_STORED
 LOWEST = AdmissionRank.LOWEST
 MIDDLE = AdmissionRank.MIDDLE
 HIGH = AdmissionRank.HIGH
@@ -49,17 +49,17 @@
     def count(self, key: ObjectKey, size: float, now: int) -> int:
         """Counts a request; returns how many entries rank above its object's."""
         scores, sorted_scores = self._scores, self._sorted_scores
-        new = now / RATE_HALF_LIFE - log2(size or 1.0)
-        old = scores.pop(key, None)
-        if old is not None:
-            del sorted_scores[bisect_left(sorted_scores, old)]
-            new = max(old, new) + log2(1 + 2 ** -abs(old - new))
+        new_score = now / RATE_HALF_LIFE - log2(size or 1.0)
+        old_score = scores.pop(key, None)
+        if old_score is not None:
+            del sorted_scores[bisect_left(sorted_scores, old_score)]
+            new_score = max(old_score, new_score) + log2(1 + 2 ** -abs(old_score - new_score))
         elif len(scores) >= MAX_TABLE_ENTRIES:
             oldest = scores.pop(next(iter(scores)))
             del sorted_scores[bisect_left(sorted_scores, oldest)]
-        scores[key] = new
-        insort(sorted_scores, new)
-        return len(sorted_scores) - bisect_right(sorted_scores, new)
+        scores[key] = new_score
+        insort(sorted_scores, new_score)
+        return len(sorted_scores) - bisect_right(sorted_scores, new_score)
 
 
 class RecentRequests:
@@ -73,11 +73,11 @@
 
     def record(self, key: ObjectKey, now: int) -> bool:
         """Records a request; returns whether the part was requested within the window before."""
-        last = self._last_requested_at.pop(key, None)
+        last_requested_at = self._last_requested_at.pop(key, None)
         if len(self._last_requested_at) >= MAX_TABLE_ENTRIES:
             del self._last_requested_at[next(iter(self._last_requested_at))]
         self._last_requested_at[key] = now
-        return last is not None and now - last <= self._window
+        return last_requested_at is not None and now - last_requested_at <= self._window
 
 
 def rank_of_position(entries_above: int, recently_requested: bool) -> AdmissionRank:
@@ -94,4 +94,4 @@
         rank = LOWEST
     if recently_requested:
         return rank
-    return NOT_KEPT if rank is LOWEST else LOWEST
+    return NOT_STORED if rank is LOWEST else LOWEST
--- a/ironhinge/routing/request_state.py
+++ b/ironhinge/routing/request_state.py
@@ -30,9 +30,9 @@
 
     def observed_transfer_time(self) -> int:
         """The average of the transfers that were seen; 0 before the first."""
-        seen = self._transfer_count - PRIOR_TRANSFERS
+        observed_count = self._transfer_count - PRIOR_TRANSFERS
         prior = self.definition.latency_target * PRIOR_TRANSFERS
-        return (self._transfer_time_sum - prior) // seen if seen else 0
+        return (self._transfer_time_sum - prior) // observed_count if observed_count else 0
 
     def record_transfer_time(self, transfer_time: int) -> None:
         """Adds one transfer to the averages."""
@@ -57,8 +57,8 @@
         "in_flight_at_send",
         "is_cacheable",
         "key",
-        "may_have_run",
         "parent_hash_key",
+        "possibly_run_attempt",
         "received",
         "recently_requested",
         "request_class",
@@ -89,7 +89,7 @@
         self.admission_ranks: dict[Upstream, AdmissionRank] = {}  # at the caches that were to look it up
         self.attempt_count = 0
         self.attempt: Attempt | None = None  # in flight
-        self.may_have_run: Attempt | None = None  # the first attempt that may have taken effect
+        self.possibly_run_attempt: Attempt | None = None  # the first attempt that may have taken effect
         self.in_flight_at_send: dict[Path, int] = {}  # attempts on its paths when its own was sent
         self.fill_budget_wait = 0  # until a fill budget without room for it has some
         self.response_started = False
--- a/ironhinge/routing/retries.py
+++ b/ironhinge/routing/retries.py
@@ -15,13 +15,16 @@
 
 def may_retry_on(now: int, request: RequestState, upstream: Upstream) -> bool:
     """Whether sending the request to the upstream cannot make it take effect twice."""
-    first = request.may_have_run
-    if first is None or request.request_class.is_idempotent:
+    first_attempt = request.possibly_run_attempt
+    if first_attempt is None or request.request_class.is_idempotent:
         return True
     definition = request.request_class.definition
-    if definition.idempotency == Idempotency.NON_IDEMPOTENT or now >= first.sent_at + definition.dedup_window:
+    if (
+        definition.idempotency == Idempotency.NON_IDEMPOTENT
+        or now >= first_attempt.sent_at + definition.dedup_window
+    ):
         return False
-    scope, endpoint, first_endpoint = definition.dedup_scope, upstream.endpoint, first.endpoint
+    scope, endpoint, first_endpoint = definition.dedup_scope, upstream.endpoint, first_attempt.endpoint
     if scope == DedupScope.ZONE:
         return endpoint.zone == first_endpoint.zone
     if scope == DedupScope.CELL:
@@ -31,11 +34,11 @@
 
 def is_safe_to_repeat(now: int, request: RequestState) -> bool:
     """Whether the client may make the request again without a second effect, wherever that is sent."""
-    definition, first = request.request_class.definition, request.may_have_run
-    if first is None or request.request_class.is_idempotent:
+    definition, first_attempt = request.request_class.definition, request.possibly_run_attempt
+    if first_attempt is None or request.request_class.is_idempotent:
         return True
     is_deduplicated = definition.idempotency == Idempotency.KEYED and definition.dedup_scope == DedupScope.ALL
-    return is_deduplicated and now < first.sent_at + definition.dedup_window
+    return is_deduplicated and now < first_attempt.sent_at + definition.dedup_window
 
 
 def attempt_deadline(now: int, request: RequestState, min_batch_interval: int) -> int:
@@ -44,16 +47,16 @@
     An attempt that can be repeated leaves time for another one before the client gives up, in case its
     upstream never answers.
     """
-    last = request.client_deadline - ROUND_TRIP_BATCHES * min_batch_interval
+    latest_deadline = request.client_deadline - ROUND_TRIP_BATCHES * min_batch_interval
     if not request.request_class.is_idempotent:
-        return last
+        return latest_deadline
     time_for_another = int(ATTEMPT_TIME_MULTIPLE * request.transfer_time)
-    return min(last, max(last - time_for_another, now + (last - now) // 2))
+    return min(latest_deadline, max(latest_deadline - time_for_another, now + (latest_deadline - now) // 2))
 
 
 def start_deadline(request: RequestState) -> int:
     """When an attempt would run again if it began later, as its idempotency key is forgotten; 0: never."""
-    first = request.may_have_run
-    if first is None or request.request_class.is_idempotent:
+    first_attempt = request.possibly_run_attempt
+    if first_attempt is None or request.request_class.is_idempotent:
         return 0
-    return first.sent_at + request.request_class.definition.dedup_window
+    return first_attempt.sent_at + request.request_class.definition.dedup_window
--- a/ironhinge/routing/router.py
+++ b/ironhinge/routing/router.py
@@ -49,7 +49,7 @@
 from .liveness import LivenessMonitor
 from .outlier_detection import OutlierDetector
 from .purges import PurgeLog
-from .request_rates import NOT_KEPT, AdmissionRank, RecentRequests
+from .request_rates import NOT_STORED, AdmissionRank, RecentRequests
 from .request_state import ROUND_TRIP_BATCHES, RequestClassState, RequestState
 from .retries import may_retry_on
 from .slow_start import SlowStart
@@ -57,7 +57,9 @@
 from .upstreams import Upstream
 
 MAX_CACHES_TRIED = 2  # caches in which a request looks for a copy
-CLIENT_RETRY_WAIT = 0.5  # part of the target that a request is taken to have used up before a client's retry
+CLIENT_RETRY_TARGET_SHARE = (
+    0.5  # part of the target that a request is taken to have used up before a client's retry
+)
 DEFAULT_CLIENT_TIMEOUT = 10_000  # where the deployment has no request class
 TIME_UNITS_PER_SECOND = 10_000
 WATCH_RETRIES_PER_POLL = 10  # a broken watch is set again after this part of the poll interval
@@ -129,11 +131,11 @@
             try:
                 handler(now, event)
             except Exception:
-                self._forget(getattr(event, "request_id", ""))
+                self._discard_request(getattr(event, "request_id", ""))
                 raise
         return self._commands
 
-    def _forget(self, request_id: str) -> None:
+    def _discard_request(self, request_id: str) -> None:
         """Drops a request lost to a fault: an attempt in flight for ever would distort what is known."""
         request = self.requests.pop(request_id, None)
         if request is not None:
@@ -149,7 +151,7 @@
         request = RequestState(event, request_class, now, transfer_time)
         self.requests[event.request_id] = request
         if event.is_client_retry:  # its client has waited before, and its first try counts
-            request.target_at -= int(CLIENT_RETRY_WAIT * request_class.definition.latency_target)
+            request.target_at -= int(CLIENT_RETRY_TARGET_SHARE * request_class.definition.latency_target)
         request.recently_requested = self.recent_requests.record(request.key, now)
         if self._can_serve_local_copy(now, request):
             self._commands.append(ServeLocalCopy(request.id))
@@ -263,13 +265,13 @@
         deployment = self.deployment
         if request.attempt_count >= deployment.max_attempts:
             return False
-        shortest = max(request.transfer_time, ROUND_TRIP_BATCHES * deployment.min_batch_interval)
-        return now + shortest < request.client_deadline
+        min_duration = max(request.transfer_time, ROUND_TRIP_BATCHES * deployment.min_batch_interval)
+        return now + min_duration < request.client_deadline
 
     def _plan_attempt(self, now: int, request: RequestState) -> AttemptPlan | None:
         """The next untried cache, else the first one without keeping a copy, else past the caches."""
         selector = self.cache_selector
-        checked = selector.check_changing(now, request, self.requests.values())
+        checked = selector.check_with_side_effects(now, request, self.requests.values())
         source = self.fill_sources.select(now, request)
         first, untried = selector.select_cache(now, request, checked)
         if untried is not None and request.is_cacheable and len(request.tried) < MAX_CACHES_TRIED:
@@ -277,13 +279,13 @@
             return AttemptPlan(untried, source if rank and source is not None else untried, rank)
         if source is not None:
             if first is not None:
-                return AttemptPlan(first, source, NOT_KEPT)
+                return AttemptPlan(first, source, NOT_STORED)
             if self.deployment.direct_to_source and may_retry_on(now, request, source):
-                return AttemptPlan(source, source, NOT_KEPT)
+                return AttemptPlan(source, source, NOT_STORED)
         last_resort = selector.select_last_resort(now, request)
         if last_resort is None or source is None:
             return None
-        return AttemptPlan(last_resort, source, NOT_KEPT)
+        return AttemptPlan(last_resort, source, NOT_STORED)
 
     def finish_unserved(self, now: int, request: RequestState) -> None:
         """Gives a request that no upstream could serve its final answer."""
--- a/ironhinge/routing/slow_start.py
+++ b/ironhinge/routing/slow_start.py
@@ -33,7 +33,7 @@
     min_share: float
     duration: int
     overload_multiple: float
-    routers: int  # that send to the tier
+    sending_routers: int  # that send to the tier
 
     def share_at(self, age: int) -> float:
         """The share of its capacity that an upstream of this age can do."""
@@ -50,8 +50,8 @@
         "_overload_window",
         "_parent_kind",
         "_parent_limits",
+        "_peak_throughput_by_kind",
         "_random",
-        "_throughput_by_kind",
         "_upstreams",
     )
 
@@ -61,7 +61,7 @@
         self._overload_window = deployment.overload_window
         self._has_weights = deployment.weight_kind in (WeightKind.NOMINAL, WeightKind.ROUGH)
         self._has_utilization = UTILIZATION_FIELD in deployment.load_report_fields
-        self._throughput_by_kind: dict[int, float] = {}  # the most that warm upstreams were seen to do
+        self._peak_throughput_by_kind: dict[int, float] = {}  # the most that warm upstreams were seen to do
         self._cache_limits = TierLimits(
             deployment.slow_start_min_share,
             deployment.slow_start_duration,
@@ -99,7 +99,7 @@
         if upstream.tokens is not None:
             upstream.tokens -= self.cost(request, upstream)
 
-    def within_slow_start(self, now: int, request: RequestState, upstream: Upstream) -> bool:
+    def allows(self, now: int, request: RequestState, upstream: Upstream) -> bool:
         """Whether the upstream is warm, or has tokens left."""
         if upstream is self._upstreams.origin or not self.is_warming_up(now, upstream):
             upstream.tokens = None
@@ -110,15 +110,15 @@
         """Adds the tokens that have come in since the last call; returns how many there are now."""
         is_parent = upstream.endpoint.kind == self._parent_kind
         limits = self._parent_limits if is_parent else self._cache_limits
-        routers, window = limits.routers, self._overload_window
+        sending_routers, window = limits.sending_routers, self._overload_window
         rate = self._allowed_rate(now, upstream, limits)
-        most_requests = rate * routers * window / cost  # of all routers together, within the window
+        max_requests = rate * sending_routers * window / cost  # of all routers together, within the window
         # half of what the rule leaves besides, which is (1 - SAFETY_SHARE) n + 2 sqrt(n) + 2 for n requests
-        max_tokens = cost * ((1 - SAFETY_SHARE) * most_requests / 2 + most_requests**0.5 + 1) / routers
+        max_tokens = cost * ((1 - SAFETY_SHARE) * max_requests / 2 + max_requests**0.5 + 1) / sending_routers
         if upstream.tokens is None:
             tokens = -self._random.next_float() * cost
         else:  # the rule always allows two requests of all routers together; one is dared
-            refill_rate = max(SAFETY_SHARE * rate, cost / (routers * max(1, window)))
+            refill_rate = max(SAFETY_SHARE * rate, cost / (sending_routers * max(1, window)))
             tokens = upstream.tokens + refill_rate * (now - upstream.tokens_updated_at)
         if tokens > max_tokens:
             tokens = (tokens + cost) % (cost + max_tokens) - cost
@@ -131,26 +131,26 @@
         started_at = max(endpoint.started_at, upstream.unresponsive_since)
         share = limits.share_at(max(0, now - self._overload_window - started_at))
         if self._has_weights:
-            capacity = endpoint.weight / limits.routers
+            capacity = endpoint.weight / limits.sending_routers
         else:
-            capacity = self._throughput_of_kind(now, endpoint.kind)
+            capacity = self._capacity_of_kind(now, endpoint.kind)
         return limits.overload_multiple * share * capacity
 
-    def _throughput_of_kind(self, now: int, kind: int) -> float:
+    def _capacity_of_kind(self, now: int, kind: int) -> float:
         """What a warm upstream of the kind can do for this router.
 
         That is the throughput of the warm ones over the utilization that they report. A fall may only mean
         that less was asked of them, hence the most that was seen counts.
         """
-        most = self._throughput_by_kind.get(kind, 0.0)
+        peak = self._peak_throughput_by_kind.get(kind, 0.0)
         warm = [each for each in self._upstreams.peers_of_kind(kind) if self._is_warm(now, kind, each)]
         if not warm:
-            return most
+            return peak
         utilization = sum(each.utilization for each in warm) if self._has_utilization else len(warm)
         throughput = sum(each.throughput_at(now) for each in warm)
-        most = max(throughput / max(utilization, MIN_UTILIZATION * len(warm)), most)
-        self._throughput_by_kind[kind] = most
-        return most
+        peak = max(throughput / max(utilization, MIN_UTILIZATION * len(warm)), peak)
+        self._peak_throughput_by_kind[kind] = peak
+        return peak
 
     def _is_warm(self, now: int, kind: int, upstream: Upstream) -> bool:
         is_of_kind = upstream.endpoint.kind == kind
--- a/ironhinge/routing/upstream_registry.py
+++ b/ironhinge/routing/upstream_registry.py
@@ -38,19 +38,19 @@
         self._has_list = True
 
     def _update_endpoint(self, now: int, endpoint: Endpoint, is_full: bool) -> None:
-        known = self.by_id.get(endpoint.id)
-        if known is None:
+        registered = self.by_id.get(endpoint.id)
+        if registered is None:
             if self._has_list and not is_full and not endpoint.started_at:
                 endpoint = endpoint._replace(started_at=now)  # a newcomer warms up, whatever is said of it
-            known = self.by_id[endpoint.id] = Upstream(endpoint)
+            registered = self.by_id[endpoint.id] = Upstream(endpoint)
         elif endpoint.state == REMOVED:
-            return self._remove(known)
+            return self._remove(registered)
         else:
-            started_at = known.endpoint.started_at
+            started_at = registered.endpoint.started_at
             if endpoint.started_at > started_at:
-                known.reset()
-            known.endpoint = endpoint._replace(started_at=max(endpoint.started_at, started_at))
-        self.reclassify(known)
+                registered.reset()
+            registered.endpoint = endpoint._replace(started_at=max(endpoint.started_at, started_at))
+        self.reclassify(registered)
         return None
 
     def _remove(self, upstream: Upstream) -> None:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -224,7 +224,7 @@
 
 def test_many_routers_remember_congestion_for_longer():
     many, few = make_router(deployment(local_router_count=16)), make_router()
-    assert many.congestion.decay_time > 2 * few.congestion.decay_time
+    assert many.congestion.half_life > 2 * few.congestion.half_life
 
 
 def test_first_requests_rank_lowest():
@@ -328,7 +328,7 @@
     router.handle(20010, finished(command, "timeout", took=20000))
     slowdowns = [
         each.congestion.slowdown(
-            20010, len(each.in_flight) + 1, router.congestion.decay_time, router.congestion.prior
+            20010, len(each.in_flight) + 1, router.congestion.half_life, router.congestion.prior
         )
         for each in (cache, source)
     ]
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -541,13 +541,13 @@
     for one in many:
         one.random.state = seeds.getrandbits(64)  # each has a seed of its own
         one.handle(start, interface.EndpointsUpdated(False, (row("c0", started=start),)))
-        one.slow_start.within_slow_start(start, one_request(one, start), one.upstreams.by_id["c0"])
+        one.slow_start.allows(start, one_request(one, start), one.upstreams.by_id["c0"])
     for at in range(start + 10000, start + facts.slow_start_duration, 2500):
         sent = 0
         for one in many:
             cache, request = one.upstreams.by_id["c0"], one_request(one, at)
             before = cache.tokens, cache.tokens_updated_at
-            while one.slow_start.within_slow_start(at, request, cache):  # all that it would send at once
+            while one.slow_start.allows(at, request, cache):  # all that it would send at once
                 cache.tokens -= one.slow_start.cost(request, cache)
                 sent += 1
             cache.tokens, cache.tokens_updated_at = before
