--- a/ironhinge/routing/__init__.py
+++ b/ironhinge/routing/__init__.py
@@ -1,15 +1,17 @@
-"""All decisions of ironhinge: where a request goes, where it is filled from, how it is kept, how it ends.
+"""The routing decisions: upstream selection, fill sources, admission ranks, retries and final answers.
 
-`router` takes the events and plans the attempts of each request. Beside it stand
+`router` handles the events and plans the attempts of each request. The other modules hold
 
 - the state: `upstreams`, `upstream_registry`, `request_state`;
-- which caches and sources a request can use: `hashing`, `candidates`, `cache_selection`, `fill_source`,
-  `request_rates`, `retries`, `purges`;
-- what is known of an upstream's health and load: `eligibility`, `outlier_detection`, `failure_attribution`,
-  `liveness`, `slow_start`, `congestion`, `congestion_estimate`;
-- what is sent, and what is learned from it: `attempts`, `attempt_results`, `final_answers`.
+- the choice of the caches and sources that a request can use: `hashing`, `candidates`, `cache_selection`,
+  `fill_source`, `request_rates`, `retries`, `purges`;
+- the health and the load of upstreams: `eligibility`, `outlier_detection`, `failure_attribution`, `liveness`,
+  `slow_start`, `congestion`, `congestion_estimate`;
+- sending attempts, recording their results and giving final answers: `attempts`, `attempt_results`,
+  `final_answers`.
 
-Times are whole tenths of a millisecond. All decisions follow from the events, their times and the seed.
+Times are whole tenths of a millisecond (ticks). All decisions are deterministic: they depend only on the
+events, their times and the seed. `deterministic_random` generates the random numbers.
 """
 
 from .router import Router
--- a/ironhinge/routing/attempt_results.py
+++ b/ironhinge/routing/attempt_results.py
@@ -1,4 +1,4 @@
-"""What is learned from how attempts end."""
+"""Records the results of attempts in the state of upstreams and requests."""
 
 from __future__ import annotations
 
@@ -12,10 +12,13 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Attempt, Upstream
 
-UTILIZATION_WEIGHT = 0.25  # weight of the newest load report in an upstream's utilization
+UTILIZATION_WEIGHT = 0.25  # weight of the newest load report in an upstream's average utilization
 DONE = AttemptResult.DONE
 MISS = AttemptResult.MISS
-NEUTRAL_RESULTS = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)  # they say nothing of the upstream
+NEUTRAL_RESULTS = (
+    AttemptResult.CANCELLED,
+    AttemptResult.NOT_SENT,
+)  # they say nothing about the upstream's health
 MAY_HAVE_RUN_RESULTS = (
     AttemptResult.ERROR,
     AttemptResult.TIMEOUT,
@@ -26,7 +29,7 @@
 
 
 class AttemptResults:
-    """Records the results of attempts at their upstreams, sources and requests."""
+    """Updates upstreams, fill sources and requests when an attempt or a load report arrives."""
 
     __slots__ = (
         "_attribution",
@@ -53,7 +56,7 @@
         self._utilization_index = fields.index(UTILIZATION_FIELD) if UTILIZATION_FIELD in fields else None
 
     def record_load_report(self, upstream: Upstream, report: tuple[float, ...] | None) -> None:
-        """Records the utilization that an upstream reports, where deployments have it reported."""
+        """Adds the reported utilization to the upstream's average, if load reports contain it."""
         if report and self._utilization_index is not None:
             utilization = min(1.0, report[self._utilization_index])
             upstream.utilization += UTILIZATION_WEIGHT * (utilization - upstream.utilization)
@@ -61,7 +64,7 @@
     def record_result(
         self, now: int, request: RequestState, attempt: Attempt, event: AttemptFinished
     ) -> None:
-        """Records how an attempt of the request ended; it is in flight no more."""
+        """Records how an attempt of the request ended; the attempt must no longer be tracked as in flight."""
         result = event.result
         if result == DONE:
             self._record_done(now, request, attempt, event)
@@ -74,7 +77,11 @@
             request.possibly_run_attempt = attempt
 
     def _record_done(self, now: int, request: RequestState, attempt: Attempt, event: AttemptFinished) -> None:
-        """What a fill takes counts for its source, so that a cache's speed is that of its hits."""
+        """Records a successful attempt.
+
+        The duration of a fill counts towards the congestion of its source, not of the cache, so that the
+        cache's estimate reflects only its hits.
+        """
         upstream, duration = attempt.upstream, event.duration
         fill_source = attempt.source if event.cache_status in FILLED_STATUSES else None
         self._record_success(now, attempt, upstream, request.transfer_time)
@@ -94,7 +101,7 @@
             return
         if source is self._upstreams.origin:
             request.failed.append(source)
-        else:  # fills of an object meet at one parent: no other would hold it
+        else:  # all fills of an object go to one parent, so no other parent has a copy either
             request.failed += self._upstreams.parents
 
     def _record_success(self, now: int, attempt: Attempt, upstream: Upstream, transfer_time: int) -> None:
--- a/ironhinge/routing/attempts.py
+++ b/ironhinge/routing/attempts.py
@@ -1,4 +1,4 @@
-"""Sends attempts: what the command says, and which paths the attempt is in flight on."""
+"""Sends attempts: builds their commands and tracks the paths on which they are in flight."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AttemptSender:
-    """Makes the commands that send attempts, and keeps count of those in flight."""
+    """Builds the commands that send attempts, and tracks the attempts in flight."""
 
     __slots__ = ("_deployment", "_purges", "_slow_start", "_upstreams")
 
@@ -27,14 +27,18 @@
     def send(
         self, now: int, request: RequestState, upstream: Upstream, source: Upstream, rank: AdmissionRank
     ) -> SendAttempt | SendAttemptWithFill:
-        """Sends a request to an upstream.
+        """Builds the command that sends a request to an upstream, and tracks the attempt.
 
         Args:
-            now: The present time.
-            request: What is sent; it has no attempt in flight.
-            upstream: Where it is sent.
-            source: Where a miss is filled from; the upstream itself for no fill.
-            rank: The rank at which the upstream keeps a copy.
+            now: The current time.
+            request: The request; it has no attempt in flight.
+            upstream: The upstream to which it is sent.
+            source: The source from which a miss is filled; the upstream itself for no fill.
+            rank: The rank with which the upstream stores the copy.
+
+        Returns:
+            `SendAttempt` if there is no fill source and the upstream is the origin, or a cache whose copies
+            no purge restricts; else `SendAttemptWithFill`. A parent without a source fills from the origin.
         """
         deployment, origin = self._deployment, self._upstreams.origin
         deadline = attempt_deadline(now, request, deployment.min_batch_interval)
@@ -63,9 +67,10 @@
         return command
 
     def _is_cached_only(self, now: int, source: Upstream) -> bool:
-        """Whether the source is to give only what it holds.
+        """Returns whether the source may serve only a cached copy.
 
-        So it is for parents while the origin behind them may be full: each of them would ask it anew.
+        This applies to parents while the origin may be at capacity, as each of them would send it another
+        request on a miss.
         """
         origin = self._upstreams.origin
         return source in self._upstreams.parents and origin is not None and now < origin.rejecting_until
@@ -90,7 +95,7 @@
             self._slow_start.consume(request, source)
 
     def untrack(self, request: RequestState, attempt: Attempt) -> None:
-        """Removes an attempt that has ended from the paths that it took."""
+        """Removes an attempt that has ended from its request and its paths."""
         request.attempt = None
         attempt.upstream.in_flight.pop(request.id, None)
         if attempt.source is not None:
--- a/ironhinge/routing/cache_selection.py
+++ b/ironhinge/routing/cache_selection.py
@@ -1,4 +1,4 @@
-"""Which caches a request is sent to: the first eligible ones of its object's candidates."""
+"""Selects the caches to which a request is sent: the first eligible ones in the order of its object."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     """The eligible caches that a request can be sent to."""
 
     first: Upstream | None  # the first in the object's order
-    untried: Upstream | None  # the first that the request has not tried
+    untried: Upstream | None  # the first that has not reported a miss for the request
 
 
 class CacheSelector:
-    """Selects caches for requests, and the ranks at which they keep copies."""
+    """Selects caches for requests, and the ranks with which they store copies."""
 
     __slots__ = ("_eligibility", "_slow_start", "_upstreams")
 
@@ -33,10 +33,12 @@
     def check_with_side_effects(
         self, now: int, request: RequestState, open_requests: Iterable[RequestState]
     ) -> dict[Upstream, bool]:
-        """Whether each cache is eligible of which the check itself changes what is known.
+        """Checks all caches whose eligibility check has side effects; returns the result for each.
 
-        Those are the ones that owe an answer and those that may be warming up. All others can be checked one
-        by one until one is eligible.
+        Those are the caches with an attempt in flight, which the check may record as unresponsive, and the
+        caches that may be warming up, whose tokens it refills. Caches that have failed the request or must
+        not get it again are left out. The check of any other cache has no side effects, so `select_cache`
+        stops at the first eligible one.
         """
         awaited = [each.attempt.upstream for each in open_requests if each.attempt is not None]
         maybe_warming = self._upstreams.maybe_warming
@@ -45,7 +47,7 @@
             for upstream in dict.fromkeys([*awaited, *maybe_warming])
             if upstream.is_local_cache and may_retry_on(now, request, upstream)
         ]
-        if maybe_warming:  # random numbers are drawn for those that are warming up, in the object's order
+        if maybe_warming:  # checks during slow start draw random numbers, in the order of the object
             key = request.hash_key
             caches.sort(key=lambda cache: score(key, cache.hash_key), reverse=True)
         checked, failed = {}, request.failed
@@ -58,9 +60,9 @@
         return checked
 
     def select_cache(self, now: int, request: RequestState, checked: dict[Upstream, bool]) -> CacheChoice:
-        """The first eligible caches, given those that were checked already."""
+        """Returns the first eligible caches, given the results of `check_with_side_effects`."""
         first = None
-        is_restricted = request.possibly_run_attempt is not None  # before that, every cache is allowed
+        is_restricted = request.possibly_run_attempt is not None  # else every cache is allowed
         failed, tried, is_eligible = request.failed, request.tried, self._eligibility.is_eligible
         for cache in self._upstreams.candidates.in_order(request.hash_key):
             if cache in failed or (is_restricted and not may_retry_on(now, request, cache)):
@@ -73,7 +75,10 @@
         return CacheChoice(first, None)
 
     def select_last_resort(self, now: int, request: RequestState) -> Upstream | None:
-        """A cache with capacity, whatever its health: the one that failed the request least often."""
+        """Returns a cache with capacity, whatever its health; None if there is none.
+
+        Of several it is the one that failed the request least often, then the one whose ejection ends first.
+        """
         candidates = self._upstreams.candidates.in_order(request.hash_key)
         has_capacity = self._eligibility.has_capacity
         allowed = [cache for cache in candidates if may_retry_on(now, request, cache)]
@@ -86,7 +91,7 @@
 
     @staticmethod
     def admission_rank(now: int, request: RequestState, cache: Upstream) -> AdmissionRank:
-        """The rank at which the cache keeps the object; each request is counted once."""
+        """Returns the rank with which the cache stores the object; counts each request once per cache."""
         rank = request.admission_ranks.get(cache)
         if rank is None:
             entries_above = cache.request_rates.count(request.key, request.size, now)
--- a/ironhinge/routing/candidates.py
+++ b/ironhinge/routing/candidates.py
@@ -1,7 +1,7 @@
-"""Each object's candidate caches: rendezvous orders of the ready caches of this location.
+"""The candidate caches of each object: the ready caches of this location in rendezvous order.
 
-An order of thousands of caches costs milliseconds, so that the first few of it are remembered for each object
-and corrected as caches come and go.
+Ordering thousands of caches takes milliseconds, so the first few of each order are remembered per object and
+updated as caches are added and removed.
 """
 
 from __future__ import annotations
@@ -12,27 +12,29 @@
 from .hashing import MASK, RendezvousHasher, score
 from .upstreams import Upstream
 
-REMEMBERED_CANDIDATES = 8  # first caches of an order that are remembered; rarely is one further on used
-EXPECTED_PRESELECTED = 4 * REMEMBERED_CANDIDATES  # caches looked through for these, on average
-MAX_ORDERS = 4096  # objects whose first candidates are remembered
-MAX_ADDED_CACHES = 512  # caches that were added before all orders are forgotten
-MAX_MERGED_CACHES = 64  # caches added since; with more of them an order is computed anew
+REMEMBERED_CANDIDATES = 8  # caches remembered per object; later ones are rarely used
+EXPECTED_PRESELECTED = (
+    4 * REMEMBERED_CANDIDATES
+)  # caches preselected by score before these are picked, on average
+MAX_ORDERS = 4096  # number of objects whose first candidates are remembered
+MAX_ADDED_CACHES = 512  # number of added caches after which all orders are discarded
+MAX_MERGED_CACHES = 64  # an order is recomputed if more caches were added since its last update
 
 
 class CandidateOrder:
-    """The first candidates of an object: the caches whose scores are not under a floor, by falling score.
+    """The first candidates of an object: the caches whose scores are not below `floor`, highest first.
 
-    Some may have left since.
+    Caches that have been removed since may still be included.
     """
 
     __slots__ = ("first", "floor", "merged_count")
 
     def __init__(self, first: list[Upstream], floor: int, merged_count: int):
         self.first, self.floor = first, floor
-        self.merged_count = merged_count  # of the caches that were ever added
+        self.merged_count = merged_count  # entries of `Candidates.added` that are already merged
 
     def merge(self, key: int, added: list[Upstream]) -> None:
-        """Inserts the caches that were added since."""
+        """Inserts the caches that were added since the last update."""
         new = [cache for cache in added[self.merged_count :] if cache not in self.first]
         new = [cache for cache in new if score(key, cache.hash_key) >= self.floor]
         if new:
@@ -43,35 +45,37 @@
 
 
 class Candidates:
-    """The ready caches of the location, and the order in which each object tries them."""
+    """The ready caches of the location, and their order for each object."""
 
     __slots__ = ("_hasher", "_orders", "added", "caches", "hash_keys")
 
     def __init__(self) -> None:
         self.caches: list[Upstream] = []
-        self.hash_keys: list[int] = []  # of the same, in the same order
-        self.added: list[Upstream] = []  # in the order in which they were added, for the remembered orders
-        self._hasher: RendezvousHasher | None = None  # of the hash keys, once it is needed
-        self._orders: dict[int, CandidateOrder] = {}  # by an object's hash key; least recently used first
+        self.hash_keys: list[int] = []  # of `caches`, in the same order
+        self.added: list[Upstream] = []  # in the order of addition, to update the remembered orders
+        self._hasher: RendezvousHasher | None = None  # of `hash_keys`; built on first use
+        self._orders: dict[int, CandidateOrder] = {}  # by hash key of the object; least recently used first
 
     def add(self, cache: Upstream) -> None:
         """Adds a cache that has become ready."""
         self.caches.append(cache)
         self.hash_keys.append(cache.hash_key)
         self._hasher = None
-        if len(self.added) >= MAX_ADDED_CACHES:  # bounds the memory: orders hold caches that have left
+        if (
+            len(self.added) >= MAX_ADDED_CACHES
+        ):  # bounds memory: orders and the list keep removed caches alive
             self.added.clear()
             self._orders.clear()
         self.added.append(cache)
 
     def remove(self, cache: Upstream) -> None:
-        """Removes a cache; remembered orders pass over it by its `is_local_cache`."""
+        """Removes a cache; remembered orders skip it once its `is_local_cache` is False."""
         index = self.caches.index(cache)
         del self.caches[index], self.hash_keys[index]
         self._hasher = None
 
     def in_order(self, key: int) -> Iterator[Upstream]:
-        """All caches, in the order of the object with this hash key."""
+        """Yields all caches in the rendezvous order of the object with this hash key."""
         order = self._remembered_order(key)
         yield from [cache for cache in order.first if cache.is_local_cache]
         scores = self._scores(key) if len(order.first) < len(self.caches) else []
--- a/ironhinge/routing/congestion_estimate.py
+++ b/ironhinge/routing/congestion_estimate.py
@@ -1,15 +1,14 @@
-"""How fast transfers were seen to go on one path, and how many were in flight then."""
+"""Estimates how much slower than idle a path is, from the transfers that finished on it."""
 
 from __future__ import annotations
 
-CONGESTED_SLOWDOWN = 1.5  # a path that takes this many times the transfer time is congested
+CONGESTED_SLOWDOWN = 1.5  # a path on which transfers take this many times their idle time is congested
 
 
 class CongestionEstimate:
     """Decaying sums over the transfers that finished on a path.
 
-    All are weighted by the transfer times that were expected of an idle path, so that long transfers, which
-    show more, count for more.
+    Transfers are weighted by their expected time on an idle path, as long ones are more informative.
     """
 
     __slots__ = (
@@ -21,11 +20,11 @@
     )
 
     def __init__(self) -> None:
-        self.observed_time = 0.0  # what the transfers took
-        self.expected_time = 0.0  # what they would have taken on an idle path
+        self.observed_time = 0.0  # durations of the transfers
+        self.expected_time = 0.0  # their durations on an idle path
         self.updated_at = 0
-        self.weighted_in_flight = 0.0  # attempts in flight then, times the expected time
-        self.uncongested_in_flight = 0.0  # the most in flight while one was not slow; fades as fast
+        self.weighted_in_flight = 0.0  # attempts in flight, times the expected time
+        self.uncongested_in_flight = 0.0  # most in flight during an uncongested transfer; decays too
 
     def record_transfer(
         self, now: int, duration: int, transfer_time: int, in_flight: float, half_life: float
@@ -33,11 +32,11 @@
         """Records a finished transfer.
 
         Args:
-            now: The present time.
-            duration: How long the transfer took.
-            transfer_time: How long it takes on an idle path.
-            in_flight: The mean number of attempts in flight while it took place.
-            half_life: Half-life of what was recorded before.
+            now: The current time.
+            duration: The time that the transfer took.
+            transfer_time: The time that it takes on an idle path.
+            in_flight: The mean number of attempts in flight during the transfer.
+            half_life: The half-life of earlier observations.
         """
         decay = 2 ** ((self.updated_at - now) / half_life)
         self.observed_time = self.observed_time * decay + duration
@@ -48,17 +47,18 @@
         self.uncongested_in_flight = max(self.uncongested_in_flight * decay, uncongested)
 
     def slowdown(self, now: int, in_flight: int, half_life: float, prior: float) -> float:
-        """How many times its transfer time a request would take now.
+        """Returns the expected duration of a transfer that is started now, as a multiple of its idle time.
 
-        What was seen is scaled by the attempts in flight now against then, since it is as old as the
-        transfers that showed it: this guards against oscillation. As many as were in flight lately without
-        congestion count as then: where nothing is full, more of them take no longer.
+        The observed slowdown lags by the duration of the transfers. To prevent oscillation, it is scaled by
+        the ratio of the attempts in flight now to those in flight during the observed transfers. Both counts
+        are raised to the number that was recently in flight without congestion, as more attempts take no
+        longer below that number.
 
         Args:
-            now: The present time.
-            in_flight: Attempts in flight, with the one that is asked for.
-            half_life: Half-life of what was recorded.
-            prior: Transfer time at full speed that the path is assumed to have shown besides.
+            now: The current time.
+            in_flight: The number of attempts in flight, including the new one.
+            half_life: The half-life of observations.
+            prior: The full-speed transfer time that is added to the observations.
         """
         decay = 2 ** ((self.updated_at - now) / half_life)
         observed_slowdown = (self.observed_time * decay + prior) / (self.expected_time * decay + prior)
@@ -66,7 +66,7 @@
             return observed_slowdown
         uncongested = self.uncongested_in_flight * decay
         observed_in_flight = self.weighted_in_flight / self.expected_time
-        # comparisons, as this runs for each cache that is checked and a call of max costs more than the rest
+        # Conditionals, as this runs for each checked cache and calls of max would cost more than the rest.
         effective_now = in_flight if in_flight > uncongested else uncongested
         effective_then = observed_in_flight if observed_in_flight > uncongested else uncongested
         slowdown = observed_slowdown * effective_now / effective_then
--- a/ironhinge/routing/eligibility.py
+++ b/ironhinge/routing/eligibility.py
@@ -1,4 +1,4 @@
-"""Which upstreams a request can be sent to now, by what is known of their health and load."""
+"""Decides whether a request can be sent to an upstream now, from the upstream's health and load."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Eligibility:
-    """Combines outlier detection, liveness, slow start and congestion into one answer."""
+    """Combines the checks of outlier detection, rejections, liveness, slow start and congestion."""
 
     __slots__ = ("_congestion", "_liveness", "_slow_start")
 
@@ -18,9 +18,9 @@
         self._liveness, self._slow_start, self._congestion = liveness, slow_start, congestion
 
     def is_eligible(self, now: int, request: RequestState, upstream: Upstream) -> bool:
-        """Whether the upstream is healthy and has capacity for the request.
+        """Returns whether the upstream is healthy and has capacity for the request.
 
-        One that was ejected and is not yet trusted again gets one attempt at a time.
+        An upstream whose ejection has ended gets one attempt at a time until it is trusted again.
         """
         if now < upstream.ejected_until or now < upstream.rejecting_until:
             return False
@@ -28,13 +28,13 @@
             return False
         if self._liveness.is_unresponsive(now, upstream):
             return False
-        # has_capacity, without the call: this runs for each cache that is checked
+        # `has_capacity` inlined, as this runs for each checked cache
         if not self._slow_start.allows(now, request, upstream):
             return False
         return self._congestion.meets_target(now, request, upstream)
 
     def has_capacity(self, now: int, request: RequestState, upstream: Upstream) -> bool:
-        """Whether slow start and congestion leave room for the request at the upstream."""
+        """Returns whether slow start and congestion control allow sending the request to the upstream."""
         return self._slow_start.allows(now, request, upstream) and self._congestion.meets_target(
             now, request, upstream
         )
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -1,7 +1,7 @@
-"""Finds who failed an attempt: the upstream that it was sent to, or the source of its fill.
+"""Attributes a failed attempt to the upstream to which it was sent or to the source of its fill.
 
-Guards against a bad parent condemning good caches. The cache status of the answer decides if there is one,
-else whoever fails more is held to have failed.
+Prevents the ejection of healthy caches because of a faulty parent. If the answer has a cache status, that
+decides; otherwise the failure is attributed to the one of the two with the higher failure rate.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Attempt, Upstream
 
-# An upstream that rejected a request gets no requests for this share of the class's average transfer time, times
-# the number of routers of the location, as each router sends that much less.
+# An upstream that rejected a request gets no requests for this share of the average transfer time of the
+# class, times the number of routers of the location, as each router sends that much less.
 REJECTION_BACKOFF_SHARE = 0.25
 REJECTED = AttemptResult.REJECTED
 TIMEOUT = AttemptResult.TIMEOUT
@@ -30,7 +30,7 @@
 
 
 class FailureAttribution:
-    """Attributes failed attempts to upstreams, and keeps their health accordingly."""
+    """Attributes failed attempts to upstreams and updates the health of these."""
 
     __slots__ = ("_congestion", "_deployment", "_liveness", "_outliers", "_upstreams")
 
@@ -48,7 +48,7 @@
     def attribute_failure(
         self, now: int, request: RequestState, attempt: Attempt, event: AttemptFinished
     ) -> Upstream:
-        """Records a failed attempt; returns the upstream that is held to have failed."""
+        """Records a failed attempt; returns the upstream to which the failure is attributed."""
         if event.result == REJECTED:
             return self._attribute_rejection(now, request, attempt, event)
         upstream, source, failed_upstream = attempt.upstream, attempt.source, attempt.upstream
@@ -62,7 +62,7 @@
             ):
                 failed_upstream = source
         if event.result == TIMEOUT:
-            # a fill that hangs must not make its cache look slow for hits: its source is what it waits for
+            # Recorded for the source, so that a fill that hangs does not make its cache look slow for hits.
             self._congestion.record_transfer(now, event.duration, request, source or failed_upstream)
             if failed_upstream.last_response_at > attempt.sent_at:
                 return failed_upstream  # slow, not unresponsive
@@ -81,7 +81,7 @@
     def _attribute_rejection(
         self, now: int, request: RequestState, attempt: Attempt, event: AttemptFinished
     ) -> Upstream:
-        """Records that the upstream or its source had no capacity: it is alive, but full."""
+        """Records a rejection for lack of capacity, by the upstream or by its source."""
         upstream, source, failed_upstream = attempt.upstream, attempt.source, attempt.upstream
         if source is not None and event.cache_status != CacheStatus.FILL_LIMIT_REACHED:
             failed_upstream = upstream if self._is_too_fast_for_source(event) else source
@@ -93,15 +93,18 @@
         origin = self._upstreams.origin
         if origin is not None and self._is_origin_suspected(request, event):
             origin.rejecting_until = failed_upstream.rejecting_until
-        if event.duration > request.request_class.definition.latency_target:  # waited for in vain
+        if (
+            event.duration > request.request_class.definition.latency_target
+        ):  # waited beyond its target for nothing
             self._outliers.record_failure(failed_upstream)
             self._outliers.eject_if_outlier(now, failed_upstream)
         return failed_upstream
 
     def _is_origin_suspected(self, request: RequestState, event: AttemptFinished) -> bool:
-        """Whether the origin behind a parent that had no capacity may be the one that is full.
+        """Returns whether a parent may have rejected the request because the origin is at capacity.
 
-        It is where the answer says so, and where a second parent in turn rejects the request.
+        That is the case if the answer says so, or has no cache status and another parent has failed the
+        request before.
         """
         if not self._deployment.origin_overload_multiple:
             return False
@@ -110,5 +113,5 @@
         return not event.cache_status and any(each in self._upstreams.parents for each in request.failed)
 
     def _is_too_fast_for_source(self, event: AttemptFinished) -> bool:
-        """Whether the answer came too soon for a source to have been asked."""
+        """Returns whether the attempt ended too soon for a source to have been asked."""
         return event.duration <= ROUND_TRIP_BATCHES * self._deployment.min_batch_interval
--- a/ironhinge/routing/fill_source.py
+++ b/ironhinge/routing/fill_source.py
@@ -1,6 +1,6 @@
-"""Where a miss is filled from: an object's parents in rendezvous order, else the origin.
+"""Selects the source that fills a miss: the first eligible parent in rendezvous order, else the origin.
 
-Fills of an object meet at its first parent that can take them, so that the origin is asked once.
+All routers send the fills of an object to the same parent, so that the origin is asked only once.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Upstream
 
-MIN_FILLS_PER_PARENT = 24  # of this router, in flight at a parent, before the object's next parent is used;
-# or the parent's weight, which counts the transfers that it can send at once, if that is more
+# The object's next parent is used once this router has this many attempts in flight at a parent; or as many
+# as its weight, if that is more, since the weight is the number of transfers that it can send at once.
+MIN_FILLS_PER_PARENT = 24
 
 
 class FillSourceSelector:
-    """Selects the fill source of a request."""
+    """Selects the fill sources of requests, within the fill budget."""
 
     __slots__ = ("_congestion", "_eligibility", "_upstreams", "fill_budget")
 
@@ -27,9 +28,9 @@
         self.fill_budget: FillBudget | None = None
 
     def select(self, now: int, request: RequestState) -> Upstream | None:
-        """The source of the request's fill.
+        """Returns the source for a fill of the request's object.
 
-        None when no upstream will do, or when the ingress link that all fills share is congested, since
+        Returns None if no source is eligible, or if the ingress link is congested: all fills share it, so
         another source would not help.
         """
         request.fill_budget_wait = 0
@@ -52,10 +53,11 @@
         return is_eligible and self.within_fill_budget(now, request, source)
 
     def within_fill_budget(self, now: int, request: RequestState, source: Upstream) -> bool:
-        """Whether the operators' budget, if there is one, has room for a fill from the source.
+        """Returns whether the operators' budget, if there is one, allows a fill from the source.
 
-        A source whose budget is spent is passed over like a congested one; hits at caches go on. The
-        soonest that a source has room again is what a client that is rejected is told.
+        A source without budget is skipped like a congested one; hits at caches are not affected. The shortest
+        wait until a source has budget again is stored in the request: it becomes the retry delay if the
+        request is rejected.
         """
         if self.fill_budget is None:
             return True
--- a/ironhinge/routing/final_answers.py
+++ b/ironhinge/routing/final_answers.py
@@ -6,14 +6,14 @@
 from .request_state import RequestState
 from .retries import is_safe_to_repeat
 
-RETRY_AFTER_SHARE = 0.25  # part of the time to spare before its target that a rejected client is to wait
+RETRY_AFTER_SHARE = 0.25  # share of the remaining slack before its target that a rejected client should wait
 
 
 def final_answer(now: int, request: RequestState, max_retry_after: int) -> RejectRequest | FailRequest:
-    """A rejection where the client may safely try again, else a failure.
+    """Returns a rejection if the client may safely send the request again, else a failure.
 
-    A rejected client is told to come back while the target can still be met, or when a fill budget that had
-    no room for the request should have some.
+    The retry delay of a rejection ends while the latency target can still be met, or when the fill budget is
+    expected to allow the fill that it did not allow now, if that is later.
     """
     if not is_safe_to_repeat(now, request):
         return FailRequest(request.id)
--- a/ironhinge/routing/hashing.py
+++ b/ironhinge/routing/hashing.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: every router orders the caches of an object the same way, with no word between them.
+"""Rendezvous hashing: all routers order the caches of an object the same way without communication.
 
-Each pair of an object and an endpoint has a score; an object's candidates are its endpoints by falling
-score. A change of one endpoint moves only the objects for which it scored highest.
+Each pair of an object and an endpoint has a score; an object's candidates are the endpoints in descending
+order of score. Adding or removing an endpoint moves only the objects for which it has the highest score.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 def hash_key(text: str) -> int:
-    """The 64-bit key of an id."""
+    """Returns the 64-bit hash key of an id."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def score(first: int, second: int) -> int:
-    """A stable 64-bit hash of two numbers, the same at every router (the finalizer of splitmix64)."""
+    """Returns a 64-bit hash of two numbers (the splitmix64 finalizer); it is the same on every router."""
     x = (first * 0x9E3779B97F4A7C15 + second) & MASK
     x = ((x ^ (x >> 30)) * 0xBF58476D1CE4E5B9) & MASK
     x = ((x ^ (x >> 27)) * 0x94D049BB133111EB) & MASK
@@ -27,9 +27,9 @@
 
 
 class RendezvousHasher:
-    """`score` of one number with each of many keys at once.
+    """Computes `score` of one number with each of many keys at once.
 
-    The keys lie side by side in one long integer, each in a lane of twice its width, so that no product runs
+    The keys are packed into one long integer, each in a lane of twice its width, so that no product overflows
     into the next lane.
     """
 
@@ -44,7 +44,7 @@
         return int.from_bytes(b"".join(number.to_bytes(LANE_BYTES, "little") for number in numbers), "little")
 
     def scores(self, first: int) -> list[int]:
-        """The scores, in the order of the keys."""
+        """Returns `score(first, key)` for each key, in the order of the keys."""
         low = self._low_halves
         x = (self._keys + self._ones * (first * 0x9E3779B97F4A7C15 & MASK)) & low
         x = ((x ^ (x >> 30 & low)) * 0xBF58476D1CE4E5B9) & low
--- a/ironhinge/routing/liveness.py
+++ b/ironhinge/routing/liveness.py
@@ -1,7 +1,7 @@
-"""Liveness: upstreams that owe an answer and show no sign of life are passed over before attempts time out.
+"""Liveness: detects unresponsive upstreams before their attempts time out, so that they can be skipped.
 
-Guards against upstreams that accept requests and never answer. Could do harm where the only request at an
-upstream is merely slow.
+Guards against upstreams that accept requests and never answer. Its drawback: an upstream whose only request
+is merely slow may be taken for unresponsive.
 """
 
 from __future__ import annotations
@@ -9,11 +9,13 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Upstream
 
-OVERDUE_MULTIPLE = 2.0  # an attempt is overdue after this many times its transfer time, and its target
+OVERDUE_MULTIPLE = (
+    2.0  # an attempt is overdue after this many times its transfer time plus the latency target
+)
 
 
 class LivenessMonitor:
-    """Finds upstreams that are unresponsive; they count as just started, as they may have restarted."""
+    """Detects unresponsive upstreams; they are put into slow start, as they may have restarted."""
 
     __slots__ = ("_upstreams",)
 
@@ -21,15 +23,16 @@
         self._upstreams = upstreams
 
     def is_unresponsive(self, now: int, upstream: Upstream) -> bool:
-        """Whether an attempt is overdue and the upstream has shown no sign of life since it was sent.
+        """Returns whether an attempt is overdue and the upstream has not responded since it was sent.
 
-        A fill source is only suspected where the cache that asked it is alive. An upstream that is found
-        unresponsive may come back warming up before the endpoint list says so.
+        A fill source is suspected only if the cache that asked it has responded since. An upstream found to
+        be unresponsive is recorded as such: if it has restarted, it may be warming up before the endpoint
+        list says so.
         """
         if not upstream.in_flight:
             return False
         last_response_at = upstream.last_response_at
-        for attempt in reversed(upstream.in_flight.values()):  # the latest first
+        for attempt in reversed(upstream.in_flight.values()):  # latest first
             if attempt.sent_at < last_response_at:
                 break
             if now > attempt.overdue_at:
@@ -40,14 +43,14 @@
         return False
 
     def report_unresponsive(self, now: int, upstream: Upstream) -> None:
-        """Records that an upstream has shown no sign of life."""
+        """Records that an upstream is unresponsive."""
         upstream.unresponsive_since = now
         if upstream.is_local_cache:
             self._upstreams.maybe_warming[upstream] = None
 
     @staticmethod
     def record_response(now: int, sent_at: int, upstream: Upstream) -> None:
-        """Records an answer to an attempt that was sent then."""
+        """Records an answer of the upstream to an attempt sent at `sent_at`."""
         upstream.last_response_at = now
-        if sent_at < upstream.unresponsive_since:  # a restart would have lost it: it was only slow
+        if sent_at < upstream.unresponsive_since:  # a restart would have lost the attempt, so it was slow
             upstream.unresponsive_since = 0
--- a/ironhinge/routing/outlier_detection.py
+++ b/ironhinge/routing/outlier_detection.py
@@ -1,8 +1,8 @@
-"""Outlier detection: upstreams that fail more than their peers are ejected for a while.
+"""Outlier detection: temporarily ejects upstreams that fail much more often than their peers.
 
-They are let back in by single attempts. Guards against upstreams that are dead or failing. What fails
-everywhere is no upstream's own fault and ejects none; that could do harm where most upstreams of a location
-die at once.
+Guards against upstreams that are dead or failing. After its ejection, an upstream gets single attempts as
+trials until it is trusted again. Failures that affect all peers alike eject none of them, as they are not the
+fault of one upstream; the drawback is that no upstream may be ejected when most of a location die at once.
 """
 
 from __future__ import annotations
@@ -12,18 +12,19 @@
 from .upstreams import Upstream
 
 OUTCOME_WEIGHT = 0.25  # weight of the newest outcome in an upstream's failure rate
-EJECTION_FAILURE_RATE = 0.7  # over that of its peers: an upstream is ejected
-TRUSTED_FAILURE_RATE = 0.25  # below it, an upstream that was ejected is trusted again
-RECOVERY_FACTOR = 0.5  # of the failure rate of an ejected upstream, for each success of its trials
-MIN_EJECTION = 0.25  # length of the first ejection, in longest client timeouts; each next is twice as long
-MAX_EJECTION = 4.0  # of the same
-# Ejections are spread from 0.75 to 1.25 of their length, so that the trials of many routers do not coincide.
+EJECTION_FAILURE_RATE = 0.7  # an upstream is ejected if its failure rate exceeds its peers' by more than this
+TRUSTED_FAILURE_RATE = 0.25  # below this, an upstream that was ejected is trusted again
+RECOVERY_FACTOR = 0.5  # each successful trial after an ejection multiplies the failure rate by this
+MIN_EJECTION = 0.25  # length of the first ejection, in longest client timeouts; each further one doubles it
+MAX_EJECTION = 4.0  # length of the longest ejection, in longest client timeouts
+# Ejections last 0.75 to 1.25 times their nominal length, at random, so that trials of routers do not
+# coincide.
 MIN_JITTER = 0.75
 JITTER_RANGE = 0.5
 
 
 class OutlierDetector:
-    """Keeps the failure rates of upstreams and ejects outliers."""
+    """Maintains the failure rates of upstreams and ejects outliers."""
 
     __slots__ = ("_longest_client_timeout", "_random", "_upstreams")
 
@@ -38,7 +39,7 @@
 
     @staticmethod
     def record_success(now: int, upstream: Upstream) -> None:
-        """Counts an attempt that the upstream served; successful trials end an ejection for good."""
+        """Counts an attempt that the upstream served; enough successful trials make it trusted again."""
         upstream.failure_rate *= 1 - OUTCOME_WEIGHT
         if upstream.ejection_length and now >= upstream.ejected_until:
             upstream.failure_rate = min(upstream.failure_rate, EJECTION_FAILURE_RATE) * RECOVERY_FACTOR
@@ -46,7 +47,7 @@
                 upstream.ejection_length = 0.0
 
     def eject_if_outlier(self, now: int, upstream: Upstream) -> None:
-        """Ejects the upstream if it fails more than its peers by far."""
+        """Ejects the upstream if its failure rate is far above the average of its peers."""
         registry = self._upstreams
         peers = registry.parents if upstream in registry.parents else registry.candidates.caches
         rates = [peer.failure_rate for peer in peers if peer is not upstream]
@@ -55,7 +56,7 @@
             self.eject(now, upstream)
 
     def eject(self, now: int, upstream: Upstream) -> None:
-        """Ejects the upstream, unless it is ejected already."""
+        """Ejects the upstream, unless it is ejected already; repeated ejections double in length."""
         if now < upstream.ejected_until:
             return
         upstream.failure_rate = max(upstream.failure_rate, EJECTION_FAILURE_RATE)
--- a/ironhinge/routing/purges.py
+++ b/ironhinge/routing/purges.py
@@ -1,7 +1,7 @@
-"""Purges: copies older than a purge are refused until the purge has reached every cache.
+"""Purges: copies from before a purge are not accepted until the purge has reached every cache.
 
-Guards the rule that no copy from before a purge is served. The only harm is extra fills: good copies that are
-older than the limit are fetched anew.
+Guards the rule that no copy from before a purge is served. Its only drawback is extra fills: the age limit
+also excludes valid copies that are older than it.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 
 class PurgeLog:
-    """The newest purge of each object and group, for as long as older copies may exist."""
+    """The newest purge of each object and group, kept as long as copies from before it may exist."""
 
     __slots__ = ("_groups", "_objects", "_retention")
 
     def __init__(self, retention: int):
         self._retention = retention
-        self._objects: dict[int, int] = {}  # when each was purged; the least recently notified first
+        self._objects: dict[int, int] = {}  # time of the purge by object; the least recently notified first
         self._groups: dict[int, int] = {}
 
     def on_purge(self, now: int, event: PurgeNotified) -> None:
-        """Records a purge. A late notice of an older one must not loosen a newer one: hence the max."""
+        """Records a purge, unless a newer one is known, since a notice may be late; drops expired purges."""
         if event.object_id is None:
             purges, purged_id = self._groups, event.group
         else:
             purges, purged_id = self._objects, event.object_id
-        purged_at = now - event.age + 1  # the age is rounded down
+        purged_at = now - event.age + 1  # one tick of margin, as the age is rounded down
         purges[purged_id] = max(purges.pop(purged_id, purged_at), purged_at)
         while purges:
             oldest = next(iter(purges))
@@ -35,7 +35,7 @@
             del purges[oldest]
 
     def max_copy_age(self, now: int, request: RequestState) -> int:
-        """The oldest copy that may be served; 0 for what the class of the request allows by itself."""
+        """Returns the maximum age of a copy for the request; 0 if only the limit of its class applies."""
         object_id, group = request.key[0], request.group
         purges = []
         if object_id in self._objects:
--- a/ironhinge/routing/request_rates.py
+++ b/ironhinge/routing/request_rates.py
@@ -1,7 +1,8 @@
-"""How often objects are requested, and the rank at which a cache is told to keep a copy.
+"""Request rates of objects, and the admission ranks of copies that follow from them.
 
-Top-K most-frequently-requested placement: each router keeps, for each cache, a table of the rates at which it
-requested objects there. The more entries lie above an object's, the lower is the rank of its copy.
+Top-K most-frequently-requested placement: each router has, for each cache, a table of the rates at which it
+requests objects there, relative to their sizes. The more entries rank above that of an object, the lower is
+the admission rank of its copy.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 from enum import IntEnum
 from math import log2
 
-RATE_HALF_LIFE = 100_000  # of the rates in a table
-HIGH_RANK_ENTRIES = 32  # entries of a table, by falling rate over size, that rank high
-MIDDLE_RANK_ENTRIES = 96  # the next entries, that rank middle
-MAX_TABLE_ENTRIES = 4096  # entries of a table, and objects remembered as requested: bounds the memory
+RATE_HALF_LIFE = 100_000  # half-life of the rates in a table
+HIGH_RANK_ENTRIES = 32  # number of top entries by rate over size that rank high
+MIDDLE_RANK_ENTRIES = 96  # number of next entries that rank middle
+MAX_TABLE_ENTRIES = 4096  # of a rate table and of recent requests; bounds memory
 
-ObjectKey = tuple[int, int]  # object id and part: parts are kept and filled on their own
+ObjectKey = tuple[int, int]  # object id and part, as each part is stored and filled on its own
 
 
 class AdmissionRank(IntEnum):
-    """How firmly a cache is to keep the copy that it fills."""
+    """How strongly a cache should retain the copy that it fills."""
 
     NOT_STORED = 0
     LOWEST = 1
@@ -35,19 +36,20 @@
 
 
 class RequestRateTable:
-    """Decaying request rates over size at one cache, sorted so that a rank is one search.
+    """Decaying request rates over size at one cache, sorted so that a rank takes one binary search.
 
-    A score is the log2 of rate over size on a scale that grows with time, so that entries decay untouched.
+    A score is log2(rate / size) plus the time in half-lives, so that entries decay relative to newer ones
+    without being updated.
     """
 
     __slots__ = ("_scores", "_sorted_scores")
 
     def __init__(self) -> None:
-        self._scores: dict[ObjectKey, float] = {}  # the entry that was counted longest ago comes first
+        self._scores: dict[ObjectKey, float] = {}  # the entry with the oldest latest request first
         self._sorted_scores: list[float] = []
 
     def count(self, key: ObjectKey, size: float, now: int) -> int:
-        """Counts a request; returns how many entries rank above its object's."""
+        """Counts a request; returns how many entries rank above that of its object."""
         scores, sorted_scores = self._scores, self._sorted_scores
         new_score = now / RATE_HALF_LIFE - log2(size or 1.0)
         old_score = scores.pop(key, None)
@@ -63,16 +65,16 @@
 
 
 class RecentRequests:
-    """Which parts of objects were requested at this router not long ago."""
+    """The parts of objects that were recently requested at this router."""
 
     __slots__ = ("_last_requested_at", "_window")
 
     def __init__(self, local_router_count: int):
-        self._window = RATE_HALF_LIFE * local_router_count  # each router sees that much less
+        self._window = RATE_HALF_LIFE * local_router_count  # each router gets a share of the requests
         self._last_requested_at: dict[ObjectKey, int] = {}  # oldest first
 
     def record(self, key: ObjectKey, now: int) -> bool:
-        """Records a request; returns whether the part was requested within the window before."""
+        """Records a request; returns whether the part was already requested within the window."""
         last_requested_at = self._last_requested_at.pop(key, None)
         if len(self._last_requested_at) >= MAX_TABLE_ENTRIES:
             del self._last_requested_at[next(iter(self._last_requested_at))]
@@ -81,10 +83,10 @@
 
 
 def rank_of_position(entries_above: int, recently_requested: bool) -> AdmissionRank:
-    """The rank of an object with so many entries above it in a cache's table.
+    """Returns the admission rank of an object from the number of entries above it in the cache's table.
 
-    A first request is no rate yet, and short tables would rank all of them high: it is kept at the lowest
-    rank or not at all.
+    A first request gives no rate yet, and a short table would rank every such object high. Its copy is
+    therefore stored with the lowest rank, or not at all if the table would rank it lowest.
     """
     if entries_above < HIGH_RANK_ENTRIES:
         rank = HIGH
--- a/ironhinge/routing/request_state.py
+++ b/ironhinge/routing/request_state.py
@@ -1,4 +1,4 @@
-"""The state of open requests, and of the classes to which they belong."""
+"""The state of open requests and of request classes."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from .request_rates import AdmissionRank, ObjectKey
 from .upstreams import Attempt, Path, Upstream
 
-# An attempt and its result each wait for a batch of events; batches are the time granularity apart.
+# Batches of events that an attempt waits for: one before it is sent and one before its result is handled.
+# Batches are at least `Deployment.min_batch_interval` apart.
 ROUND_TRIP_BATCHES = 2
-PRIOR_TRANSFERS = 20  # transfers that the first guess of a class's transfer time, its target, counts for
+PRIOR_TRANSFERS = 20  # weight, in transfers, of the prior of a class's transfer time: its latency target
 
 
 class RequestClassState:
-    """A class of requests, and what its transfers were seen to take."""
+    """A request class and its observed transfer times."""
 
     __slots__ = ("_transfer_count", "_transfer_time_sum", "definition", "is_cacheable", "is_idempotent")
 
@@ -25,23 +26,23 @@
         self._transfer_count = PRIOR_TRANSFERS
 
     def average_transfer_time(self) -> float:
-        """On the high side while few transfers were seen."""
+        """Returns the average transfer time, estimated high while few transfers have been observed."""
         return max(self._transfer_time_sum / self._transfer_count, self.observed_transfer_time())
 
     def observed_transfer_time(self) -> int:
-        """The average of the transfers that were seen; 0 before the first."""
+        """Returns the average of the observed transfer times; 0 before the first."""
         observed_count = self._transfer_count - PRIOR_TRANSFERS
         prior = self.definition.latency_target * PRIOR_TRANSFERS
         return (self._transfer_time_sum - prior) // observed_count if observed_count else 0
 
     def record_transfer_time(self, transfer_time: int) -> None:
-        """Adds one transfer to the averages."""
+        """Adds an observed transfer time to the averages."""
         self._transfer_time_sum += transfer_time
         self._transfer_count += 1
 
 
 class RequestState:
-    """One open request: what is asked for, what was tried, and the attempt in flight."""
+    """An open request: its object and deadlines, the upstreams that were tried, and the attempt in flight."""
 
     __slots__ = (
         "admission_ranks",
@@ -78,19 +79,21 @@
         self.hash_key = score(received.object_id, received.part + 1)
         self.parent_hash_key = score(received.object_id, 0)  # all parts of an object share their parents
         self.is_cacheable = request_class.is_cacheable and not received.is_write
-        self.transfer_time = transfer_time  # on an idle path
+        self.transfer_time = transfer_time  # expected duration of the transfer on an idle path
         self.client_deadline = now + received.time_remaining
         definition = request_class.definition
         target = definition.latency_target + int(definition.latency_target_stretch * transfer_time)
         self.target_at = min(self.client_deadline, now + target)
-        self.recently_requested = False  # its object was requested here not long ago
-        self.tried: list[Upstream] = []  # caches that had no copy
-        self.failed: list[Upstream] = []  # upstreams and fill sources that failed it
-        self.admission_ranks: dict[Upstream, AdmissionRank] = {}  # at the caches that were to look it up
+        self.recently_requested = False  # whether its part was requested here before, within the window
+        self.tried: list[Upstream] = []  # upstreams that reported a miss
+        self.failed: list[Upstream] = []  # upstreams and sources that failed it, once per failure
+        self.admission_ranks: dict[Upstream, AdmissionRank] = {}  # by cache from which it was requested
         self.attempt_count = 0
         self.attempt: Attempt | None = None  # in flight
-        self.possibly_run_attempt: Attempt | None = None  # the first attempt that may have taken effect
-        self.in_flight_at_send: dict[Path, int] = {}  # attempts on its paths when its own was sent
-        self.fill_budget_wait = 0  # until a fill budget without room for it has some
+        self.possibly_run_attempt: Attempt | None = (
+            None  # the first that may have taken effect; None: none did
+        )
+        self.in_flight_at_send: dict[Path, int] = {}  # on each path of its latest attempt, when that was sent
+        self.fill_budget_wait = 0  # time until a fill budget allows its fill; 0: not limited
         self.response_started = False
         self.client_disconnected = False
--- a/ironhinge/routing/retries.py
+++ b/ironhinge/routing/retries.py
@@ -1,7 +1,7 @@
-"""Where a request that may already have run can be sent again, and how long its attempts may take.
+"""Decides where a request that may already have run can be retried, and when its attempts time out.
 
-Guards the rule that no request takes effect twice: those that are not idempotent are only repeated where and
-while the upstreams drop repeats of their idempotency keys.
+Guards the rule that no request takes effect twice: a request that is not idempotent is retried only on
+upstreams that drop repeats of its idempotency key, and only while they remember the key.
 """
 
 from __future__ import annotations
@@ -10,21 +10,18 @@
 from .request_state import ROUND_TRIP_BATCHES, RequestState
 from .upstreams import Upstream
 
-ATTEMPT_TIME_MULTIPLE = 1.5  # an attempt may take this many times its transfer time before it can time out
+ATTEMPT_TIME_MULTIPLE = 1.5  # time reserved for a further attempt, in transfer times of the request
 
 
 def may_retry_on(now: int, request: RequestState, upstream: Upstream) -> bool:
-    """Whether sending the request to the upstream cannot make it take effect twice."""
-    first_attempt = request.possibly_run_attempt
-    if first_attempt is None or request.request_class.is_idempotent:
+    """Returns whether the request can be sent to the upstream without a risk that it takes effect twice."""
+    first = request.possibly_run_attempt
+    if first is None or request.request_class.is_idempotent:
         return True
     definition = request.request_class.definition
-    if (
-        definition.idempotency == Idempotency.NON_IDEMPOTENT
-        or now >= first_attempt.sent_at + definition.dedup_window
-    ):
+    if definition.idempotency == Idempotency.NON_IDEMPOTENT or now >= first.sent_at + definition.dedup_window:
         return False
-    scope, endpoint, first_endpoint = definition.dedup_scope, upstream.endpoint, first_attempt.endpoint
+    scope, endpoint, first_endpoint = definition.dedup_scope, upstream.endpoint, first.endpoint
     if scope == DedupScope.ZONE:
         return endpoint.zone == first_endpoint.zone
     if scope == DedupScope.CELL:
@@ -33,19 +30,19 @@
 
 
 def is_safe_to_repeat(now: int, request: RequestState) -> bool:
-    """Whether the client may make the request again without a second effect, wherever that is sent."""
-    definition, first_attempt = request.request_class.definition, request.possibly_run_attempt
-    if first_attempt is None or request.request_class.is_idempotent:
+    """Returns whether the client may send the request again, to any router, without a second effect."""
+    definition, first = request.request_class.definition, request.possibly_run_attempt
+    if first is None or request.request_class.is_idempotent:
         return True
     is_deduplicated = definition.idempotency == Idempotency.KEYED and definition.dedup_scope == DedupScope.ALL
-    return is_deduplicated and now < first_attempt.sent_at + definition.dedup_window
+    return is_deduplicated and now < first.sent_at + definition.dedup_window
 
 
 def attempt_deadline(now: int, request: RequestState, min_batch_interval: int) -> int:
-    """When an attempt that is sent now times out.
+    """Returns the deadline of an attempt that is sent now.
 
-    An attempt that can be repeated leaves time for another one before the client gives up, in case its
-    upstream never answers.
+    An attempt of an idempotent request leaves time for another one before the client's own timeout, in case
+    the upstream never answers, but takes at least half of the remaining time.
     """
     latest_deadline = request.client_deadline - ROUND_TRIP_BATCHES * min_batch_interval
     if not request.request_class.is_idempotent:
@@ -55,8 +52,11 @@
 
 
 def start_deadline(request: RequestState) -> int:
-    """When an attempt would run again if it began later, as its idempotency key is forgotten; 0: never."""
-    first_attempt = request.possibly_run_attempt
-    if first_attempt is None or request.request_class.is_idempotent:
+    """Returns when upstreams may forget the idempotency key of a request that may have run.
+
+    An attempt that starts later might make the request take effect twice. 0 means that there is no limit.
+    """
+    first = request.possibly_run_attempt
+    if first is None or request.request_class.is_idempotent:
         return 0
-    return first_attempt.sent_at + request.request_class.definition.dedup_window
+    return first.sent_at + request.request_class.definition.dedup_window
--- a/ironhinge/routing/router.py
+++ b/ironhinge/routing/router.py
@@ -1,13 +1,14 @@
-"""The decisions of one router instance: events go in, commands come out.
+"""The router: handles the events of one instance and returns the commands for its host.
 
-A request is sent to the first ready caches of its object's rendezvous order, one attempt at a time. The
-request rates of each cache say whether a copy is kept there and at which rank; rejections move the request
-on; fills of an object meet at its parent. docs/design.md has the design and its reasons.
+A request is sent to the first eligible caches in the rendezvous order of its object, one attempt at a time.
+The object's request rates at a cache determine whether the cache stores a copy and with which rank. A
+rejected request moves on to the next cache. All fills of an object go through the same parent. docs/design.md
+describes the design and its reasons.
 
-Each mechanism beside it has a module of its own: `outlier_detection`, `liveness`, `congestion`, `slow_start`,
-`purges`, `retries` and `fill_source`. Two more are small: where the deployment allows it and no cache will
-do, a request goes straight to its fill source; and copies of the router's own are served and kept where a
-local store is set.
+The mechanisms have modules of their own: `outlier_detection`, `liveness`, `congestion`, `slow_start`,
+`purges`, `retries` and `fill_source`. Two small ones are in this module: a request is sent directly to its
+fill source if no cache is eligible and the deployment allows it, and copies are served from and stored in the
+router's local store if one is configured.
 """
 
 from __future__ import annotations
@@ -56,13 +57,11 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Upstream
 
-MAX_CACHES_TRIED = 2  # caches in which a request looks for a copy
-CLIENT_RETRY_TARGET_SHARE = (
-    0.5  # part of the target that a request is taken to have used up before a client's retry
-)
-DEFAULT_CLIENT_TIMEOUT = 10_000  # where the deployment has no request class
+MAX_CACHES_TRIED = 2  # number of caches that a request tries for a copy
+CLIENT_RETRY_TARGET_SHARE = 0.5  # share of the latency target that a client retry is assumed to have used up
+DEFAULT_CLIENT_TIMEOUT = 10_000  # ticks; used if the deployment has no request classes
 TIME_UNITS_PER_SECOND = 10_000
-WATCH_RETRIES_PER_POLL = 10  # a broken watch is set again after this part of the poll interval
+WATCH_RETRIES_PER_POLL = 10  # a broken watch is retried this many times per poll interval
 WATCH_TIMER = "watch"  # token of the only timer
 
 
@@ -70,12 +69,12 @@
     """The next attempt of a request."""
 
     upstream: Upstream
-    source: Upstream  # of a fill; the upstream itself for none
+    source: Upstream  # of a fill; the upstream itself: no fill
     rank: AdmissionRank
 
 
 class Router:
-    """The decisions of one instance; a front makes one, and calls `handle` for each event in order."""
+    """Makes the routing decisions of one instance; its host calls `handle` for each event in order."""
 
     def __init__(self, deployment: Deployment, seed: int):
         self.deployment = deployment
@@ -115,7 +114,7 @@
 
     @property
     def fill_budget(self) -> FillBudget | None:
-        """The operators' budget of bytes for fills, where they have set one."""
+        """The operators' limit on the bytes of fills; None for no limit."""
         return self.fill_sources.fill_budget
 
     @fill_budget.setter
@@ -124,7 +123,7 @@
         self.fill_sources.fill_budget = budget
 
     def handle(self, now: int, event: Event) -> list[Command]:
-        """Decides what is to be done about an event; returns the commands in their order."""
+        """Handles an event; returns the commands to execute, in order."""
         self._commands = []
         handler = self._handlers.get(type(event))
         if handler is not None:
@@ -136,7 +135,10 @@
         return self._commands
 
     def _discard_request(self, request_id: str) -> None:
-        """Drops a request lost to a fault: an attempt in flight for ever would distort what is known."""
+        """Discards a request whose event handler raised an exception.
+
+        An attempt that stayed in flight forever would distort the state of its upstreams.
+        """
         request = self.requests.pop(request_id, None)
         if request is not None:
             for path in request.in_flight_at_send:
@@ -145,12 +147,12 @@
     # Events
 
     def on_request(self, now: int, event: RequestReceived) -> None:
-        """Serves a new request from a copy of the router's own, or sends it on its way."""
+        """Serves a new request from the local store, or routes it."""
         request_class = self.request_classes[event.class_index]
         transfer_time = self._transfer_time(event, request_class)
         request = RequestState(event, request_class, now, transfer_time)
         self.requests[event.request_id] = request
-        if event.is_client_retry:  # its client has waited before, and its first try counts
+        if event.is_client_retry:  # the time that its client has already waited counts
             request.target_at -= int(CLIENT_RETRY_TARGET_SHARE * request_class.definition.latency_target)
         request.recently_requested = self.recent_requests.record(request.key, now)
         if self._can_serve_local_copy(now, request):
@@ -159,7 +161,7 @@
             self.route(now, request)
 
     def _transfer_time(self, event: RequestReceived, request_class: RequestClassState) -> int:
-        """How long the transfer takes on an idle path: by its size, else as others of its class."""
+        """Returns the transfer time on an idle path, by size or else as the average of the class."""
         rate = self.deployment.transfer_rate
         if not event.size or not rate:
             return request_class.observed_transfer_time()
@@ -168,7 +170,7 @@
         return transfer_time
 
     def _can_serve_local_copy(self, now: int, request: RequestState) -> bool:
-        """Whether the local store has a copy that is young enough, and there is time to read it."""
+        """Returns whether the local store has a recent enough copy and there is time to read it."""
         if self.local_store is None or not request.is_cacheable:
             return False
         age = self.local_store.lookup(now, request.received)
@@ -182,7 +184,7 @@
         return now + round_trip < request.client_deadline
 
     def on_local_copy(self, now: int, event: LocalCopyFinished) -> None:
-        """Routes a request whose local copy could not be read in time: nothing but that time is lost."""
+        """Closes a request served from its local copy; routes it if the copy could not be read in time."""
         request = self.requests.get(event.request_id)
         if request is None:
             return
@@ -192,13 +194,13 @@
             self.route(now, request)
 
     def on_response_started(self, now: int, event: ResponseStarted) -> None:
-        """No attempt may follow one whose answer has begun."""
+        """Records that the answer has started, so that no further attempt is made."""
         request = self.requests.get(event.request_id)
         if request is not None:
             request.response_started = True
 
     def on_client_disconnected(self, now: int, event: ClientDisconnected) -> None:
-        """Cancels the attempt in flight, which counts at its upstream until its result comes."""
+        """Cancels the attempt in flight; it is tracked at its upstream until its result is reported."""
         request = self.requests.get(event.request_id)
         if request is None or request.client_disconnected:
             return
@@ -207,27 +209,27 @@
             self._commands.append(CancelAttempt(request.id, request.attempt_count - 1))
 
     def on_shutdown(self, now: int, event: ShutdownStarted) -> None:
-        """Shortens what open requests have left, as client timeouts may be longer than that."""
+        """Limits the deadlines of open requests to that of the shutdown, which may be earlier."""
         deadline = now + event.time_remaining
         for request in self.requests.values():
             request.client_deadline = min(request.client_deadline, deadline)
 
     def on_discovery_failed(self, now: int, event: DiscoveryFailed) -> None:
-        """Schedules another try to watch the endpoint list."""
+        """Schedules a retry of the watch of the endpoint list."""
         delay = max(1, self.deployment.discovery_poll_interval // WATCH_RETRIES_PER_POLL)
         self._commands.append(SetTimer(delay, WATCH_TIMER))
 
     def on_timer(self, now: int, event: TimerFired) -> None:
-        """Watches the endpoint list again: there is no other timer."""
+        """Retries the watch of the endpoint list, for which the only timer is set."""
         self._commands.append(SetWatch(True))
 
     def on_instance_started(self, now: int, event: InstanceStarted) -> None:
-        """Watches the endpoint list where it comes only to those that watch it."""
+        """Starts watching the endpoint list if it is sent only to routers that watch it."""
         if self.deployment.watch_required:
             self._commands.append(SetWatch(True))
 
     def on_attempt_finished(self, now: int, event: AttemptFinished) -> None:
-        """Learns from an attempt's result, and routes its request on if that has no answer yet."""
+        """Records the result of an attempt, and routes its request again if it is still unanswered."""
         request = self.requests.get(event.request_id)
         if request is None or event.attempt_number != request.attempt_count - 1:
             return
@@ -252,7 +254,7 @@
     # Routing
 
     def route(self, now: int, request: RequestState) -> None:
-        """Sends the next attempt of a request, or gives its final answer where none can follow."""
+        """Sends the next attempt of a request, or gives its final answer if no attempt is possible."""
         plan = self._plan_attempt(now, request) if self._may_attempt(now, request) else None
         if plan is None:
             self.finish_unserved(now, request)
@@ -261,7 +263,7 @@
             self._commands.append(command)
 
     def _may_attempt(self, now: int, request: RequestState) -> bool:
-        """Whether the request has an attempt left, and the time for it."""
+        """Returns whether the request has an attempt left and enough time for it."""
         deployment = self.deployment
         if request.attempt_count >= deployment.max_attempts:
             return False
@@ -269,7 +271,13 @@
         return now + min_duration < request.client_deadline
 
     def _plan_attempt(self, now: int, request: RequestState) -> AttemptPlan | None:
-        """The next untried cache, else the first one without keeping a copy, else past the caches."""
+        """Plans the next attempt: the first possible one in this order; None if none is possible.
+
+        1. An untried cache, for a cacheable request that has not tried too many; it may store a copy.
+        2. With a fill source: the first eligible cache, without storing a copy.
+        3. The fill source itself, where the deployment allows it.
+        4. With a fill source: a cache with capacity, even if it is unhealthy.
+        """
         selector = self.cache_selector
         checked = selector.check_with_side_effects(now, request, self.requests.values())
         source = self.fill_sources.select(now, request)
@@ -288,6 +296,6 @@
         return AttemptPlan(last_resort, source, NOT_STORED)
 
     def finish_unserved(self, now: int, request: RequestState) -> None:
-        """Gives a request that no upstream could serve its final answer."""
+        """Ends a request that no upstream could serve, with a rejection or a failure."""
         del self.requests[request.id]
         self._commands.append(final_answer(now, request, self.deployment.max_retry_after))
--- a/ironhinge/routing/slow_start.py
+++ b/ironhinge/routing/slow_start.py
@@ -1,12 +1,15 @@
-"""Slow start: an upstream that started lately is sent no more than its share of what it can do.
-
-Guards the rule that no upstream that is warming up is overloaded. This router's share of the limit is taken
-from what it has warm upstreams of the kind do: summed over all routers, that stays below what such an
-upstream can do. Each request overdraws the tokens by its cost, and the first one waits a random part of that,
-so that many routers with a request each spread out in time. Unused tokens expire past a limit, and the cycle
-begins anew: even when all routers have a request at once, their tokens together come to half of what the rule
-leaves besides; the other half is left to chance. Could do harm where many routers see few requests each, as
-most tokens expire.
+"""Slow start: limits the load on an upstream that started recently, with a token bucket per upstream.
+
+Guards the rule that no upstream in slow start is overloaded. Without weights, the capacity of an upstream is
+estimated from the load that this router puts on warm upstreams of the same kind: summed over all routers,
+that estimate stays below the capacity of such an upstream.
+
+A request is sent if the token count is not negative, and may make it negative by its cost. The bucket starts
+at a random negative count of up to the cost of a request, so that the first requests of many routers spread
+over time. Tokens beyond a limit expire and the cycle starts again. The limit is chosen so that even if all
+routers have a request at the same time, their tokens together are at most half of the margin that the rule
+allows beyond the sustained rate; the other half is for random variation. The drawback: where many routers
+have few requests each, most tokens expire unused.
 """
 
 from __future__ import annotations
@@ -19,24 +22,25 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Upstream
 
-UNRESPONSIVE_SHARE = 0.25  # an unresponsive upstream counts as warming up for this part of the slow start;
-# by then the endpoint list would have told of a restart
-SAFETY_SHARE = 0.75  # part of the limit that is used: the capacity is estimated, not known
-MIN_UTILIZATION = 0.1  # assumed at least of a warm upstream, whatever it reports
+# An unresponsive upstream counts as warming up for this share of the slow start duration; after that time,
+# the endpoint list would have reported a restart.
+UNRESPONSIVE_SHARE = 0.25
+SAFETY_SHARE = 0.75  # share of the limit that is used, as the capacity is only estimated
+MIN_UTILIZATION = 0.1  # lower bound for the utilization of a warm upstream, whatever it reports
 UTILIZATION_FIELD = "busy"  # of load reports
 
 
 @dataclass(frozen=True, slots=True)
 class TierLimits:
-    """What the deployment says of upstreams of one tier that are warming up."""
+    """The slow start settings of one tier: caches or parents."""
 
     min_share: float
     duration: int
     overload_multiple: float
-    sending_routers: int  # that send to the tier
+    sending_routers: int  # number of routers that send to the tier
 
     def share_at(self, age: int) -> float:
-        """The share of its capacity that an upstream of this age can do."""
+        """Returns the share of its full capacity that an upstream of this age has."""
         return self.min_share + (1 - self.min_share) * age / max(1, self.duration)
 
 
@@ -61,7 +65,7 @@
         self._overload_window = deployment.overload_window
         self._has_weights = deployment.weight_kind in (WeightKind.NOMINAL, WeightKind.ROUGH)
         self._has_utilization = UTILIZATION_FIELD in deployment.load_report_fields
-        self._peak_throughput_by_kind: dict[int, float] = {}  # the most that warm upstreams were seen to do
+        self._peak_throughput_by_kind: dict[int, float] = {}  # highest observed at warm upstreams
         self._cache_limits = TierLimits(
             deployment.slow_start_min_share,
             deployment.slow_start_duration,
@@ -76,7 +80,7 @@
         )
 
     def is_warming_up(self, now: int, upstream: Upstream) -> bool:
-        """Whether the upstream started, or was unresponsive, not long ago."""
+        """Returns whether the upstream started or was unresponsive recently."""
         endpoint, unresponsive_since = upstream.endpoint, upstream.unresponsive_since
         limits = self._parent_limits if endpoint.kind == self._parent_kind else self._cache_limits
         duration = limits.duration
@@ -85,9 +89,10 @@
         return bool(endpoint.started_at) and now < endpoint.started_at + duration
 
     def cost(self, request: RequestState, upstream: Upstream) -> float:
-        """The tokens that the request takes.
+        """Returns the number of tokens that the request takes.
 
-        At a cache that is the average transfer time of its class, at a parent its own if that is longer.
+        At a cache that is the average transfer time of the request's class, at a parent the request's own
+        transfer time if that is longer.
         """
         average = request.request_class.average_transfer_time()
         if upstream.endpoint.kind == self._parent_kind:
@@ -100,24 +105,24 @@
             upstream.tokens -= self.cost(request, upstream)
 
     def allows(self, now: int, request: RequestState, upstream: Upstream) -> bool:
-        """Whether the upstream is warm, or has tokens left."""
+        """Returns whether the upstream is warm or has tokens for the request; refills its tokens."""
         if upstream is self._upstreams.origin or not self.is_warming_up(now, upstream):
             upstream.tokens = None
             return True
         return self._refill(now, max(1, self.cost(request, upstream)), upstream) >= 0
 
     def _refill(self, now: int, cost: float, upstream: Upstream) -> float:
-        """Adds the tokens that have come in since the last call; returns how many there are now."""
+        """Adds the tokens accrued since the last call, expires excess ones and returns the new count."""
         is_parent = upstream.endpoint.kind == self._parent_kind
         limits = self._parent_limits if is_parent else self._cache_limits
         sending_routers, window = limits.sending_routers, self._overload_window
         rate = self._allowed_rate(now, upstream, limits)
         max_requests = rate * sending_routers * window / cost  # of all routers together, within the window
-        # half of what the rule leaves besides, which is (1 - SAFETY_SHARE) n + 2 sqrt(n) + 2 for n requests
+        # half of the margin of the rule, which is (1 - SAFETY_SHARE) n + 2 sqrt(n) + 2 for n requests
         max_tokens = cost * ((1 - SAFETY_SHARE) * max_requests / 2 + max_requests**0.5 + 1) / sending_routers
         if upstream.tokens is None:
             tokens = -self._random.next_float() * cost
-        else:  # the rule always allows two requests of all routers together; one is dared
+        else:  # the rule always allows two requests per window from all routers together; one is used
             refill_rate = max(SAFETY_SHARE * rate, cost / (sending_routers * max(1, window)))
             tokens = upstream.tokens + refill_rate * (now - upstream.tokens_updated_at)
         if tokens > max_tokens:
@@ -126,7 +131,7 @@
         return tokens
 
     def _allowed_rate(self, now: int, upstream: Upstream, limits: TierLimits) -> float:
-        """The transfer time that this router may send the upstream in each unit of time."""
+        """Returns the transfer time that this router may send to the upstream per unit of time."""
         endpoint = upstream.endpoint
         started_at = max(endpoint.started_at, upstream.unresponsive_since)
         share = limits.share_at(max(0, now - self._overload_window - started_at))
@@ -137,10 +142,11 @@
         return limits.overload_multiple * share * capacity
 
     def _capacity_of_kind(self, now: int, kind: int) -> float:
-        """What a warm upstream of the kind can do for this router.
+        """Returns the capacity that a warm upstream of the kind has for this router.
 
-        That is the throughput of the warm ones over the utilization that they report. A fall may only mean
-        that less was asked of them, hence the most that was seen counts.
+        That is the throughput of the warm upstreams divided by their reported utilization, if they report
+        any, or else by their number. It is the highest value so far, as a lower one may only mean that there
+        were fewer requests.
         """
         peak = self._peak_throughput_by_kind.get(kind, 0.0)
         warm = [each for each in self._upstreams.peers_of_kind(kind) if self._is_warm(now, kind, each)]
--- a/ironhinge/routing/upstream_registry.py
+++ b/ironhinge/routing/upstream_registry.py
@@ -1,4 +1,4 @@
-"""The upstreams that the endpoint list names, sorted into tiers."""
+"""The upstreams in the endpoint list, by tier."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class UpstreamRegistry:
-    """All upstreams by id, the ready ones by tier, and the ingress link before them."""
+    """All upstreams by id, the ready ones by tier, and the ingress link of the location."""
 
     def __init__(self, deployment: Deployment):
         self._deployment = deployment
         self._has_list = False
         self.by_id: dict[str, Upstream] = {}
         self.candidates = Candidates()  # the ready caches of this location
-        self.maybe_warming: dict[Upstream, None] = {}  # those that started or were unresponsive lately
+        self.maybe_warming: dict[Upstream, None] = {}  # caches that started or were unresponsive recently
         self.parents: list[Upstream] = []
         self.origin: Upstream | None = None
-        self.ingress_link = Path()  # of this location: shared by all fills
+        self.ingress_link = Path()  # of this location; shared by all fills
 
     def peers_of_kind(self, kind: int) -> list[Upstream]:
-        """The parents for their kind, the local caches for any other."""
+        """Returns the parents for their kind, the ready local caches for any other kind."""
         return self.parents if kind == self._deployment.parent_kind else self.candidates.caches
 
     def update(self, now: int, event: EndpointsUpdated) -> None:
-        """Takes over the endpoint list, or changes of it."""
+        """Applies the endpoint list, or changes to it."""
         if event.is_full:
             listed = {endpoint.id for endpoint in event.endpoints}
             for upstream in [each for each in self.by_id.values() if each.id not in listed]:
@@ -41,7 +41,9 @@
         registered = self.by_id.get(endpoint.id)
         if registered is None:
             if self._has_list and not is_full and not endpoint.started_at:
-                endpoint = endpoint._replace(started_at=now)  # a newcomer warms up, whatever is said of it
+                endpoint = endpoint._replace(
+                    started_at=now
+                )  # a new upstream gets slow start, whatever is listed
             registered = self.by_id[endpoint.id] = Upstream(endpoint)
         elif endpoint.state == REMOVED:
             return self._remove(registered)
@@ -60,8 +62,8 @@
     def reclassify(self, upstream: Upstream) -> None:
         """Moves an upstream whose endpoint has changed into or out of its tier.
 
-        A change of one costs that one, however many there are. One that is removed is forgotten: if its id
-        comes again, it starts from nothing.
+        The cost of a change does not include a pass over all caches. The state of a removed upstream is
+        discarded: an endpoint that is listed with the same id later starts with a new state.
         """
         deployment, endpoint = self._deployment, upstream.endpoint
         is_ready, kind = endpoint.state == READY, endpoint.kind
@@ -87,7 +89,7 @@
             self.maybe_warming.pop(upstream, None)
 
     def _first_ready_origin(self) -> Upstream | None:
-        """The origin that was listed first, of those that are ready."""
+        """Returns the ready origin that was listed first; None if none is ready."""
         for upstream in self.by_id.values():
             endpoint = upstream.endpoint
             if endpoint.state == READY and endpoint.kind == self._deployment.origin_kind:
--- a/ironhinge/routing/upstreams.py
+++ b/ironhinge/routing/upstreams.py
@@ -1,4 +1,4 @@
-"""The state of one cache, parent or origin, as this router sees it, and of attempts in flight to it."""
+"""The state of an upstream (a cache, a parent or the origin) at this router, and of attempts."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from .hashing import hash_key
 from .request_rates import RequestRateTable
 
-THROUGHPUT_HALF_LIFE = 100_000  # time over which the throughput of an upstream is averaged
+THROUGHPUT_HALF_LIFE = 100_000  # half-life of the transfers in the average throughput of an upstream
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request."""
+    """One attempt of a request: where and when it was sent."""
 
-    upstream: Upstream  # to which it was sent
-    source: Upstream | None  # from which that fills a miss
+    upstream: Upstream  # receives the attempt
+    source: Upstream | None  # that a miss is filled from; None: no fill
     sent_at: int
-    overdue_at: float  # without an answer by then, whoever owes it is suspected
-    endpoint: Endpoint  # the upstream as it was listed when the attempt was sent
+    overdue_at: float  # unanswered by then, the upstream or the source may be unresponsive
+    endpoint: Endpoint  # the upstream's list entry when the attempt was sent
 
 
 class Path:
-    """Something that transfers share: an upstream, or the ingress link of the location."""
+    """What transfers share and can congest: an upstream, or the ingress link of the location."""
 
     __slots__ = ("congestion", "in_flight", "is_local_cache")
 
     def __init__(self) -> None:
         self.congestion = CongestionEstimate()
-        self.in_flight: dict[str, Attempt] = {}  # by request id; the latest last
-        self.is_local_cache = False  # a ready cache of this router's location: a candidate of each request
+        self.in_flight: dict[str, Attempt] = {}  # by request id; latest last
+        self.is_local_cache = False  # a ready cache of this router's location, thus a candidate
 
 
 class Upstream(Path):
-    """All that is known of a cache, a parent or the origin. The mechanisms that use a field document it."""
+    """The state of a cache, a parent or the origin; the modules that use a field describe its purpose."""
 
     __slots__ = (
         "ejected_until",
@@ -62,26 +62,26 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forgets what a restart of the upstream makes void."""
+        """Resets the state that a restart of the upstream invalidates."""
         self.congestion = CongestionEstimate()
         self.request_rates = RequestRateTable()
-        self.failure_rate = 0.0  # share of failures in its latest outcomes
+        self.failure_rate = 0.0  # moving average of its outcomes; 1: all failed
         self.ejected_until = 0
-        self.ejection_length = 0.0  # of the latest ejection, in longest client timeouts; 0: trusted
-        self.rejecting_until = 0  # it turned a request away: passed over until then
-        self.last_response_at = 0  # when it last showed that it is alive
-        self.unresponsive_since = 0  # when it last accepted no connection or was found unresponsive
-        self.utilization = 1.0  # share of its capacity that it reports as in use, averaged
-        self.throughput = 0.0  # transfer time done for this router in each unit of time, averaged
+        self.ejection_length = 0.0  # of the last ejection, in longest client timeouts; 0: trusted
+        self.rejecting_until = 0  # it rejected a request: skipped until then
+        self.last_response_at = 0  # time of its last response of any kind
+        self.unresponsive_since = 0  # time at which it was found unresponsive; 0: it is not
+        self.utilization = 1.0  # average of the shares of its capacity that it reported as in use
+        self.throughput = 0.0  # transfer time served to this router per unit of time, averaged
         self.throughput_updated_at = 0
-        self.tokens: float | None = None  # while warming up: transfer time it may be sent; below 0: debt
+        self.tokens: float | None = None  # transfer time that it may be sent; None: no slow start
         self.tokens_updated_at = 0
 
     def record_throughput(self, now: int, transfer_time: int) -> None:
-        """Adds a finished transfer to the throughput."""
+        """Adds a finished transfer to the average throughput."""
         self.throughput = self.throughput_at(now) + transfer_time / THROUGHPUT_HALF_LIFE
         self.throughput_updated_at = now
 
     def throughput_at(self, now: int) -> float:
-        """The throughput, faded to the present."""
+        """Returns the average throughput, decayed to the current time."""
         return self.throughput * 2 ** ((self.throughput_updated_at - now) / THROUGHPUT_HALF_LIFE)
