--- a/ironhinge/routing/slow_start.py
+++ b/ironhinge/routing/slow_start.py
@@ -54,7 +54,7 @@
         "_overload_window",
         "_parent_kind",
         "_parent_limits",
-        "_peak_throughput_by_kind",
+        "_peak_capacity_by_kind",
         "_random",
         "_upstreams",
     )
@@ -65,7 +65,7 @@
         self._overload_window = deployment.overload_window
         self._has_weights = deployment.weight_kind in (WeightKind.NOMINAL, WeightKind.ROUGH)
         self._has_utilization = UTILIZATION_FIELD in deployment.load_report_fields
-        self._peak_throughput_by_kind: dict[int, float] = {}  # highest observed at warm upstreams
+        self._peak_capacity_by_kind: dict[int, float] = {}  # highest observed at warm upstreams
         self._cache_limits = TierLimits(
             deployment.slow_start_min_share,
             deployment.slow_start_duration,
@@ -148,14 +148,14 @@
         any, or else by their number. It is the highest value so far, as a lower one may only mean that there
         were fewer requests.
         """
-        peak = self._peak_throughput_by_kind.get(kind, 0.0)
+        peak = self._peak_capacity_by_kind.get(kind, 0.0)
         warm = [each for each in self._upstreams.peers_of_kind(kind) if self._is_warm(now, kind, each)]
         if not warm:
             return peak
         utilization = sum(each.utilization for each in warm) if self._has_utilization else len(warm)
         throughput = sum(each.throughput_at(now) for each in warm)
         peak = max(throughput / max(utilization, MIN_UTILIZATION * len(warm)), peak)
-        self._peak_throughput_by_kind[kind] = peak
+        self._peak_capacity_by_kind[kind] = peak
         return peak
 
     def _is_warm(self, now: int, kind: int, upstream: Upstream) -> bool:
