--- a/ironhinge/routing/attempt_results.py
+++ b/ironhinge/routing/attempt_results.py
@@ -15,10 +15,8 @@
 UTILIZATION_WEIGHT = 0.25  # weight of the newest load report in an upstream's average utilization
 DONE = AttemptResult.DONE
 MISS = AttemptResult.MISS
-NEUTRAL_RESULTS = (
-    AttemptResult.CANCELLED,
-    AttemptResult.NOT_SENT,
-)  # they say nothing about the upstream's health
+# Results that say nothing about the upstream's health.
+NEUTRAL_RESULTS = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
 MAY_HAVE_RUN_RESULTS = (
     AttemptResult.ERROR,
     AttemptResult.TIMEOUT,
--- a/ironhinge/routing/cache_selection.py
+++ b/ironhinge/routing/cache_selection.py
@@ -38,7 +38,7 @@
         Those are the caches with an attempt in flight, which the check may record as unresponsive, and the
         caches that may be warming up, whose tokens it refills. Caches that have failed the request or must
         not get it again are left out. The check of any other cache has no side effects, so `select_cache`
-        stops at the first eligible one.
+        runs it only for as many caches as it needs.
         """
         awaited = [each.attempt.upstream for each in open_requests if each.attempt is not None]
         maybe_warming = self._upstreams.maybe_warming
@@ -47,7 +47,7 @@
             for upstream in dict.fromkeys([*awaited, *maybe_warming])
             if upstream.is_local_cache and may_retry_on(now, request, upstream)
         ]
-        if maybe_warming:  # checks during slow start draw random numbers, in the order of the object
+        if maybe_warming:  # slow start draws random numbers, so checks run in the order of the object
             key = request.hash_key
             caches.sort(key=lambda cache: score(key, cache.hash_key), reverse=True)
         checked, failed = {}, request.failed
--- a/ironhinge/routing/candidates.py
+++ b/ironhinge/routing/candidates.py
@@ -13,9 +13,8 @@
 from .upstreams import Upstream
 
 REMEMBERED_CANDIDATES = 8  # caches remembered per object; later ones are rarely used
-EXPECTED_PRESELECTED = (
-    4 * REMEMBERED_CANDIDATES
-)  # caches preselected by score before these are picked, on average
+# Average number of caches that are preselected by score, before the remembered ones are picked from them.
+EXPECTED_PRESELECTED = 4 * REMEMBERED_CANDIDATES
 MAX_ORDERS = 4096  # number of objects whose first candidates are remembered
 MAX_ADDED_CACHES = 512  # number of added caches after which all orders are discarded
 MAX_MERGED_CACHES = 64  # an order is recomputed if more caches were added since its last update
@@ -61,9 +60,7 @@
         self.caches.append(cache)
         self.hash_keys.append(cache.hash_key)
         self._hasher = None
-        if (
-            len(self.added) >= MAX_ADDED_CACHES
-        ):  # bounds memory: orders and the list keep removed caches alive
+        if len(self.added) >= MAX_ADDED_CACHES:  # bounds memory: orders still refer to removed caches
             self.added.clear()
             self._orders.clear()
         self.added.append(cache)
--- a/ironhinge/routing/congestion.py
+++ b/ironhinge/routing/congestion.py
@@ -1,7 +1,7 @@
 """Congestion control: skips paths whose observed speed would make a request miss its latency target.
 
 Guards against congestion of any cause: overload, a slow upstream, a saturated link or origin. Its drawback: a
-path that was slow by chance is avoided until that observation has decayed, with `half_life`.
+path that was slow by chance is avoided until that observation has decayed.
 """
 
 from __future__ import annotations
@@ -10,11 +10,12 @@
 from .request_state import RequestState
 from .upstreams import Path
 
-# half-life of observations if the location has one router, as a share of the longest client timeout
+# Half-life of observations if the location has one router, as a share of the longest client timeout
 HALF_LIFE_SHARE = 0.25
-# full-speed transfer time that is the prior of each path, as a share of the longest client timeout
+# Full-speed transfer time that is the prior of each path, as a share of the longest client timeout
 PRIOR_SHARE = 0.05
-CACHE_SLOWDOWN_GROWTH = 1.2  # expected growth of a cache's slowdown as more requests arrive meanwhile
+# Expected growth of a cache's slowdown during a transfer, as more requests arrive meanwhile
+CACHE_SLOWDOWN_GROWTH = 1.2
 
 
 class CongestionControl:
@@ -35,7 +36,7 @@
     def meets_target(self, now: int, request: RequestState, path: Path) -> bool:
         """Returns whether the request, sent over the path now, is expected to meet its latency target.
 
-        A request that would miss its target even on an idle path only needs a path without congestion.
+        A request that would miss its target even on an idle path may use any path that is not congested.
         """
         slowdown = path.congestion.slowdown(now, len(path.in_flight) + 1, self.half_life, self.prior)
         transfer_time = request.transfer_time
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -1,7 +1,8 @@
 """Attributes a failed attempt to the upstream to which it was sent or to the source of its fill.
 
 Prevents the ejection of healthy caches because of a faulty parent. If the answer has a cache status, that
-decides; otherwise the failure is attributed to the one of the two with the higher failure rate.
+decides; otherwise the failure is attributed to the one of the two with the higher failure rate, the
+source on a tie.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class FailureAttribution:
-    """Attributes failed attempts to upstreams and updates the health of these."""
+    """Attributes failed attempts to upstreams and updates their health."""
 
     __slots__ = ("_congestion", "_deployment", "_liveness", "_outliers", "_upstreams")
 
@@ -93,9 +94,8 @@
         origin = self._upstreams.origin
         if origin is not None and self._is_origin_suspected(request, event):
             origin.rejecting_until = failed_upstream.rejecting_until
-        if (
-            event.duration > request.request_class.definition.latency_target
-        ):  # waited beyond its target for nothing
+        if event.duration > request.request_class.definition.latency_target:
+            # A rejection that arrives this late counts as a failure, as the request has waited in vain.
             self._outliers.record_failure(failed_upstream)
             self._outliers.eject_if_outlier(now, failed_upstream)
         return failed_upstream
--- a/ironhinge/routing/fill_source.py
+++ b/ironhinge/routing/fill_source.py
@@ -1,6 +1,6 @@
 """Selects the source that fills a miss: the first eligible parent in rendezvous order, else the origin.
 
-All routers send the fills of an object to the same parent, so that the origin is asked only once.
+All routers prefer the same parent for the fills of an object, so that the origin is asked only once.
 """
 
 from __future__ import annotations
--- a/ironhinge/routing/liveness.py
+++ b/ironhinge/routing/liveness.py
@@ -9,9 +9,8 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Upstream
 
-OVERDUE_MULTIPLE = (
-    2.0  # an attempt is overdue after this many times its transfer time plus the latency target
-)
+# An attempt is overdue after this many times its transfer time plus the latency target of its class.
+OVERDUE_MULTIPLE = 2.0
 
 
 class LivenessMonitor:
--- a/ironhinge/routing/request_rates.py
+++ b/ironhinge/routing/request_rates.py
@@ -45,7 +45,7 @@
     __slots__ = ("_scores", "_sorted_scores")
 
     def __init__(self) -> None:
-        self._scores: dict[ObjectKey, float] = {}  # the entry with the oldest latest request first
+        self._scores: dict[ObjectKey, float] = {}  # least recently requested first
         self._sorted_scores: list[float] = []
 
     def count(self, key: ObjectKey, size: float, now: int) -> int:
@@ -70,7 +70,7 @@
     __slots__ = ("_last_requested_at", "_window")
 
     def __init__(self, local_router_count: int):
-        self._window = RATE_HALF_LIFE * local_router_count  # each router gets a share of the requests
+        self._window = RATE_HALF_LIFE * local_router_count  # each router gets only a share of the requests
         self._last_requested_at: dict[ObjectKey, int] = {}  # oldest first
 
     def record(self, key: ObjectKey, now: int) -> bool:
--- a/ironhinge/routing/request_state.py
+++ b/ironhinge/routing/request_state.py
@@ -90,10 +90,8 @@
         self.admission_ranks: dict[Upstream, AdmissionRank] = {}  # by cache from which it was requested
         self.attempt_count = 0
         self.attempt: Attempt | None = None  # in flight
-        self.possibly_run_attempt: Attempt | None = (
-            None  # the first that may have taken effect; None: none did
-        )
-        self.in_flight_at_send: dict[Path, int] = {}  # on each path of its latest attempt, when that was sent
+        self.possibly_run_attempt: Attempt | None = None  # the first that may have taken effect
+        self.in_flight_at_send: dict[Path, int] = {}  # attempts in flight, by path of its own attempt
         self.fill_budget_wait = 0  # time until a fill budget allows its fill; 0: not limited
         self.response_started = False
         self.client_disconnected = False
--- a/ironhinge/routing/retries.py
+++ b/ironhinge/routing/retries.py
@@ -30,7 +30,7 @@
 
 
 def is_safe_to_repeat(now: int, request: RequestState) -> bool:
-    """Returns whether the client may send the request again, to any router, without a second effect."""
+    """Returns whether the client may send the request again without a second effect, to any upstream."""
     definition, first = request.request_class.definition, request.possibly_run_attempt
     if first is None or request.request_class.is_idempotent:
         return True
--- a/ironhinge/routing/router.py
+++ b/ironhinge/routing/router.py
@@ -57,7 +57,7 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Upstream
 
-MAX_CACHES_TRIED = 2  # number of caches that a request tries for a copy
+MAX_CACHES_TRIED = 2  # number of caches in which a request looks for a copy
 CLIENT_RETRY_TARGET_SHARE = 0.5  # share of the latency target that a client retry is assumed to have used up
 DEFAULT_CLIENT_TIMEOUT = 10_000  # ticks; used if the deployment has no request classes
 TIME_UNITS_PER_SECOND = 10_000
@@ -161,7 +161,7 @@
             self.route(now, request)
 
     def _transfer_time(self, event: RequestReceived, request_class: RequestClassState) -> int:
-        """Returns the transfer time on an idle path, by size or else as the average of the class."""
+        """Returns the transfer time on an idle path: from the size, else the average of the class."""
         rate = self.deployment.transfer_rate
         if not event.size or not rate:
             return request_class.observed_transfer_time()
@@ -200,7 +200,7 @@
             request.response_started = True
 
     def on_client_disconnected(self, now: int, event: ClientDisconnected) -> None:
-        """Cancels the attempt in flight; it is tracked at its upstream until its result is reported."""
+        """Cancels the attempt in flight if allowed; it remains in flight until its result is reported."""
         request = self.requests.get(event.request_id)
         if request is None or request.client_disconnected:
             return
@@ -220,7 +220,7 @@
         self._commands.append(SetTimer(delay, WATCH_TIMER))
 
     def on_timer(self, now: int, event: TimerFired) -> None:
-        """Retries the watch of the endpoint list, for which the only timer is set."""
+        """Retries the watch of the endpoint list; no other timer is set."""
         self._commands.append(SetWatch(True))
 
     def on_instance_started(self, now: int, event: InstanceStarted) -> None:
@@ -273,9 +273,10 @@
     def _plan_attempt(self, now: int, request: RequestState) -> AttemptPlan | None:
         """Plans the next attempt: the first possible one in this order; None if none is possible.
 
-        1. An untried cache, for a cacheable request that has not tried too many; it may store a copy.
+        1. The first eligible cache that has not reported a miss, if the request is cacheable and fewer than
+           `MAX_CACHES_TRIED` caches have reported one; its admission rank says whether it stores a copy.
         2. With a fill source: the first eligible cache, without storing a copy.
-        3. The fill source itself, where the deployment allows it.
+        3. The fill source itself, if the deployment allows it and the request may be sent there.
         4. With a fill source: a cache with capacity, even if it is unhealthy.
         """
         selector = self.cache_selector
--- a/ironhinge/routing/slow_start.py
+++ b/ironhinge/routing/slow_start.py
@@ -1,8 +1,8 @@
 """Slow start: limits the load on an upstream that started recently, with a token bucket per upstream.
 
-Guards the rule that no upstream in slow start is overloaded. Without weights, the capacity of an upstream is
-estimated from the load that this router puts on warm upstreams of the same kind: summed over all routers,
-that estimate stays below the capacity of such an upstream.
+Guards the rule that no upstream in slow start is overloaded. With endpoint weights, this router may use an
+equal share of the capacity. Without, it estimates its share from the load that it puts on warm upstreams of
+the same kind: summed over all routers, these estimates stay below the capacity of such an upstream.
 
 A request is sent if the token count is not negative, and may make it negative by its cost. The bucket starts
 at a random negative count of up to the cost of a request, so that the first requests of many routers spread
@@ -65,7 +65,7 @@
         self._overload_window = deployment.overload_window
         self._has_weights = deployment.weight_kind in (WeightKind.NOMINAL, WeightKind.ROUGH)
         self._has_utilization = UTILIZATION_FIELD in deployment.load_report_fields
-        self._peak_capacity_by_kind: dict[int, float] = {}  # highest observed at warm upstreams
+        self._peak_capacity_by_kind: dict[int, float] = {}  # highest estimates of warm upstreams so far
         self._cache_limits = TierLimits(
             deployment.slow_start_min_share,
             deployment.slow_start_duration,
@@ -105,7 +105,7 @@
             upstream.tokens -= self.cost(request, upstream)
 
     def allows(self, now: int, request: RequestState, upstream: Upstream) -> bool:
-        """Returns whether the upstream is warm or has tokens for the request; refills its tokens."""
+        """Returns whether the upstream is not in slow start or has tokens left; refills its tokens."""
         if upstream is self._upstreams.origin or not self.is_warming_up(now, upstream):
             upstream.tokens = None
             return True
@@ -144,9 +144,9 @@
     def _capacity_of_kind(self, now: int, kind: int) -> float:
         """Returns the capacity that a warm upstream of the kind has for this router.
 
-        That is the throughput of the warm upstreams divided by their reported utilization, if they report
-        any, or else by their number. It is the highest value so far, as a lower one may only mean that there
-        were fewer requests.
+        That is the total throughput of the warm upstreams divided by their total utilization, or by their
+        number if load reports contain no utilization. The highest value so far counts, as a lower one may
+        only mean that there were fewer requests.
         """
         peak = self._peak_capacity_by_kind.get(kind, 0.0)
         warm = [each for each in self._upstreams.peers_of_kind(kind) if self._is_warm(now, kind, each)]
--- a/ironhinge/routing/upstream_registry.py
+++ b/ironhinge/routing/upstream_registry.py
@@ -41,9 +41,8 @@
         registered = self.by_id.get(endpoint.id)
         if registered is None:
             if self._has_list and not is_full and not endpoint.started_at:
-                endpoint = endpoint._replace(
-                    started_at=now
-                )  # a new upstream gets slow start, whatever is listed
+                # An added endpoint gets slow start even if the list says that it started long ago.
+                endpoint = endpoint._replace(started_at=now)
             registered = self.by_id[endpoint.id] = Upstream(endpoint)
         elif endpoint.state == REMOVED:
             return self._remove(registered)
@@ -62,7 +61,7 @@
     def reclassify(self, upstream: Upstream) -> None:
         """Moves an upstream whose endpoint has changed into or out of its tier.
 
-        The cost of a change does not include a pass over all caches. The state of a removed upstream is
+        Only this upstream is reclassified, however many there are. The state of a removed upstream is
         discarded: an endpoint that is listed with the same id later starts with a new state.
         """
         deployment, endpoint = self._deployment, upstream.endpoint
--- a/ironhinge/routing/upstreams.py
+++ b/ironhinge/routing/upstreams.py
@@ -9,7 +9,7 @@
 from .hashing import hash_key
 from .request_rates import RequestRateTable
 
-THROUGHPUT_HALF_LIFE = 100_000  # half-life of the transfers in the average throughput of an upstream
+THROUGHPUT_HALF_LIFE = 100_000  # half-life of the average throughput of an upstream
 
 
 @dataclass(slots=True, eq=False)
@@ -17,14 +17,14 @@
     """One attempt of a request: where and when it was sent."""
 
     upstream: Upstream  # receives the attempt
-    source: Upstream | None  # that a miss is filled from; None: no fill
+    source: Upstream | None  # fills a miss; None: no fill
     sent_at: int
     overdue_at: float  # unanswered by then, the upstream or the source may be unresponsive
     endpoint: Endpoint  # the upstream's list entry when the attempt was sent
 
 
 class Path:
-    """What transfers share and can congest: an upstream, or the ingress link of the location."""
+    """A resource that transfers share and that can be congested: an upstream or the ingress link."""
 
     __slots__ = ("congestion", "in_flight", "is_local_cache")
 
@@ -65,16 +65,16 @@
         """Resets the state that a restart of the upstream invalidates."""
         self.congestion = CongestionEstimate()
         self.request_rates = RequestRateTable()
-        self.failure_rate = 0.0  # moving average of its outcomes; 1: all failed
+        self.failure_rate = 0.0  # moving average of its outcomes: 0 for a success, 1 for a failure
         self.ejected_until = 0
         self.ejection_length = 0.0  # of the last ejection, in longest client timeouts; 0: trusted
         self.rejecting_until = 0  # it rejected a request: skipped until then
-        self.last_response_at = 0  # time of its last response of any kind
-        self.unresponsive_since = 0  # time at which it was found unresponsive; 0: it is not
+        self.last_response_at = 0  # time of its last answer or of a failed attempt that did not time out
+        self.unresponsive_since = 0  # when it last accepted no connection or was found unresponsive; 0: not
         self.utilization = 1.0  # average of the shares of its capacity that it reported as in use
         self.throughput = 0.0  # transfer time served to this router per unit of time, averaged
         self.throughput_updated_at = 0
-        self.tokens: float | None = None  # transfer time that it may be sent; None: no slow start
+        self.tokens: float | None = None  # transfer time that it may be sent, negative: overdrawn; None: warm
         self.tokens_updated_at = 0
 
     def record_throughput(self, now: int, transfer_time: int) -> None:
