--- a/ironhinge/routing/attempt_results.py
+++ b/ironhinge/routing/attempt_results.py
@@ -70,7 +70,7 @@
             self._record_miss(now, request, attempt)
         elif result not in NEUTRAL_RESULTS:
             failed_upstream = self._attribution.attribute_failure(now, request, attempt, event)
-            request.failed.append(failed_upstream)
+            request.failed_upstreams.append(failed_upstream)
         if request.possibly_run_attempt is None and result in MAY_HAVE_RUN_RESULTS:
             request.possibly_run_attempt = attempt
 
@@ -94,13 +94,13 @@
     def _record_miss(self, now: int, request: RequestState, attempt: Attempt) -> None:
         source = attempt.source
         self._record_success(now, attempt, attempt.upstream, 0)
-        request.tried.append(attempt.upstream)
+        request.misses.append(attempt.upstream)
         if source is None:
             return
         if source is self._upstreams.origin:
-            request.failed.append(source)
+            request.failed_upstreams.append(source)
         else:  # all fills of an object go to one parent, so no other parent has a copy either
-            request.failed += self._upstreams.parents
+            request.failed_upstreams += self._upstreams.parents
 
     def _record_success(self, now: int, attempt: Attempt, upstream: Upstream, transfer_time: int) -> None:
         self._liveness.record_response(now, attempt.sent_at, upstream)
--- a/ironhinge/routing/cache_selection.py
+++ b/ironhinge/routing/cache_selection.py
@@ -50,7 +50,7 @@
         if maybe_warming:  # slow start draws random numbers, so checks run in the order of the object
             key = request.hash_key
             caches.sort(key=lambda cache: score(key, cache.hash_key), reverse=True)
-        checked, failed = {}, request.failed
+        checked, failed = {}, request.failed_upstreams
         is_eligible = self._eligibility.is_eligible
         for cache in caches:
             if cache not in failed:
@@ -63,14 +63,14 @@
         """Returns the first eligible caches, given the results of `check_with_side_effects`."""
         first = None
         is_restricted = request.possibly_run_attempt is not None  # else every cache is allowed
-        failed, tried, is_eligible = request.failed, request.tried, self._eligibility.is_eligible
+        failed, misses, is_eligible = request.failed_upstreams, request.misses, self._eligibility.is_eligible
         for cache in self._upstreams.candidates.in_order(request.hash_key):
             if cache in failed or (is_restricted and not may_retry_on(now, request, cache)):
                 continue
             if not (checked[cache] if cache in checked else is_eligible(now, request, cache)):
                 continue
             first = first or cache
-            if cache not in tried:
+            if cache not in misses:
                 return CacheChoice(first, cache)
         return CacheChoice(first, None)
 
@@ -86,7 +86,9 @@
             cache for cache in allowed if now >= cache.rejecting_until and has_capacity(now, request, cache)
         ]
         return min(
-            available, key=lambda cache: (request.failed.count(cache), cache.ejected_until), default=None
+            available,
+            key=lambda cache: (request.failed_upstreams.count(cache), cache.ejected_until),
+            default=None,
         )
 
     @staticmethod
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -110,7 +110,9 @@
             return False
         if event.cache_status == CacheStatus.ORIGIN_FAILED:
             return True
-        return not event.cache_status and any(each in self._upstreams.parents for each in request.failed)
+        return not event.cache_status and any(
+            each in self._upstreams.parents for each in request.failed_upstreams
+        )
 
     def _is_too_fast_for_source(self, event: AttemptFinished) -> bool:
         """Returns whether the attempt ended too soon for a source to have been asked."""
--- a/ironhinge/routing/fill_source.py
+++ b/ironhinge/routing/fill_source.py
@@ -41,7 +41,7 @@
             self._upstreams.parents, key=lambda each: score(key, each.hash_key), reverse=True
         ):
             limit = max(MIN_FILLS_PER_PARENT, parent.endpoint.weight)
-            if parent in request.failed or len(parent.in_flight) >= limit:
+            if parent in request.failed_upstreams or len(parent.in_flight) >= limit:
                 continue
             if self._can_fill(now, request, parent):
                 return parent
--- a/ironhinge/routing/request_state.py
+++ b/ironhinge/routing/request_state.py
@@ -50,7 +50,7 @@
         "attempt_count",
         "client_deadline",
         "client_disconnected",
-        "failed",
+        "failed_upstreams",
         "fill_budget_wait",
         "group",
         "hash_key",
@@ -58,6 +58,7 @@
         "in_flight_at_send",
         "is_cacheable",
         "key",
+        "misses",
         "parent_hash_key",
         "possibly_run_attempt",
         "received",
@@ -67,7 +68,6 @@
         "size",
         "target_at",
         "transfer_time",
-        "tried",
     )
 
     def __init__(
@@ -85,8 +85,8 @@
         target = definition.latency_target + int(definition.latency_target_stretch * transfer_time)
         self.target_at = min(self.client_deadline, now + target)
         self.recently_requested = False  # whether its part was requested here before, within the window
-        self.tried: list[Upstream] = []  # upstreams that reported a miss
-        self.failed: list[Upstream] = []  # upstreams and sources that failed it, once per failure
+        self.misses: list[Upstream] = []  # upstreams that reported a miss
+        self.failed_upstreams: list[Upstream] = []  # upstreams and sources that failed it, once per failure
         self.admission_ranks: dict[Upstream, AdmissionRank] = {}  # by cache from which it was requested
         self.attempt_count = 0
         self.attempt: Attempt | None = None  # in flight
--- a/ironhinge/routing/router.py
+++ b/ironhinge/routing/router.py
@@ -57,7 +57,7 @@
 from .upstream_registry import UpstreamRegistry
 from .upstreams import Upstream
 
-MAX_CACHES_TRIED = 2  # number of caches in which a request looks for a copy
+MAX_CACHE_LOOKUPS = 2  # number of caches in which a request looks for a copy
 CLIENT_RETRY_TARGET_SHARE = 0.5  # share of the latency target that a client retry is assumed to have used up
 DEFAULT_CLIENT_TIMEOUT = 10_000  # ticks; used if the deployment has no request classes
 TIME_UNITS_PER_SECOND = 10_000
@@ -274,7 +274,7 @@
         """Plans the next attempt: the first possible one in this order; None if none is possible.
 
         1. The first eligible cache that has not reported a miss, if the request is cacheable and fewer than
-           `MAX_CACHES_TRIED` caches have reported one; its admission rank says whether it stores a copy.
+           `MAX_CACHE_LOOKUPS` caches have reported one; its admission rank says whether it stores a copy.
         2. With a fill source: the first eligible cache, without storing a copy.
         3. The fill source itself, if the deployment allows it and the request may be sent there.
         4. With a fill source: a cache with capacity, even if it is unhealthy.
@@ -283,7 +283,7 @@
         checked = selector.check_with_side_effects(now, request, self.requests.values())
         source = self.fill_sources.select(now, request)
         first, untried = selector.select_cache(now, request, checked)
-        if untried is not None and request.is_cacheable and len(request.tried) < MAX_CACHES_TRIED:
+        if untried is not None and request.is_cacheable and len(request.misses) < MAX_CACHE_LOOKUPS:
             rank = selector.admission_rank(now, request, untried)
             return AttemptPlan(untried, source if rank and source is not None else untried, rank)
         if source is not None:
