--- a/ironhinge/routing/attempts.py
+++ b/ironhinge/routing/attempts.py
@@ -69,8 +69,8 @@
     def _is_cached_only(self, now: int, source: Upstream) -> bool:
         """Returns whether the source may serve only a cached copy.
 
-        This applies to parents while the origin may be at capacity, as each of them would send it another
-        request on a miss.
+        This applies to parents while the origin may be at capacity, as each of them would send the
+        origin another request on a miss.
         """
         origin = self._upstreams.origin
         return source in self._upstreams.parents and origin is not None and now < origin.rejecting_until
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -16,7 +16,7 @@
 from .upstreams import Attempt, Upstream
 
 # An upstream that rejected a request gets no requests for this share of the average transfer time of the
-# class, times the number of routers of the location, as each router sends that much less.
+# class, times the number of routers of the location, as each router sends only its share of the load.
 REJECTION_BACKOFF_SHARE = 0.25
 REJECTED = AttemptResult.REJECTED
 TIMEOUT = AttemptResult.TIMEOUT
@@ -95,7 +95,7 @@
         if origin is not None and self._is_origin_suspected(request, event):
             origin.rejecting_until = failed_upstream.rejecting_until
         if event.duration > request.request_class.definition.latency_target:
-            # A rejection that arrives this late counts as a failure, as the request has waited in vain.
+            # A rejection after the latency target counts as a failure, as the request has waited for nothing.
             self._outliers.record_failure(failed_upstream)
             self._outliers.eject_if_outlier(now, failed_upstream)
         return failed_upstream
--- a/ironhinge/routing/request_state.py
+++ b/ironhinge/routing/request_state.py
@@ -86,12 +86,14 @@
         self.target_at = min(self.client_deadline, now + target)
         self.recently_requested = False  # whether its part was requested here before, within the window
         self.misses: list[Upstream] = []  # upstreams that reported a miss
-        self.failed_upstreams: list[Upstream] = []  # upstreams and sources that failed it, once per failure
+        # Upstreams that failed it and sources that could not fill its miss; one entry per failure.
+        self.failed_upstreams: list[Upstream] = []
         self.admission_ranks: dict[Upstream, AdmissionRank] = {}  # by cache from which it was requested
         self.attempt_count = 0
         self.attempt: Attempt | None = None  # in flight
         self.possibly_run_attempt: Attempt | None = None  # the first that may have taken effect
-        self.in_flight_at_send: dict[Path, int] = {}  # attempts in flight, by path of its own attempt
+        # By path: attempts in flight when its latest attempt on the path was sent, including that.
+        self.in_flight_at_send: dict[Path, int] = {}
         self.fill_budget_wait = 0  # time until a fill budget allows its fill; 0: not limited
         self.response_started = False
         self.client_disconnected = False
