--- a/ironhinge/routing/retries.py
+++ b/ironhinge/routing/retries.py
@@ -1,7 +1,7 @@
-"""Where a request that may already have run can be sent again, and how long its attempts may take.
+"""Decides where a request that may already have run can be retried, and when its attempts time out.
 
-Guards the rule that no request takes effect twice: those that are not idempotent are only repeated where and
-while the upstreams drop repeats of their idempotency keys.
+Guards the rule that no request takes effect twice: a request that is not idempotent is retried only on
+upstreams that drop repeats of its idempotency key, and only while they remember the key.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from .request_state import ROUND_TRIP_BATCHES, RequestState
 from .upstreams import Upstream
 
-ATTEMPT_TIME_MULTIPLE = 1.5  # an attempt may take this many times its transfer time before it can time out
+ATTEMPT_TIME_MULTIPLE = 1.5  # time reserved for a further attempt, in transfer times of the request
 
 
 def may_retry_on(now: int, request: RequestState, upstream: Upstream) -> bool:
-    """Whether sending the request to the upstream cannot make it take effect twice."""
-    first = request.may_have_run
+    """Returns whether the request can be sent to the upstream without a risk that it takes effect twice."""
+    first = request.possibly_run_attempt
     if first is None or request.request_class.is_idempotent:
         return True
     definition = request.request_class.definition
@@ -30,8 +30,8 @@
 
 
 def is_safe_to_repeat(now: int, request: RequestState) -> bool:
-    """Whether the client may make the request again without a second effect, wherever that is sent."""
-    definition, first = request.request_class.definition, request.may_have_run
+    """Returns whether the client may send the request again without a second effect, to any upstream."""
+    definition, first = request.request_class.definition, request.possibly_run_attempt
     if first is None or request.request_class.is_idempotent:
         return True
     is_deduplicated = definition.idempotency == Idempotency.KEYED and definition.dedup_scope == DedupScope.ALL
@@ -39,21 +39,24 @@
 
 
 def attempt_deadline(now: int, request: RequestState, min_batch_interval: int) -> int:
-    """When an attempt that is sent now times out.
+    """Returns the deadline of an attempt that is sent now.
 
-    An attempt that can be repeated leaves time for another one before the client gives up, in case its
-    upstream never answers.
+    An attempt of an idempotent request leaves time for another one before the client's own timeout, in case
+    the upstream never answers, but takes at least half of the remaining time.
     """
-    last = request.client_deadline - ROUND_TRIP_BATCHES * min_batch_interval
+    latest_deadline = request.client_deadline - ROUND_TRIP_BATCHES * min_batch_interval
     if not request.request_class.is_idempotent:
-        return last
+        return latest_deadline
     time_for_another = int(ATTEMPT_TIME_MULTIPLE * request.transfer_time)
-    return min(last, max(last - time_for_another, now + (last - now) // 2))
+    return min(latest_deadline, max(latest_deadline - time_for_another, now + (latest_deadline - now) // 2))
 
 
 def start_deadline(request: RequestState) -> int:
-    """When an attempt would run again if it began later, as its idempotency key is forgotten; 0: never."""
-    first = request.may_have_run
+    """Returns when upstreams may forget the idempotency key of a request that may have run.
+
+    An attempt that starts later might make the request take effect twice. 0 means that there is no limit.
+    """
+    first = request.possibly_run_attempt
     if first is None or request.request_class.is_idempotent:
         return 0
     return first.sent_at + request.request_class.definition.dedup_window
