--- a/ironhinge/net/acceptor.py
+++ b/ironhinge/net/acceptor.py
@@ -30,7 +30,7 @@
         """Closes one connection; `is_full`: no descriptor is left."""
 
 
-class AcceptingHost(Protocol):
+class AcceptorOwner(Protocol):
     """What accepting needs of the owner of the connections.
 
     Attributes:
@@ -63,16 +63,16 @@
 
 
 class Acceptor:
-    """Accepts the connections of one listener for a host, which owns them from then on."""
+    """Accepts the connections of one listener for their owner."""
 
     def __init__(
         self,
-        host: AcceptingHost,
+        owner: AcceptorOwner,
         listener: socket.socket,
         make_receiver: Callable[[], Receiver],
         reclaim_descriptor: DescriptorReclaimer,
     ):
-        self._host = host
+        self._owner = owner
         self._listener = listener
         self._make_receiver = make_receiver
         self._reclaim_descriptor = reclaim_descriptor
@@ -84,19 +84,19 @@
         Raises:
             ListenerError: The listener is open, but can't accept connections.
         """
-        host = self._host
+        owner = self._owner
         while self._listener.fileno() >= 0:
-            if host.is_full():
+            if owner.is_full():
                 await self._wait_for_descriptor()
                 continue
-            if host.is_nearly_full():
+            if owner.is_nearly_full():
                 self._reclaim_descriptor(False)
             began_at = monotonic()
-            sock, remedy = host.calls.accept(self._listener)
+            sock, remedy = owner.calls.accept(self._listener)
             if sock is not None:
                 self._backoff.reset()
                 self._log_recovery()
-                host.adopt(sock, self._make_receiver())
+                owner.adopt(sock, self._make_receiver())
                 await lowlevel.checkpoint()  # a crowd of new clients must not keep the others from being read
             elif not await self._wait_to_accept(remedy, began_at):
                 return
@@ -110,16 +110,16 @@
         Args:
             max_wait: Seconds after which the listener is closed in any case.
         """
-        host = self._host
+        owner = self._owner
         deadline = monotonic() + max_wait
         while monotonic() < deadline:
-            if host.open_sockets >= host.descriptor_limit:
+            if owner.open_sockets >= owner.descriptor_limit:
                 self._reclaim_descriptor(True)
                 await anyio.sleep(self._backoff.next())
                 continue
-            sock, remedy = host.calls.accept(self._listener)
+            sock, remedy = owner.calls.accept(self._listener)
             if sock is not None:
-                host.adopt(sock, self._make_receiver())
+                owner.adopt(sock, self._make_receiver())
                 self._backoff.reset()
             elif remedy in (Remedy.PAUSE, Remedy.DESCRIPTORS):
                 await anyio.sleep(self._backoff.next())
@@ -129,7 +129,7 @@
         self._listener.close()
 
     async def _wait_for_descriptor(self) -> None:
-        self._log_shortage(f"full open_sockets={self._host.open_sockets}")
+        self._log_shortage(f"full open_sockets={self._owner.open_sockets}")
         while self._reclaim_descriptor(True):
             pass
         await anyio.sleep(FULL_RETRY_INTERVAL)
@@ -137,7 +137,7 @@
     async def _wait_to_accept(self, remedy: Remedy, tried_at: float) -> bool:
         """Waits until accepting is worth another try; False once the listener is closed."""
         if remedy is Remedy.WAIT:
-            self._host.backlog_empty_at = tried_at
+            self._owner.backlog_empty_at = tried_at
             return await self._wait_for_connection()
         if remedy is Remedy.SKIP:
             await lowlevel.checkpoint()
@@ -153,22 +153,22 @@
 
     async def _wait_for_connection(self) -> bool:
         """Waits for a connection in the empty backlog; False once the listener is closed."""
-        host = self._host
+        owner = self._owner
         descriptor = self._listener.fileno()
         try:
-            await host.calls.readable(self._listener)
+            await owner.calls.readable(self._listener)
         except anyio.ClosedResourceError:
             return False
-        host.backlog_empty_at = max(host.backlog_empty_at, host.selector.empty_until(descriptor))
+        owner.backlog_empty_at = max(owner.backlog_empty_at, owner.selector.empty_until(descriptor))
         return True
 
     def _log_shortage(self, reason: str) -> None:
         """Logs the start of a shortage, once."""
-        if not self._host.is_short_of_descriptors:
+        if not self._owner.is_short_of_descriptors:
             logger.warning("accepting_paused reason={}", reason)
-            self._host.is_short_of_descriptors = True
+            self._owner.is_short_of_descriptors = True
 
     def _log_recovery(self) -> None:
-        if self._host.is_short_of_descriptors and self._host.has_recovered():
-            logger.info("accepting_resumed open_sockets={}", self._host.open_sockets)
-            self._host.is_short_of_descriptors = False
+        if self._owner.is_short_of_descriptors and self._owner.has_recovered():
+            logger.info("accepting_resumed open_sockets={}", self._owner.open_sockets)
+            self._owner.is_short_of_descriptors = False
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -28,14 +28,18 @@
 IDLE_TIMEOUT = 4500 * MILLISECOND  # clients close their idle connections after 4 s
 
 # How long a connection must have been quiet after the announcement until our side ends.
-NOTICE = 700 * MILLISECOND  # a path may hold what was sent each way for 0.3 s
-NEVER_USED_NOTICE = 400 * MILLISECOND  # the users count 3 s, and it may have waited in the backlog
-SHORT_OF_DESCRIPTORS_NOTICE = 250 * MILLISECOND
-FULL_NOTICE = 60 * MILLISECOND  # no descriptor is left: crowds come faster than a longer notice lets go
-UNUSED_SHUTDOWN_NOTICE = 100 * MILLISECOND  # for one that never sent anything, at the end of the program
+NOTICE_PERIOD = 700 * MILLISECOND  # a path may hold what was sent each way for 0.3 s
+NEVER_USED_NOTICE_PERIOD = 400 * MILLISECOND  # the users count 3 s, and it may have waited in the backlog
+SHORT_OF_DESCRIPTORS_NOTICE_PERIOD = 250 * MILLISECOND
+FULL_NOTICE_PERIOD = (
+    60 * MILLISECOND
+)  # no descriptor is left: crowds come faster than a longer notice lets go
+UNUSED_SHUTDOWN_NOTICE_PERIOD = (
+    100 * MILLISECOND
+)  # for one that never sent anything, at the end of the program
 
-LINGER = 500 * MILLISECOND  # for the client to end its side; it is closed then, read or not
-LINGER_WHEN_SHORT = 100 * MILLISECOND  # the same where descriptors are short
+LINGERING_TIMEOUT = 500 * MILLISECOND  # for the client to end its side; it is closed then, read or not
+LINGERING_TIMEOUT_WHEN_SHORT = 100 * MILLISECOND  # the same where descriptors are short
 
 
 class Phase(Enum):
@@ -64,7 +68,7 @@
     PROTOCOL_VIOLATION = "protocol_violation"
 
 
-class ClientHost(Protocol):
+class ClientConnectionOwner(Protocol):
     """What a client's connection needs of the director."""
 
     clock: Clock
@@ -109,8 +113,8 @@
 class ClientConnection:
     """One client's connection."""
 
-    def __init__(self, host: ClientHost):
-        self.number = host.next_client_number()
+    def __init__(self, owner: ClientConnectionOwner):
+        self.number = owner.next_client_number()
         self.wire = client_wire.ClientWire()
         self.open_requests: dict[int, OpenRequest] = {}  # by stream
         self.connection: Connection
@@ -119,16 +123,16 @@
         self.close_not_before: int | None = None  # once announced; None: not yet known
         self.quiet_period = 0  # how long it has to have been quiet by then
         self.usage = Usage.NONE
-        now = host.clock.now()
+        now = owner.clock.now()
         self.waiting_since = now  # for its first frame, the rest of one, or the next
         self.last_received_at = now
-        self._host = host
+        self._owner = owner
 
     def on_connected(self, connection: Connection) -> None:
         """The connection was accepted."""
         self.connection = connection
-        self._host.on_client_connected(self)
-        if self._host.is_shutting_down():
+        self._owner.on_client_connected(self)
+        if self._owner.is_shutting_down():
             self.announce_close(CloseCause.SHUTDOWN, None)
 
     def on_data(self, connection: Connection, data: memoryview) -> None:
@@ -136,7 +140,7 @@
         if self._drops_input():
             return
         had_partial_frame = bool(self.wire.buffered)
-        self.last_received_at = self._host.clock.now()
+        self.last_received_at = self._owner.clock.now()
         messages = self.wire.feed(data)
         if messages or not had_partial_frame:
             self._restart_wait()
@@ -155,8 +159,8 @@
         if isinstance(message, client_wire.RequestCancelled):
             self._cancel_request(message.stream)
         elif isinstance(message, client_wire.ReadinessQuery):
-            is_ready = not self._host.is_shutting_down()
-            self.connection.write(client_wire.ready(message.stream, is_ready))
+            is_ready = not self._owner.is_shutting_down()
+            self.connection.write(client_wire.readiness_report(message.stream, is_ready))
         elif isinstance(message, (client_wire.RequestFrame, client_wire.MalformedRequest)):
             self._on_request(message)
         else:
@@ -168,7 +172,7 @@
         elif len(self.open_requests) >= MAX_OPEN_REQUESTS:
             self._close_for_violation(f"more than {MAX_OPEN_REQUESTS} open requests")
         else:
-            self._host.admit(self, message)
+            self._owner.admit(self, message)
 
     def _record_usage(self, message: client_wire.Message) -> None:
         if isinstance(message, client_wire.RequestFrame):
@@ -179,7 +183,7 @@
     def _cancel_request(self, stream: int) -> None:
         request = self.open_requests.pop(stream, None)
         if request is not None:
-            self._host.on_client_disconnected(request)
+            self._owner.on_client_disconnected(request)
         unsent_answers = [frame for frame in self.connection.pending_frames if frame.tag == stream]
         for frame in unsent_answers:
             self.connection.withdraw(frame)
@@ -191,25 +195,25 @@
         frame = client_wire.answer(request.stream, code, fields, body)
         self.connection.write(frame, request.stream, request.answer_expires_at)
 
-    def announce_close(self, cause: CloseCause, notice: int | None) -> None:
+    def announce_close(self, cause: CloseCause, notice_period: int | None) -> None:
         """Tells the client to bring no new request.
 
-        Once the connection has been quiet for `notice` (tenths of a millisecond) our side ends; None: not
-        before it is told another time.
+        Once the connection has been quiet for `notice_period` (tenths of a millisecond) our side ends;
+        None: not before it is told another time.
         """
         if self.phase is Phase.HALF_CLOSED:
             return
         if self.phase is Phase.OPEN:
             self.phase = Phase.ANNOUNCED
             self.close_cause = cause
-            self.connection.write(client_wire.no_more())
+            self.connection.write(client_wire.goaway())
             self._record(EventKind.CLIENT_GOAWAY_SENT)
-        if notice is None:
+        if notice_period is None:
             self.close_not_before, self.quiet_period = None, 0
         elif self.close_not_before is None:
             self.close_cause = cause
-            self.close_not_before = self._host.clock.now() + notice
-            self.quiet_period = notice
+            self.close_not_before = self._owner.clock.now() + notice_period
+            self.quiet_period = notice_period
 
     def half_close(self) -> None:
         """Ends our side, after all that is queued.
@@ -219,9 +223,11 @@
         """
         if self.phase is Phase.HALF_CLOSED:
             return
-        linger = LINGER_WHEN_SHORT if self._host.is_short_of_descriptors() else LINGER
+        lingering_timeout = (
+            LINGERING_TIMEOUT_WHEN_SHORT if self._owner.is_short_of_descriptors() else LINGERING_TIMEOUT
+        )
         self.phase = Phase.HALF_CLOSED
-        self.close_not_before = self._host.clock.now() + linger
+        self.close_not_before = self._owner.clock.now() + lingering_timeout
         self._record(EventKind.CLIENT_HALF_CLOSED)
         self.connection.finish()
 
@@ -231,17 +237,17 @@
         What is open on it fails: whoever breaks the protocol on a connection can't be trusted with the rest
         of it, and what came with the violation has not been written to upstreams yet.
         """
-        self._host.warn("protocol_violations", f"client_protocol_violation error={text!r}")
+        self._owner.warn("protocol_violations", f"client_protocol_violation error={text!r}")
         self.close_cause = CloseCause.PROTOCOL_VIOLATION
         self.half_close()  # first: nothing that its requests cause is to come before this
         for request in list(self.open_requests.values()):
-            self._host.fail(request)
+            self._owner.fail(request)
         # our side ends after all that is queued when that is written
         self.connection.write(client_wire.error(text))
 
     def _restart_wait(self) -> None:
-        self.waiting_since = self._host.clock.now()
-        self._host.on_client_waiting(self)
+        self.waiting_since = self._owner.clock.now()
+        self._owner.on_client_waiting(self)
 
     def is_quiet(self) -> bool:
         """Whether nothing is open, nothing waits to be written, and nothing has come of another request."""
@@ -253,8 +259,8 @@
 
     def is_idle(self) -> bool:
         """Whether it may be chosen to end: nothing has begun to end it, or only the end of the program."""
-        is_waiting = self.phase is Phase.ANNOUNCED and self.close_not_before is None
-        return (self.phase is Phase.OPEN or is_waiting) and self.is_quiet()
+        is_shutdown_announced = self.phase is Phase.ANNOUNCED and self.close_not_before is None
+        return (self.phase is Phase.OPEN or is_shutdown_announced) and self.is_quiet()
 
     def check_timeouts(self, now: int) -> None:
         """Takes the next step of the end if its time has come."""
@@ -262,16 +268,16 @@
             if self.close_not_before is not None and now > self.close_not_before:
                 self.connection.close(AttemptEnd.CLOSED)
         elif self.wire.buffered:
-            is_too_long = now > self.waiting_since + FRAME_TIMEOUT
-            self.close_if_stalled(now, 0 if is_too_long else STALLED_TIMEOUT)
+            is_overdue = now > self.waiting_since + FRAME_TIMEOUT
+            self.close_if_stalled(now, 0 if is_overdue else STALLED_TIMEOUT)
         elif self.phase is Phase.ANNOUNCED:
             if self.close_not_before is not None and now >= self._quiet_until(self.close_not_before):
                 self._close_if_quiet()
         elif now > self.waiting_since + self._idle_timeout() and self.is_idle():
             if self.usage is Usage.NONE:
-                self.announce_close(CloseCause.NEVER_USED, NEVER_USED_NOTICE)
+                self.announce_close(CloseCause.NEVER_USED, NEVER_USED_NOTICE_PERIOD)
             else:
-                self.announce_close(CloseCause.IDLE, NOTICE)
+                self.announce_close(CloseCause.IDLE, NOTICE_PERIOD)
 
     def _quiet_until(self, close_not_before: int) -> int:
         return max(close_not_before, self.waiting_since + self.quiet_period)
@@ -314,23 +320,25 @@
             self.connection.close(AttemptEnd.CLOSED)
             return
         if self.usage is Usage.REQUESTS:
-            self.announce_close(CloseCause.CAPACITY, NOTICE)
+            self.announce_close(CloseCause.CAPACITY, NOTICE_PERIOD)
         else:
-            self.announce_close(CloseCause.CAPACITY, FULL_NOTICE if is_full else SHORT_OF_DESCRIPTORS_NOTICE)
+            self.announce_close(
+                CloseCause.CAPACITY, FULL_NOTICE_PERIOD if is_full else SHORT_OF_DESCRIPTORS_NOTICE_PERIOD
+            )
         if self.usage is Usage.NONE:
             self.half_close()
 
     def on_closed(self, connection: Connection, end: AttemptEnd) -> None:
         """The connection is closed: nobody waits for what is open on it."""
-        self._host.on_client_closed(self)
+        self._owner.on_client_closed(self)
         self._record(EventKind.CLIENT_CLOSED, end.name)
         if connection.discarded_bytes:
             self._record(EventKind.INPUT_DISCARDED, f"{connection.discarded_bytes} bytes")
         for request in list(self.open_requests.values()):
-            self._host.event_log.record(
+            self._owner.event_log.record(
                 EventKind.REQUEST_UNANSWERED, request.request_id, end.name, self._name()
             )
-            self._host.on_client_disconnected(request)
+            self._owner.on_client_disconnected(request)
         self.open_requests.clear()
 
     def _name(self) -> str:
@@ -338,4 +346,4 @@
 
     def _record(self, kind: EventKind, detail: str = "") -> None:
         cause = self.close_cause.value if self.close_cause is not None else "peer"
-        self._host.event_log.record(kind, self._name(), cause, detail)
+        self._owner.event_log.record(kind, self._name(), cause, detail)
--- a/ironhinge/net/client_registry.py
+++ b/ironhinge/net/client_registry.py
@@ -6,7 +6,7 @@
 
 from .client_connection import (
     STALLED_TIMEOUT_WHEN_FULL,
-    UNUSED_SHUTDOWN_NOTICE,
+    UNUSED_SHUTDOWN_NOTICE_PERIOD,
     ClientConnection,
     CloseCause,
     Usage,
@@ -75,9 +75,9 @@
             return False
         now = self._clock.now()
         min_wait = MIN_WAIT_WHEN_FULL if is_full else MIN_WAIT
-        settled = [client for client in self._clients if client.waiting_since <= now - min_wait]
+        candidates = [client for client in self._clients if client.waiting_since <= now - min_wait]
         for usage in Usage:
-            client = self._first_idle(settled, usage, None if is_full else now)
+            client = self._first_idle(candidates, usage, None if is_full else now)
             if client is not None:
                 client.close_for_capacity(is_full)
                 return True
@@ -106,7 +106,7 @@
         """Begins to close the connections of clients that never sent anything."""
         for client in self:
             if client.usage is Usage.NONE:
-                client.announce_close(CloseCause.SHUTDOWN, UNUSED_SHUTDOWN_NOTICE)
+                client.announce_close(CloseCause.SHUTDOWN, UNUSED_SHUTDOWN_NOTICE_PERIOD)
 
     def close_all(self) -> None:
         """Ends our side of every connection, after what is queued on it."""
--- a/ironhinge/net/client_request.py
+++ b/ironhinge/net/client_request.py
@@ -14,9 +14,9 @@
 from .clock import MILLISECOND, SECOND
 
 MAX_GROUP = 255  # objects are in groups 0 to 255, says the protocol
-MAX_TIMEOUT_EXCESS = 2  # usual clients go a little over the client timeout of their class
+MAX_TIMEOUT_FACTOR = 2  # usual clients go a little over the client timeout of their class
 MAX_NAME_SHOWN = 60  # characters of an unknown name in an error
-CLIENT_RETRY = "1"
+CLIENT_RETRY_VALUE = "1"
 
 
 class RequestFieldError(ValueError):
@@ -48,14 +48,14 @@
     `margin` comes off the client's timeout, in tenths of a millisecond: time that has passed unseen. Raises
     `ValueError` (`RequestFieldError` or one of `client_wire`) that names the field at fault.
     """
-    request_id = client_wire.digits_of(fields, "trace")
+    request_id = client_wire.hex_id_of(fields, "trace")
     route = client_wire.text_of(fields, "route")
     if route not in names.request_classes:
         raise RequestFieldError(f"field 'route' has the unknown name '{route[:MAX_NAME_SHOWN]}'")
     class_index = names.request_classes.index(route)
     request_class = deployment.request_classes[class_index]
     time_remaining = int(client_wire.number_of(fields, "patience") * MILLISECOND)
-    if time_remaining > MAX_TIMEOUT_EXCESS * request_class.client_timeout:
+    if time_remaining > MAX_TIMEOUT_FACTOR * request_class.client_timeout:
         raise RequestFieldError("field 'patience' is far over the client timeout")
     size = client_wire.number_of(fields, "size", 0.0)
     transfer_rate = deployment.transfer_rate
@@ -65,13 +65,13 @@
     held_tag = client_wire.tag_of(fields, "have")
     received = RequestReceived(
         request_id=request_id,
-        object_id=int(client_wire.digits_of(fields, "entity"), 16),
+        object_id=int(client_wire.hex_id_of(fields, "entity"), 16),
         part=client_wire.count_of(fields, "part"),
         group=client_wire.count_of(fields, "group", MAX_GROUP),
         size=size,
         time_remaining=max(0, time_remaining - margin),
         class_index=class_index,
-        is_client_retry=fields.get("redo") == CLIENT_RETRY,
+        is_client_retry=fields.get("redo") == CLIENT_RETRY_VALUE,
         is_write=request_class.is_write,
         connection_id=connection_id,
     )
--- a/ironhinge/net/client_wire.py
+++ b/ironhinge/net/client_wire.py
@@ -150,12 +150,12 @@
     return answer(0, ABORTED, {}, text.encode())
 
 
-def ready(stream: int, is_ready: bool) -> tuple[bytes, ...]:
+def readiness_report(stream: int, is_ready: bool) -> tuple[bytes, ...]:
     """Encodes the response to a readiness query."""
     return frame(READINESS_REPORT, stream, bytes((READY if is_ready else NOT_READY,)) + write_fields({}))
 
 
-def no_more() -> tuple[bytes, ...]:
+def goaway() -> tuple[bytes, ...]:
     """Encodes the notice that the client shall send no new requests on this connection."""
     return frame(GOAWAY, 0)
 
@@ -210,8 +210,8 @@
         if kind == REQUEST:
             try:
                 fields, end = read_fields(data[STREAM_END:])
-            except FieldError as fault:
-                return MalformedRequest(stream, str(fault))
+            except FieldError as field_error:
+                return MalformedRequest(stream, str(field_error))
             return RequestFrame(stream, fields, data[STREAM_END + end :])
         if kind == CANCEL:
             return RequestCancelled(stream)
@@ -263,7 +263,7 @@
     return value
 
 
-def digits_of(fields: dict[str, str], name: str) -> str:
+def hex_id_of(fields: dict[str, str], name: str) -> str:
     """Returns a field of 16 hex digits.
 
     Raises:
--- a/ironhinge/net/diagnostics.py
+++ b/ironhinge/net/diagnostics.py
@@ -23,13 +23,13 @@
     def __init__(self, clock: Clock):
         self.event_log = EventLog(clock.now)
         self.counters: Counter[str] = Counter()
-        self._warned: set[str] = set()
+        self._logged_kinds: set[str] = set()
 
     def warn(self, kind: str, text: str) -> None:
         """Counts something that is wrong outside; the first of its kind in a minute is logged."""
         self.counters[kind] += 1
-        if kind not in self._warned:
-            self._warned.add(kind)
+        if kind not in self._logged_kinds:
+            self._logged_kinds.add(kind)
             logger.warning("{} (repeats are counted as '{}')", text, kind)
 
     def on_call_failed(self, call: Call, error: str, remedy: Remedy) -> None:
@@ -38,11 +38,11 @@
         text = f"system_call_failed call={call.name.lower()} error={error} remedy={remedy.name.lower()}"
         self.warn(f"{call.name} {error}", text)
         if remedy is Remedy.BUG:
-            self.event_log.dump_for_fault(f"{call.name} failed with {error}")
+            self.event_log.dump_for_error(f"{call.name} failed with {error}")
 
-    def begin_minute(self) -> None:
+    def reset_log_limits(self) -> None:
         """Each kind of warning, and a dump for a fault, may be logged again."""
-        self._warned.clear()
+        self._logged_kinds.clear()
         self.event_log.reset_dump_allowance()
 
     def summary(self) -> str:
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -57,9 +57,9 @@
 from .upstream_pool import UpstreamPool
 from .upstream_wire import UpstreamAnswer
 
-PULSE = 50 * MILLISECOND  # how often lateness is measured
-PULSES_PER_TIMEOUT_CHECK = 2
-PULSES_PER_SUMMARY = 1200
+MAINTENANCE_INTERVAL = 50 * MILLISECOND  # how often lateness is measured
+RUNS_PER_TIMEOUT_CHECK = 2
+RUNS_PER_SUMMARY = 1200
 
 
 class Director:
@@ -90,7 +90,7 @@
         self.gossip = Gossip(config, manager.calls, self)
         router = Router(config.deployment, config.seed)
         self.decisions = DecisionLoop(
-            router, self.clock, self._on_decision_fault, self.attempts.recent_answers.clear
+            router, self.clock, self._on_decision_error, self.attempts.recent_answers.clear
         )
         self.decisions.handlers = self._command_handlers()
         self.attempts.pool = self.pool
@@ -120,8 +120,8 @@
             RejectRequest: self._reject_request,
             FailRequest: self._fail_request,
             SetTimer: self._set_timer,
-            SetWatch: self._ignore,
-            RequestFullList: self._ignore,
+            SetWatch: self._ignore_watch_command,
+            RequestFullList: self._ignore_watch_command,
             SendGossip: self.gossip.send,
             WriteLog: self._write_log,
         }
@@ -140,9 +140,9 @@
         """Hands an event to the decisions and carries out what they answer."""
         self.decisions.report(event)
 
-    def _on_decision_fault(self, request_id: str) -> None:
+    def _on_decision_error(self, request_id: str) -> None:
         self.diagnostics.counters["decision_faults"] += 1
-        self.event_log.dump_for_fault("decision_failed")
+        self.event_log.dump_for_error("decision_failed")
         self.send_final_answer(request_id, client_wire.ABORTED, {})
 
     # Requests
@@ -305,8 +305,8 @@
             copy = await self.local_store.read(request.received) if self.local_store is not None else None
             if copy is not None:
                 served = True
-                is_held = request.passed.held_tag == copy.tag.decode(errors="replace")
-                fields, body = (NOT_MODIFIED_FIELDS, b"") if is_held else ({}, copy.body)
+                client_has_copy = request.passed.held_tag == copy.tag.decode(errors="replace")
+                fields, body = (NOT_MODIFIED_FIELDS, b"") if client_has_copy else ({}, copy.body)
                 self.send_final_answer(request.request_id, client_wire.DONE, fields, body)
         except Exception:  # noqa: BLE001 - the request goes on to the caches
             logger.exception("local_copy_failed request={}", request.request_id)
@@ -314,9 +314,9 @@
         self.manager.flush()
 
     def _store_local_copy(self, command: StoreLocalCopy) -> None:
-        found = self.attempts.recent_answers.pop(command.request_id, None)
-        if found is not None and self.local_store is not None:
-            received, answer = found
+        recent = self.attempts.recent_answers.pop(command.request_id, None)
+        if recent is not None and self.local_store is not None:
+            received, answer = recent
             self.local_store.store_copy(received, answer.tag, answer.produced_unix_ms, answer.body)
 
     def _reject_request(self, command: RejectRequest) -> None:
@@ -329,7 +329,7 @@
     def _set_timer(self, command: SetTimer) -> None:
         self.timers.schedule(self.clock.now() + command.delay, command.token)
 
-    def _ignore(self, command: SetWatch | RequestFullList) -> None:
+    def _ignore_watch_command(self, command: SetWatch | RequestFullList) -> None:
         """The discovery service is always followed, and tells all changes."""
 
     def _write_log(self, command: WriteLog) -> None:
@@ -343,19 +343,19 @@
 
     async def run_maintenance(self) -> None:
         """Measures how late the program runs, closes connections that are due, and logs the counters."""
-        pulses = 0
+        runs = 0
         while True:
-            due = self.clock.now() + PULSE
-            await anyio.sleep(self.clock.seconds(PULSE))
-            self.monitor.on_pulse(due)
-            pulses += 1
+            due = self.clock.now() + MAINTENANCE_INTERVAL
+            await anyio.sleep(self.clock.seconds(MAINTENANCE_INTERVAL))
+            self.monitor.on_maintenance_run(due)
+            runs += 1
             self.clock.check_wall_clock()
-            if pulses % PULSES_PER_TIMEOUT_CHECK == 0 or self.manager.is_nearly_full():
+            if runs % RUNS_PER_TIMEOUT_CHECK == 0 or self.manager.is_nearly_full():
                 self.close_idle_connections()
                 self.manager.flush()
-            if pulses % PULSES_PER_SUMMARY == 0:
+            if runs % RUNS_PER_SUMMARY == 0:
                 logger.info("counters {}", self.summary())
-                self.diagnostics.begin_minute()
+                self.diagnostics.reset_log_limits()
 
     def close_idle_connections(self) -> None:
         """Takes the steps of closing that are due, at upstreams and clients."""
--- a/ironhinge/net/event_log.py
+++ b/ironhinge/net/event_log.py
@@ -14,8 +14,8 @@
 from loguru import logger
 
 MAX_EVENTS = 2000  # events that are kept; a dump for a signal shows all
-FAULT_DUMP_EVENTS = 200  # events in a dump for a fault
-MAX_FAULT_DUMPS = 1  # dumps for faults between two calls of `reset_dump_allowance`
+ERROR_DUMP_EVENTS = 200  # events in a dump for a fault
+MAX_ERROR_DUMPS = 1  # dumps for faults between two calls of `reset_dump_allowance`
 TICKS_PER_MILLISECOND = 10
 
 
@@ -63,7 +63,7 @@
         """Starts empty; `now` returns monotonic ticks."""
         self._now = now
         self._events: deque[Event] = deque(maxlen=MAX_EVENTS)
-        self._fault_dumps_remaining = MAX_FAULT_DUMPS
+        self._error_dumps_remaining = MAX_ERROR_DUMPS
         self.counts: Counter[str] = Counter()
 
     def record(self, kind: EventKind, subject: str, cause: str, detail: str = "") -> None:
@@ -77,13 +77,13 @@
 
     def reset_dump_allowance(self) -> None:
         """Allows dumps for faults again; called once a minute."""
-        self._fault_dumps_remaining = MAX_FAULT_DUMPS
+        self._error_dumps_remaining = MAX_ERROR_DUMPS
 
-    def dump_for_fault(self, reason: str) -> None:
+    def dump_for_error(self, reason: str) -> None:
         """Writes the newest events to the log, unless the allowance of dumps is used up."""
-        if self._fault_dumps_remaining:
-            self._fault_dumps_remaining -= 1
-            self.dump(reason, FAULT_DUMP_EVENTS)
+        if self._error_dumps_remaining:
+            self._error_dumps_remaining -= 1
+            self.dump(reason, ERROR_DUMP_EVENTS)
 
     def dump(self, reason: str, max_events: int = MAX_EVENTS) -> None:
         """Writes the newest events to the log, one line each."""
--- a/ironhinge/net/loop_monitor.py
+++ b/ironhinge/net/loop_monitor.py
@@ -16,7 +16,7 @@
         self.loop_lag = 0
         self._clock = clock
 
-    def on_pulse(self, due: int) -> None:
+    def on_maintenance_run(self, due: int) -> None:
         """A pulse that was due at that time has come."""
         self.loop_lag = max(self._clock.now() - due, self.loop_lag * LAG_DECAY_PERCENT // 100)
 
--- a/ironhinge/net/open_request.py
+++ b/ironhinge/net/open_request.py
@@ -10,7 +10,7 @@
 from .connection import Connection
 from .upstream import Upstream, UpstreamOperation
 
-LINGER = SECOND  # a client that has not read its answer by then after its timeout never will
+UNREAD_ANSWER_TIMEOUT = SECOND  # a client that has not read its answer by then after its timeout never will
 
 
 class AnswerReceiver(Protocol):
@@ -50,7 +50,7 @@
         self.stream = stream
         self.body = body
         self.deadline = deadline  # until then its client waits
-        self.answer_expires_at = Clock.seconds(deadline + LINGER)
+        self.answer_expires_at = Clock.seconds(deadline + UNREAD_ANSWER_TIMEOUT)
         self.is_closed = False  # answered, or its client has left
         self.client_disconnected = False
         self.attempt_count = 0
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -24,7 +24,7 @@
 from .director import Director
 from .extensions import BackgroundRunner, LocalCopyStore, TrafficAccount
 from .shutdown import drain
-from .socket_calls import datagrams, listen
+from .socket_calls import listen, open_datagram_socket
 from .system_calls import Call, Remedy, remedy_for
 from .timed_selector import TimedSelector
 
@@ -32,7 +32,7 @@
 RESTART_PAUSE = 0.05  # seconds until a task that failed is started again
 LISTEN_TIMEOUT = 2.0  # seconds in which an address that is taken may come free
 LISTEN_RETRY_PAUSE = 0.02  # seconds
-PASSING_FAULTS = Remedy.PAUSE, Remedy.DESCRIPTORS, Remedy.RETRY
+TRANSIENT_REMEDIES = Remedy.PAUSE, Remedy.DESCRIPTORS, Remedy.RETRY
 HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1
 
 
@@ -141,7 +141,7 @@
             try:
                 return listen(address)
             except OSError as error:
-                if remedy_for(Call.LISTEN, error.errno or 0) not in PASSING_FAULTS:
+                if remedy_for(Call.LISTEN, error.errno or 0) not in TRANSIENT_REMEDIES:
                     raise
             await anyio.sleep(LISTEN_RETRY_PAUSE)
     return listen(address)
@@ -158,7 +158,7 @@
     if extensions.local_store is not None:
         tasks.start_soon(_restart_on_failure, extensions.local_store.run)
     if config.gossip_listen is not None:
-        director.gossip.sock = datagrams(config.gossip_listen)
+        director.gossip.sock = open_datagram_socket(config.gossip_listen)
     director.start()
     listener = await _listen(config.listen)
     for task in (
--- a/ironhinge/net/socket_calls.py
+++ b/ironhinge/net/socket_calls.py
@@ -14,7 +14,7 @@
 import anyio
 
 from ..config import Address
-from .system_calls import SHORTEST_PAUSE, Call, Remedy, error_name, remedy_for
+from .system_calls import MIN_PAUSE, Call, Remedy, error_name, remedy_for
 
 LISTEN_BACKLOG = 1024  # connections that may wait to be accepted
 TCP_LAST_DATA_RECEIVED = slice(52, 56)  # of struct tcp_info: tcpi_last_data_recv, in milliseconds
@@ -80,17 +80,17 @@
             self.classify_failure(Call.CONNECT, error)
         return remedy
 
-    def send(self, sock: socket.socket, data: memoryview, latest: float = inf) -> tuple[int, Remedy]:
+    def send(self, sock: socket.socket, data: memoryview, send_deadline: float = inf) -> tuple[int, Remedy]:
         """Returns how many bytes the system accepted, and DONE or why it accepted none.
 
         Args:
             sock: The socket.
             data: What is to be sent.
-            latest: After this (monotonic seconds) nothing is sent; it is looked at just before the call.
+            send_deadline: After this (monotonic seconds) nothing is sent; checked just before the call.
         """
         for _ in range(MAX_IMMEDIATE_RETRIES):
             send = sock.send
-            if monotonic() > latest:
+            if monotonic() > send_deadline:
                 return 0, Remedy.LATE
             try:
                 return send(data), Remedy.DONE
@@ -135,15 +135,15 @@
                 return remedy is not Remedy.PAUSE
         return False
 
-    def seconds_since_data(self, sock: socket.socket, unknown: float) -> float:
-        """Returns the seconds since data last arrived, from tcp(7); `unknown` if the system has no answer."""
+    def seconds_since_data(self, sock: socket.socket, default: float) -> float:
+        """Returns the seconds since data last arrived, from tcp(7); `default` if the system has no answer."""
         try:
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_LAST_DATA_RECEIVED.stop)
         except OSError as error:
             self.classify_failure(Call.GET_OPTION, error.errno)
-            return unknown
+            return default
         if len(info) < TCP_LAST_DATA_RECEIVED.stop:
-            return unknown
+            return default
         return int.from_bytes(info[TCP_LAST_DATA_RECEIVED], sys.byteorder) / 1000
 
     def shut_down(self, sock: socket.socket, how: int) -> Remedy:
@@ -183,7 +183,7 @@
     async def _pause_without_polling(self, error: OSError) -> None:
         if self.classify_failure(Call.POLL, error.errno) is Remedy.BUG:
             raise error
-        await anyio.sleep(SHORTEST_PAUSE)
+        await anyio.sleep(MIN_PAUSE)
 
     def send_datagram(self, sock: socket.socket, data: bytes, address: Address) -> bool:
         """Sends a datagram, which may be lost; False if the system did not accept it."""
@@ -226,7 +226,7 @@
     return sock
 
 
-def datagrams(address: Address) -> socket.socket:
+def open_datagram_socket(address: Address) -> socket.socket:
     """Opens a UDP socket.
 
     Raises:
--- a/ironhinge/net/system_calls.py
+++ b/ironhinge/net/system_calls.py
@@ -15,8 +15,8 @@
 
 from .errors import RemedyTableError
 
-SHORTEST_PAUSE = 0.001  # seconds before a call that failed for lack of a resource is first repeated
-LONGEST_PAUSE = 0.02  # seconds between later repeats: a client's cancellation has to be read within 0.1 s
+MIN_PAUSE = 0.001  # seconds before a call that failed for lack of a resource is first repeated
+MAX_PAUSE = 0.02  # seconds between later repeats: a client's cancellation has to be read within 0.1 s
 
 
 class Call(Enum):
@@ -199,14 +199,14 @@
     __slots__ = ("pause",)
 
     def __init__(self) -> None:
-        self.pause = SHORTEST_PAUSE
+        self.pause = MIN_PAUSE
 
     def reset(self) -> None:
         """Starts over, after a call that succeeded."""
-        self.pause = SHORTEST_PAUSE
+        self.pause = MIN_PAUSE
 
     def next(self) -> float:
         """Returns the seconds to pause now, and doubles the next pause."""
         pause = self.pause
-        self.pause = min(LONGEST_PAUSE, 2 * pause)
+        self.pause = min(MAX_PAUSE, 2 * pause)
         return spread(pause)
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -19,7 +19,7 @@
 from ironhinge.net.connection import Connection
 from ironhinge.net.connection_manager import ConnectionManager
 from ironhinge.net.director import Director
-from ironhinge.net.socket_calls import datagrams
+from ironhinge.net.socket_calls import open_datagram_socket
 from ironhinge.net.timed_selector import TimedSelector
 from ironhinge.routing import Router
 
@@ -346,7 +346,7 @@
 
 def test_probes_and_datagrams():
     node = FakeNode(lambda told: resp(told[1], "AILING", "gauges=util:0.5;inflight:2", b""))
-    ours, theirs = datagrams(("127.0.0.1", 0)), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    ours, theirs = open_datagram_socket(("127.0.0.1", 0)), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     theirs.bind(("127.0.0.1", 0))
     theirs.settimeout(PATIENCE)
     peers = [f"127.0.0.1:{each.getsockname()[1]}" for each in (ours, theirs)]
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -99,7 +99,7 @@
         (client_wire.number_of, {"x": "-1"}, "field 'x' is not a number"),
         (client_wire.count_of, {"x": "1.5"}, "field 'x' is not a whole number"),
         (lambda fields, name: client_wire.count_of(fields, name, 7), {"x": "8"}, "field 'x' is over 7"),
-        (client_wire.digits_of, {"x": "7f3a"}, "field 'x' is not 16 hex digits"),
+        (client_wire.hex_id_of, {"x": "7f3a"}, "field 'x' is not 16 hex digits"),
         (client_wire.tag_of, {"x": "?"}, "field 'x' is not a tag"),
     ],
 )
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -176,7 +176,7 @@
         assert client.phase is Phase.ANNOUNCED
         peer.sendall(request(1))
         director.manager.flush()
-        expected = b"".join(client_wire.no_more()) + b"".join(client_wire.answer(1, DENIED, {}))
+        expected = b"".join(client_wire.goaway()) + b"".join(client_wire.answer(1, DENIED, {}))
         await until(lambda: not client.open_requests and script.got(interface.RequestReceived))
         client.waiting_since -= 10**6  # quiet for long enough
         client.check_timeouts(director.clock.now() + 10**6)
@@ -428,7 +428,7 @@
         assert time.monotonic() - began < 1.0
 
     play(Router, scene, settings=short_settings())
-    assert seen == [b"".join(client_wire.no_more())] * 2
+    assert seen == [b"".join(client_wire.goaway())] * 2
 
 
 @pytest.fixture
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,7 +11,7 @@
 from ironhinge.net.errors import RemedyTableError
 from ironhinge.net.event_log import EventKind, EventLog
 from ironhinge.net.system_calls import (
-    LONGEST_PAUSE,
+    MAX_PAUSE,
     REMEDIES,
     Backoff,
     Call,
@@ -74,11 +74,11 @@
 def test_backoff_grows_up_to_a_bound_and_has_jitter():
     backoff = Backoff()
     pauses = [backoff.next() for _ in range(50)]
-    assert all(0 < pause <= LONGEST_PAUSE for pause in pauses)
+    assert all(0 < pause <= MAX_PAUSE for pause in pauses)
     assert len(set(pauses)) > 40
     assert sum(pauses[:3]) < sum(pauses[-3:])
     backoff.reset()
-    assert backoff.next() < LONGEST_PAUSE / 2
+    assert backoff.next() < MAX_PAUSE / 2
 
 
 def test_the_event_log_keeps_the_latest_events_and_counts_all():
@@ -112,12 +112,12 @@
     log = EventLog(lambda: 5)
     for i in range(300):
         log.record(EventKind.REQUEST_REJECTED, f"request {i}", "shutdown")
-    log.dump_for_fault("first")
+    log.dump_for_error("first")
     assert log_lines[0] == "event_dump_started events=200 reason='first'\n"
     assert log_lines[-1].startswith("event_dumped kind=request_rejected age_ms=0.0 subject='request 299'")
     assert len(log_lines) == 201
-    log.dump_for_fault("second")
+    log.dump_for_error("second")
     assert len(log_lines) == 201
     log.reset_dump_allowance()
-    log.dump_for_fault("third")
+    log.dump_for_error("third")
     assert len(log_lines) == 402
