--- a/ironhinge/net/__init__.py
+++ b/ironhinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real director: the decision module on sockets."""
+"""The host on real sockets: does the I/O for a router and executes its commands."""
--- a/ironhinge/net/acceptor.py
+++ b/ironhinge/net/acceptor.py
@@ -1,6 +1,6 @@
-"""Accepts connections, and pauses while descriptors are short.
+"""Accepts client connections, and pauses while file descriptors are short.
 
-While accepting pauses, new connections wait in the listen backlog: they are neither refused nor reset.
+During a pause new connections wait in the listen backlog; they are neither refused nor reset.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 from .system_calls import Backoff, Remedy
 from .timed_selector import TimedSelector
 
-FULL_RETRY_INTERVAL = 0.01  # seconds until accepting is tried again after no descriptor was left
+FULL_RETRY_INTERVAL = 0.01  # seconds between checks for a free descriptor while none is left
 
 
 class DescriptorReclaimer(Protocol):
-    """Closes an idle client's connection to free its descriptor; False if there is none to close."""
+    """Closes an idle client connection to free its descriptor."""
 
     def __call__(self, is_full: bool, /) -> bool:
-        """Closes one connection; `is_full`: no descriptor is left."""
+        """Returns False if there is no connection to close; `is_full`: no descriptor is left."""
 
 
 class AcceptorOwner(Protocol):
-    """What accepting needs of the owner of the connections.
+    """The interface that an `Acceptor` needs from the owner of the connections.
 
     Attributes:
         calls: Makes the system calls.
-        selector: Knows since when a connection may have waited in the backlog.
-        backlog_empty_at: No connection has waited in the backlog for longer (monotonic seconds).
-        is_short_of_descriptors: Accepting has paused, and not recovered since.
+        selector: Records when the listener last had no connection waiting.
+        backlog_empty_at: When the backlog was last known to be empty (monotonic seconds).
+        is_short_of_descriptors: Accepting has paused, and the shortage is not over yet.
         open_sockets: Sockets in use.
         descriptor_limit: Descriptors that connections may use.
     """
@@ -50,20 +50,20 @@
     descriptor_limit: int
 
     def is_full(self) -> bool:
-        """Whether no client's connection can be accepted."""
+        """Returns whether no client connection can be accepted."""
 
     def is_nearly_full(self) -> bool:
-        """Whether idle connections have to be closed for new ones."""
+        """Returns whether idle connections have to be closed for new ones."""
 
     def has_recovered(self) -> bool:
-        """Whether a shortage of descriptors is over."""
+        """Returns whether a shortage of descriptors is over."""
 
     def adopt(self, sock: socket.socket, receiver: Receiver) -> None:
-        """Takes over an accepted socket."""
+        """Takes ownership of an accepted socket."""
 
 
 class Acceptor:
-    """Accepts the connections of one listener for their owner."""
+    """Accepts the connections of one listener and passes them to their owner."""
 
     def __init__(
         self,
@@ -97,15 +97,15 @@
                 self._backoff.reset()
                 self._log_recovery()
                 owner.adopt(sock, self._make_receiver())
-                await lowlevel.checkpoint()  # a crowd of new clients must not keep the others from being read
+                await lowlevel.checkpoint()  # many new clients must not delay reads from the others
             elif not await self._wait_to_accept(remedy, began_at):
                 return
 
     async def drain_backlog(self, max_wait: float) -> None:
-        """Accepts what waits in the backlog, then closes the listener at a moment when the backlog is empty.
+        """Accepts the connections in the backlog, and closes the listener as soon as the backlog is empty.
 
-        Closing a listener resets the connections in its backlog, which the peers take for established; a
-        later peer is refused and connects elsewhere.
+        Closing a listener resets the connections in its backlog, which the peers consider established. A
+        peer that connects after the close is refused and connects elsewhere.
 
         Args:
             max_wait: Seconds after which the listener is closed in any case.
@@ -135,7 +135,7 @@
         await anyio.sleep(FULL_RETRY_INTERVAL)
 
     async def _wait_to_accept(self, remedy: Remedy, tried_at: float) -> bool:
-        """Waits until accepting is worth another try; False once the listener is closed."""
+        """Waits until accept can be called again; returns False once the listener is closed."""
         if remedy is Remedy.WAIT:
             self._owner.backlog_empty_at = tried_at
             return await self._wait_for_connection()
@@ -148,11 +148,11 @@
         elif remedy is Remedy.PAUSE:
             await anyio.sleep(self._backoff.next())
         elif self._listener.fileno() >= 0:
-            raise ListenerError(f"accept on the listener failed: {remedy.name}, expected a connection")
+            raise ListenerError(f"accept on the listener failed, remedy {remedy.name}")
         return True
 
     async def _wait_for_connection(self) -> bool:
-        """Waits for a connection in the empty backlog; False once the listener is closed."""
+        """Waits until the empty backlog has a connection; returns False once the listener is closed."""
         owner = self._owner
         descriptor = self._listener.fileno()
         try:
@@ -163,7 +163,7 @@
         return True
 
     def _log_shortage(self, reason: str) -> None:
-        """Logs the start of a shortage, once."""
+        """Logs that a shortage has begun, once per shortage."""
         if not self._owner.is_short_of_descriptors:
             logger.warning("accepting_paused reason={}", reason)
             self._owner.is_short_of_descriptors = True
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -1,8 +1,9 @@
-"""One client's connection: its open streams, and the one way in which it ends.
+"""One client connection: its open requests, its timeouts and its graceful close.
 
-A connection ends in steps (`Phase`): the client is told to bring no new request; for a while longer all that
-comes is answered; then our side ends; what still comes is dropped until the client has ended its side; then
-it is closed. Whatever ends it (`CloseCause`) takes these steps. No answer is chosen here.
+The director closes a connection in steps (`Phase`), for every `CloseCause`. It sends GOAWAY, which asks the
+client to send no new request, and still answers requests for a while. Then it shuts down its side of the
+connection, discards further input until the client closes its side, and closes the socket. Some causes skip
+steps, for example when no descriptor is left.
 """
 
 from __future__ import annotations
@@ -17,49 +18,49 @@
 from .event_log import EventKind, EventLog
 from .open_request import OpenRequest
 
-MAX_OPEN_REQUESTS = 32  # on one connection, says the protocol
-# A client that has sent no frame, or no more of one that it began, never will: usual ones write at once, and
-# the protocol's users count 3 s until we must have said so.
+MAX_OPEN_REQUESTS = 32  # on one connection; the protocol's limit
+# Time without input after which a client that has sent no frame, or only part of one, counts as stalled. Usual
+# clients write at once, and the protocol allows 3 s until the director must have announced the close.
 STALLED_TIMEOUT = 1200 * MILLISECOND
 STALLED_TIMEOUT_WHEN_FULL = (
     400 * MILLISECOND
-)  # for a frame begun, where no descriptor and no idle one is left
-FRAME_TIMEOUT = 2400 * MILLISECOND  # for all of a frame, however slowly it comes
+)  # for an incomplete frame, when no descriptor is left and no connection is idle
+FRAME_TIMEOUT = 2400 * MILLISECOND  # for a whole frame, however slowly it arrives
 IDLE_TIMEOUT = 4500 * MILLISECOND  # clients close their idle connections after 4 s
 
-# How long a connection must have been quiet after the announcement until our side ends.
-NOTICE_PERIOD = 700 * MILLISECOND  # a path may hold what was sent each way for 0.3 s
-NEVER_USED_NOTICE_PERIOD = 400 * MILLISECOND  # the users count 3 s, and it may have waited in the backlog
+# How long a connection must have been quiet after GOAWAY before our side is shut down.
+NOTICE_PERIOD = 700 * MILLISECOND  # the network may delay data by 0.3 s in each direction
+NEVER_USED_NOTICE_PERIOD = 400 * MILLISECOND  # of the 3 s, part may have passed in the backlog
 SHORT_OF_DESCRIPTORS_NOTICE_PERIOD = 250 * MILLISECOND
 FULL_NOTICE_PERIOD = (
     60 * MILLISECOND
-)  # no descriptor is left: crowds come faster than a longer notice lets go
-UNUSED_SHUTDOWN_NOTICE_PERIOD = (
-    100 * MILLISECOND
-)  # for one that never sent anything, at the end of the program
+)  # no descriptor is left; with a longer notice, bursts of new connections outpace the closing
+UNUSED_SHUTDOWN_NOTICE_PERIOD = 100 * MILLISECOND  # during shutdown, for a client that never sent a frame
 
-LINGERING_TIMEOUT = 500 * MILLISECOND  # for the client to end its side; it is closed then, read or not
-LINGERING_TIMEOUT_WHEN_SHORT = 100 * MILLISECOND  # the same where descriptors are short
+LINGERING_TIMEOUT = (
+    500 * MILLISECOND
+)  # for the client to close its side; then the socket is closed, even with unread input
+LINGERING_TIMEOUT_WHEN_SHORT = 100 * MILLISECOND  # the same while descriptors are short
 
 
 class Phase(Enum):
-    """How far the end of a connection has come."""
+    """How far the close of a connection has progressed."""
 
     OPEN = "open"
-    ANNOUNCED = "announced"  # the client knows that it ends; all that comes is answered
-    HALF_CLOSED = "half-closed"  # our side has ended; what comes is dropped
+    ANNOUNCED = "announced"  # GOAWAY is sent; requests are still answered
+    HALF_CLOSED = "half-closed"  # our side is shut down; input is discarded
 
 
 class Usage(Enum):
-    """What a client has used its connection for, so far; the least useful first."""
+    """What a client has used its connection for; in the order in which connections are closed for others."""
 
-    NONE = 0  # it never sent a frame
-    READINESS_ONLY = 1  # it asked whether the director is ready, at most
+    NONE = 0  # the client has sent no frame
+    READINESS_ONLY = 1  # the client has sent frames, such as readiness queries, but no request
     REQUESTS = 2
 
 
 class CloseCause(Enum):
-    """Why a connection is closed by us."""
+    """Why the director closes a connection."""
 
     IDLE = "idle"
     NEVER_USED = "never_used"
@@ -69,49 +70,49 @@
 
 
 class ClientConnectionOwner(Protocol):
-    """What a client's connection needs of the director."""
+    """The interface that a client connection needs from the director."""
 
     clock: Clock
 
     @property
     def event_log(self) -> EventLog:
-        """The latest events."""
+        """The log of the latest events."""
 
     def next_client_number(self) -> int:
-        """The number of a connection that was just accepted."""
+        """Returns the number of a connection that was just accepted."""
 
     def is_shutting_down(self) -> bool:
-        """Whether new requests go elsewhere."""
+        """Returns whether shutdown has begun, so that clients should send new requests elsewhere."""
 
     def is_short_of_descriptors(self) -> bool:
-        """Whether connections have to end for new ones."""
+        """Returns whether idle connections have to be closed for new ones."""
 
     def on_client_connected(self, client: ClientConnection) -> None:
-        """The connection was accepted."""
+        """Adds a connection that was just accepted."""
 
     def on_client_waiting(self, client: ClientConnection) -> None:
-        """The connection begins to wait for its client anew."""
+        """Notes that the connection starts to wait for its client again."""
 
     def on_client_closed(self, client: ClientConnection) -> None:
-        """The connection is closed."""
+        """Removes a connection that was closed."""
 
     def admit(
         self, client: ClientConnection, message: client_wire.RequestFrame | client_wire.MalformedRequest
     ) -> None:
-        """A request came, to be answered with its stream."""
+        """Handles a received request; the answer goes to its stream."""
 
     def on_client_disconnected(self, request: OpenRequest) -> None:
-        """Nobody waits for a request's answer any more."""
+        """Handles that the client no longer waits for the answer to a request."""
 
     def fail(self, request: OpenRequest) -> None:
-        """Answers a request whose connection has to end."""
+        """Answers a request with a failure, since its connection has to be closed."""
 
     def warn(self, kind: str, text: str) -> None:
-        """Logs something that clients can cause in any number."""
+        """Logs a warning about something that clients can cause; repeats of a kind are only counted."""
 
 
 class ClientConnection:
-    """One client's connection."""
+    """A client connection: the `Receiver` of its bytes, with its open requests and the state of its close."""
 
     def __init__(self, owner: ClientConnectionOwner):
         self.number = owner.next_client_number()
@@ -120,23 +121,25 @@
         self.connection: Connection
         self.phase = Phase.OPEN
         self.close_cause: CloseCause | None = None
-        self.close_not_before: int | None = None  # once announced; None: not yet known
-        self.quiet_period = 0  # how long it has to have been quiet by then
+        self.close_not_before: int | None = (
+            None  # the next step of the close is not taken earlier; None: no time is set
+        )
+        self.quiet_period = 0  # how long the connection must have been quiet before our side is shut down
         self.usage = Usage.NONE
         now = owner.clock.now()
-        self.waiting_since = now  # for its first frame, the rest of one, or the next
+        self.waiting_since = now  # for the first frame, the rest of an incomplete frame, or the next frame
         self.last_received_at = now
         self._owner = owner
 
     def on_connected(self, connection: Connection) -> None:
-        """The connection was accepted."""
+        """Registers the accepted connection; during shutdown, sends GOAWAY at once."""
         self.connection = connection
         self._owner.on_client_connected(self)
         if self._owner.is_shutting_down():
             self.announce_close(CloseCause.SHUTDOWN, None)
 
     def on_data(self, connection: Connection, data: memoryview) -> None:
-        """Bytes came; whole frames are handed on."""
+        """Decodes received bytes and handles the complete frames."""
         if self._drops_input():
             return
         had_partial_frame = bool(self.wire.buffered)
@@ -145,7 +148,7 @@
         if messages or not had_partial_frame:
             self._restart_wait()
         for message in messages:
-            if self._drops_input():  # the message before may have ended our side
+            if self._drops_input():  # the previous message may have shut down our side
                 return
             if message is messages[-1] and not self.wire.buffered:
                 connection.begin_at_last_data()
@@ -196,10 +199,13 @@
         self.connection.write(frame, request.stream, request.answer_expires_at)
 
     def announce_close(self, cause: CloseCause, notice_period: int | None) -> None:
-        """Tells the client to bring no new request.
+        """Sends GOAWAY, unless it was sent before, and sets when our side is shut down.
 
-        Once the connection has been quiet for `notice_period` (tenths of a millisecond) our side ends;
-        None: not before it is told another time.
+        Args:
+            cause: Why the connection is closed.
+            notice_period: Our side is shut down once the connection has been quiet for this long (tenths of a
+                millisecond); a period that was set before stays. None: no time is set, and one that was set
+                is cleared; a later call sets it.
         """
         if self.phase is Phase.HALF_CLOSED:
             return
@@ -216,10 +222,10 @@
             self.quiet_period = notice_period
 
     def half_close(self) -> None:
-        """Ends our side, after all that is queued.
+        """Shuts down our side once all queued output is sent.
 
-        A client whose request comes in that moment sees an orderly end, not a reset that takes the last
-        answers along.
+        A client that sends a request in that moment sees an orderly close; closing the socket at once could
+        reset the connection and destroy the last answers.
         """
         if self.phase is Phase.HALF_CLOSED:
             return
@@ -232,17 +238,17 @@
         self.connection.finish()
 
     def _close_for_violation(self, text: str) -> None:
-        """Tells the client what is wrong, and ends the connection.
+        """Sends the client an error and closes the connection.
 
-        What is open on it fails: whoever breaks the protocol on a connection can't be trusted with the rest
-        of it, and what came with the violation has not been written to upstreams yet.
+        All open requests on it fail: nothing else on a connection that broke the protocol can be trusted,
+        and requests that arrived together with the violation have not been written to upstreams yet.
         """
         self._owner.warn("protocol_violations", f"client_protocol_violation error={text!r}")
         self.close_cause = CloseCause.PROTOCOL_VIOLATION
-        self.half_close()  # first: nothing that its requests cause is to come before this
+        self.half_close()  # first, so that whatever the failed requests cause finds the connection closing
         for request in list(self.open_requests.values()):
             self._owner.fail(request)
-        # our side ends after all that is queued when that is written
+        # still sent: our side is shut down only after the queue, this frame included
         self.connection.write(client_wire.error(text))
 
     def _restart_wait(self) -> None:
@@ -250,7 +256,7 @@
         self._owner.on_client_waiting(self)
 
     def is_quiet(self) -> bool:
-        """Whether nothing is open, nothing waits to be written, and nothing has come of another request."""
+        """Returns whether no request is open, no output is queued, and no input is unread or incomplete."""
         connection = self.connection
         is_busy = (
             self.open_requests or self.wire.buffered or connection.pending_frames or connection.outbound.used
@@ -258,12 +264,12 @@
         return not (is_busy or connection.has_unread())
 
     def is_idle(self) -> bool:
-        """Whether it may be chosen to end: nothing has begun to end it, or only the end of the program."""
+        """Returns whether it is quiet and not yet being closed, other than by the GOAWAY of a shutdown."""
         is_shutdown_announced = self.phase is Phase.ANNOUNCED and self.close_not_before is None
         return (self.phase is Phase.OPEN or is_shutdown_announced) and self.is_quiet()
 
     def check_timeouts(self, now: int) -> None:
-        """Takes the next step of the end if its time has come."""
+        """Takes the next step of the close if it is due, or starts the close after a timeout."""
         if self.phase is Phase.HALF_CLOSED:
             if self.close_not_before is not None and now > self.close_not_before:
                 self.connection.close(AttemptEnd.CLOSED)
@@ -289,14 +295,15 @@
         if not self.is_quiet():
             return
         if self.close_cause is CloseCause.CAPACITY and self.usage is not Usage.REQUESTS:
-            self.connection.close(AttemptEnd.CLOSED)  # its descriptor is wanted now
+            self.connection.close(AttemptEnd.CLOSED)  # frees the descriptor at once
         else:
             self.half_close()
 
     def close_if_stalled(self, now: int, timeout: int) -> bool:
-        """Closes a connection with a frame begun of which nothing more has come for so long.
+        """Closes the connection if a frame is incomplete and nothing was received for longer than `timeout`.
 
-        False if there is none, or if it is we who are late.
+        Returns False if it does not: also if there is unread input, as then the director is late, not the
+        client.
         """
         is_stalled = (
             self.phase is not Phase.HALF_CLOSED
@@ -309,11 +316,11 @@
         return True
 
     def close_for_capacity(self, is_full: bool) -> None:
-        """Ends it as soon as may be, for others.
+        """Starts to close the connection as early as possible, to free its descriptor for a new one.
 
-        One that never sent anything ends without notice, and is closed whole where no descriptor is left:
-        crowds of them come faster than anything else lets them go. One that has brought requests may bring
-        more, and has its full notice.
+        A client that never sent a frame gets no notice period, and its connection is closed at once when no
+        descriptor is left: bursts of such connections arrive faster than a slower close could free
+        descriptors. A client that has sent requests may send more, and gets the full notice period.
         """
         if is_full and self.usage is Usage.NONE:
             self.close_cause = CloseCause.CAPACITY
@@ -329,7 +336,7 @@
             self.half_close()
 
     def on_closed(self, connection: Connection, end: AttemptEnd) -> None:
-        """The connection is closed: nobody waits for what is open on it."""
+        """Reports the close, and that the client no longer waits for its open requests."""
         self._owner.on_client_closed(self)
         self._record(EventKind.CLIENT_CLOSED, end.name)
         if connection.discarded_bytes:
--- a/ironhinge/net/client_registry.py
+++ b/ironhinge/net/client_registry.py
@@ -1,4 +1,4 @@
-"""The open client connections of a director, and which of them end to make room for others."""
+"""The open client connections of a director, and the choice of those to close when descriptors are short."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from .clock import MILLISECOND, SECOND, Clock
 from .connection_manager import ConnectionManager
 
-MIN_WAIT = 150 * MILLISECOND  # a connection is not closed for others before it has waited that long,
-MIN_WAIT_WHEN_FULL = 100 * MILLISECOND  # or that long, where no descriptor is left,
-MIN_WAIT_AFTER_REQUESTS = SECOND  # or that long after requests, while any descriptor is left
+MIN_WAIT = 150 * MILLISECOND  # shortest wait after which a connection may be closed for a new one
+MIN_WAIT_WHEN_FULL = 100 * MILLISECOND  # the same when no descriptor is left
+MIN_WAIT_AFTER_REQUESTS = SECOND  # the same for one with requests, while descriptors are left
 
 
 class ClientRegistry:
-    """The open client connections; the one that has waited longest comes first."""
+    """The open client connections, ordered by waiting time: the one that has waited longest is first."""
 
     def __init__(self, manager: ConnectionManager, clock: Clock):
         self.accepted_count = 0
@@ -38,37 +38,45 @@
         return client in self._clients
 
     def next_number(self) -> int:
-        """The number of a connection that was just accepted."""
+        """Returns the number of a connection that was just accepted."""
         self.accepted_count += 1
         return self.accepted_count
 
     def add(self, client: ClientConnection) -> None:
-        """Takes in a connection."""
+        """Adds a connection, as the one that has waited shortest."""
         self._clients[client] = None
 
     def discard(self, client: ClientConnection) -> None:
-        """Forgets a connection that is closed."""
+        """Removes a connection that was closed."""
         self._clients.pop(client, None)
 
     def move_to_end(self, client: ClientConnection) -> None:
-        """A connection begins to wait anew."""
+        """Moves a connection that starts to wait again to the end of the order."""
         if client in self._clients:
             del self._clients[client]
             self._clients[client] = None
 
     def check_timeouts(self, now: int) -> None:
-        """Takes the steps of closing that are due, and drops answers that nobody waits for."""
+        """Takes the steps of closing that are due, and withdraws queued answers that have expired."""
         for client in self:
             client.connection.withdraw_expired(self._clock.seconds(now))
             client.check_timeouts(now)
 
     def reclaim_descriptor(self, is_full: bool) -> bool:
-        """Begins to close one idle connection to make room for another; False if there is none.
+        """Starts to close one idle connection, to free its descriptor for a new one.
 
-        Clients may hold connections and send nothing. The one that has waited longest goes, and of those
-        first that never sent a request. The protocol allows closing where no request is open; but whoever
-        will ask again comes back at once, so that closing more than one for each that comes would make a
-        crowd of its own. `is_full` says that no descriptor is left.
+        Clients may keep connections open without sending anything. Connections that never sent a request
+        are closed first, and among equals the one that has waited longest. If none is idle and no descriptor
+        is left, a stalled one is closed.
+
+        The protocol allows closing a connection without open requests. But a client that has more requests
+        reconnects at once, so closing more than one connection per new one would cause a burst of its own.
+
+        Args:
+            is_full: No descriptor is left.
+
+        Returns:
+            False if no connection may be closed.
         """
         closing = sum(client.close_cause is CloseCause.CAPACITY for client in self._clients)
         if closing >= self._manager.max_concurrent_closes():
@@ -89,7 +97,10 @@
     def _first_idle(
         clients: list[ClientConnection], usage: Usage, now: int | None
     ) -> ClientConnection | None:
-        """The first idle connection of a usage; without a descriptor left (`now` is None) however recent."""
+        """Returns the idle connection of a usage that has waited longest, or None.
+
+        One with requests must have waited for `MIN_WAIT_AFTER_REQUESTS`; `now` None lifts that.
+        """
         for client in clients:
             if client.usage is not usage or not client.is_idle():
                 continue
@@ -98,17 +109,17 @@
         return None
 
     def announce_shutdown(self) -> None:
-        """Tells all clients to bring no new requests."""
+        """Sends GOAWAY to all clients, without a time for the close."""
         for client in self:
             client.announce_close(CloseCause.SHUTDOWN, None)
 
     def close_unused(self) -> None:
-        """Begins to close the connections of clients that never sent anything."""
+        """Starts to close the connections of clients that never sent a frame."""
         for client in self:
             if client.usage is Usage.NONE:
                 client.announce_close(CloseCause.SHUTDOWN, UNUSED_SHUTDOWN_NOTICE_PERIOD)
 
     def close_all(self) -> None:
-        """Ends our side of every connection, after what is queued on it."""
+        """Shuts down our side of every connection, once its queued output is sent."""
         for client in self:
             client.half_close()
--- a/ironhinge/net/client_request.py
+++ b/ironhinge/net/client_request.py
@@ -1,7 +1,7 @@
-"""Reads a client's request: the protocol's field names end here.
+"""Parses the fields of a client's request; only this module knows their names on the wire.
 
-The fields arrive as text; what the decisions need becomes a `RequestReceived`, and what is passed on to
-upstreams as it came becomes `PassedFields`.
+The fields arrive as text. The router gets them parsed, as a `RequestReceived`; fields that are forwarded to
+upstreams unchanged become `PassedFields`.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 from . import client_wire
 from .clock import MILLISECOND, SECOND
 
-MAX_GROUP = 255  # objects are in groups 0 to 255, says the protocol
-MAX_TIMEOUT_FACTOR = 2  # usual clients go a little over the client timeout of their class
+MAX_GROUP = 255  # the protocol has groups 0 to 255
+MAX_TIMEOUT_FACTOR = 2  # times the client timeout of the class, which usual clients exceed a little
 MAX_NAME_SHOWN = 60  # characters of an unknown name in an error
-CLIENT_RETRY_VALUE = "1"
+CLIENT_RETRY_VALUE = "1"  # of the field "redo" in a repeated request
 
 
 class RequestFieldError(ValueError):
-    """A request whose fields can't be used; the text names the field and what was expected."""
+    """A field of a request is not acceptable; the text names the field and what was expected."""
 
 
 class PassedFields(NamedTuple):
-    """What a client's request holds that upstreams get as it came."""
+    """The fields of a client's request that are forwarded to upstreams unchanged."""
 
     route: str
     entity: str
     part: str | None
-    nonce: str | None  # the idempotency key by which upstreams know a repeat
-    held_tag: str  # of the copy that the client holds; empty where it has none
+    nonce: str | None  # the idempotency key by which upstreams recognise a repeat
+    held_tag: str  # entity tag of the client's own copy; empty if it has none
 
 
 class ClientRequest(NamedTuple):
-    """A client's request, read whole and checked."""
+    """A client's request whose fields have been checked."""
 
     received: RequestReceived
     passed: PassedFields
@@ -43,10 +43,19 @@
 def read_request(
     fields: dict[str, str], names: SettingsNames, deployment: Deployment, connection_id: int, margin: int
 ) -> ClientRequest:
-    """Checks a request's fields.
-
-    `margin` comes off the client's timeout, in tenths of a millisecond: time that has passed unseen. Raises
-    `ValueError` (`RequestFieldError` or one of `client_wire`) that names the field at fault.
+    """Parses and checks a request's fields.
+
+    Args:
+        fields: The fields by their names on the wire.
+        names: The names of the request classes, among others.
+        deployment: The configuration of the router.
+        connection_id: Number of the client connection.
+        margin: Subtracted from the time that the client waits, in tenths of a millisecond: the request may
+            have waited unread for that long.
+
+    Raises:
+        ValueError: A field is missing or not acceptable (`RequestFieldError`, or `FieldError` from
+            `client_wire`); the text names it.
     """
     request_id = client_wire.hex_id_of(fields, "trace")
     route = client_wire.text_of(fields, "route")
@@ -60,7 +69,7 @@
     size = client_wire.number_of(fields, "size", 0.0)
     transfer_rate = deployment.transfer_rate
     if transfer_rate and size * SECOND > transfer_rate * request_class.client_timeout:
-        # one such figure would spoil every mean
+        # a single such value would distort every average
         raise RequestFieldError("field 'size' is more than can be sent within the client timeout")
     held_tag = client_wire.tag_of(fields, "have")
     received = RequestReceived(
