--- a/benchmarks/planted_faults.py
+++ b/benchmarks/planted_faults.py
@@ -61,8 +61,8 @@
     PlantedFault(
         "late cancel",
         "net/director.py",
-        '        """Nobody waits for a request\'s answer any more."""\n',
-        '        """Nobody waits for a request\'s answer any more."""\n        return\n',
+        '        """Handles a request whose client no longer waits for its answer."""\n',
+        '        """Handles a request whose client no longer waits for its answer."""\n        return\n',
     ),
     PlantedFault(
         "budget overrun",
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -19,8 +19,8 @@
 from .open_request import OpenRequest
 
 MAX_OPEN_REQUESTS = 32  # on one connection; the protocol's limit
-# Time without input after which a client that has sent no frame, or only part of one, counts as stalled. Usual
-# clients write at once, and the protocol allows 3 s until the director must have announced the close.
+# Time without input after which a client that has sent no frame, or only part of one, counts as stalled.
+# Usual clients write at once, and the protocol allows 3 s until the director must have announced the close.
 STALLED_TIMEOUT = 1200 * MILLISECOND
 STALLED_TIMEOUT_WHEN_FULL = (
     400 * MILLISECOND
@@ -102,7 +102,7 @@
         """Handles a received request; the answer goes to its stream."""
 
     def on_client_disconnected(self, request: OpenRequest) -> None:
-        """Handles that the client no longer waits for the answer to a request."""
+        """Handles a request whose client no longer waits for its answer."""
 
     def fail(self, request: OpenRequest) -> None:
         """Answers a request with a failure, since its connection has to be closed."""
--- a/ironhinge/net/client_request.py
+++ b/ironhinge/net/client_request.py
@@ -50,8 +50,8 @@
         names: The names of the request classes, among others.
         deployment: The configuration of the router.
         connection_id: Number of the client connection.
-        margin: Subtracted from the time that the client waits, in tenths of a millisecond: the request may
-            have waited unread for that long.
+        margin: Subtracted from the time that the client still waits, in tenths of a millisecond: see
+            `LoopMonitor.deadline_margin`.
 
     Raises:
         ValueError: A field is missing or not acceptable (`RequestFieldError`, or `FieldError` from
--- a/ironhinge/net/client_wire.py
+++ b/ironhinge/net/client_wire.py
@@ -1,11 +1,11 @@
-"""The clients' protocol: bytes in become messages, responses become bytes.
+"""The clients' protocol: decodes received bytes into messages, and encodes responses.
 
 A frame is a length (4 bytes, big-endian, counting what follows), a type (1 byte), a stream (4 bytes) and a
 payload. Requests and responses begin their payload with fields: a count (1 byte), then for each a name
 (length of 1 byte) and a value (length of 2 bytes).
 
-This module knows no socket, no clock and no open request; of a connection it remembers only an incomplete
-frame.
+This module uses no socket, clock or open request; the only state that it keeps of a connection is that of its
+framing (`ClientWire`).
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 from .errors import FieldError
 
-# Types of frames. Plain integers: members of an enum are slow to access, and every frame is compared to them.
+# Frame types. Plain integers, since enum members are slow to access and every frame is compared to these.
 READINESS_QUERY = 1
 READINESS_REPORT = 2
-GOAWAY = 3  # the client shall send no new requests on this connection
+GOAWAY = 3  # asks the client to send no new requests on this connection
 REQUEST = 7
 RESPONSE = 8
 CANCEL = 9
@@ -35,9 +35,9 @@
 NOT_READY = 2
 
 LENGTH_BYTES = 4  # size of the field that holds a frame's length
-STREAM_END = 5  # end of type and stream in a frame, counted after the length
+STREAM_END = 5  # offset after type and stream, counted from the end of the length
 MIN_FRAME_LENGTH = STREAM_END
-MAX_FRAME_LENGTH = 262_144  # the protocol's bound
+MAX_FRAME_LENGTH = 262_144  # the protocol's limit
 FRAME_HEADER = struct.Struct(">IBI")  # length, type, stream
 
 HEX_ID_PATTERN = re.compile("[0-9a-fA-F]{16}")
@@ -56,7 +56,7 @@
 
 
 class MalformedRequest(NamedTuple):
-    """A request whose fields can't be read; the frames after it can."""
+    """A request whose fields can't be decoded; the frames after it can."""
 
     stream: int
     text: str
@@ -81,7 +81,7 @@
 
 
 class FramingLost(NamedTuple):
-    """A frame's length is out of bounds: nothing after it can be read."""
+    """A frame's length is out of bounds: nothing after it can be decoded."""
 
     text: str
 
@@ -121,7 +121,7 @@
 
 
 def write_fields(fields: dict[str, str]) -> bytes:
-    """Encodes fields: the opposite of `read_fields`."""
+    """Encodes fields: the inverse of `read_fields`."""
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         encoded_name = name.encode()
@@ -156,17 +156,17 @@
 
 
 def goaway() -> tuple[bytes, ...]:
-    """Encodes the notice that the client shall send no new requests on this connection."""
+    """Encodes GOAWAY, which asks the client to send no new requests on this connection."""
     return frame(GOAWAY, 0)
 
 
 class ClientWire:
-    """Decodes the bytes of one client's connection, which may arrive in any pieces.
+    """Decodes the bytes of one client connection, which may arrive in any pieces.
 
     Attributes:
-        buffered: The incomplete frame.
+        buffered: Bytes of a frame that is not complete yet.
         bytes_needed: Bytes that must be buffered before more can be decoded.
-        is_out_of_sync: The framing is lost; everything further is ignored.
+        is_out_of_sync: The framing is lost; all further bytes are ignored.
     """
 
     __slots__ = ("buffered", "bytes_needed", "is_out_of_sync")
@@ -199,7 +199,7 @@
             )
             offset += LENGTH_BYTES + length
         if offset == len(self.buffered):
-            self.buffered = bytearray()  # releases the memory that a burst or a long frame took
+            self.buffered = bytearray()  # releases the memory that a burst or a long frame needed
         elif offset:
             del self.buffered[:offset]
         return messages
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -1,7 +1,7 @@
-"""The director: owns the open requests and joins the parts of the real front.
+"""The director: owns the open requests and connects the components of the host on sockets.
 
-It never chooses an upstream, a time or an answer: it reports what happened, does what the decisions command,
-and sees that each request gets one final answer.
+It makes no routing decision: it reports events to the router, executes the router's commands, and ensures
+that each request gets exactly one final answer.
 """
 
 from __future__ import annotations
@@ -57,13 +57,13 @@
 from .upstream_pool import UpstreamPool
 from .upstream_wire import UpstreamAnswer
 
-MAINTENANCE_INTERVAL = 50 * MILLISECOND  # how often lateness is measured
+MAINTENANCE_INTERVAL = 50 * MILLISECOND  # of `run_maintenance`, which measures the loop lag in each run
 RUNS_PER_TIMEOUT_CHECK = 2
 RUNS_PER_SUMMARY = 1200
 
 
 class Director:
-    """One director: its requests, clients and upstreams."""
+    """One director instance: its open requests, client connections and upstreams."""
 
     def __init__(
         self,
@@ -77,8 +77,10 @@
         self.manager = manager
         self.clock = clock or Clock()
         self.requests: dict[str, OpenRequest] = {}
-        self.shutdown_deadline: int | None = None  # by then all is answered
-        self.admission_deadline: int | None = None  # requests read after that are not taken
+        self.shutdown_deadline: int | None = (
+            None  # all open requests are answered by then; None: not shutting down
+        )
+        self.admission_deadline: int | None = None  # requests read after that are rejected at once
         self.diagnostics = Diagnostics(self.clock)
         self.monitor = LoopMonitor(self.clock)
         self.clients = ClientRegistry(manager, self.clock)
@@ -128,16 +130,16 @@
 
     @property
     def event_log(self) -> EventLog:
-        """The latest events of connections and requests."""
+        """The log of the latest events of connections and requests."""
         return self.diagnostics.event_log
 
     def start(self) -> None:
-        """Reports all that is known to the decisions before any client is served."""
+        """Reports the start and the configured endpoint list to the router, before any client is served."""
         self.report(InstanceStarted())
         self.discovery.apply_known()
 
     def report(self, event: Event) -> None:
-        """Hands an event to the decisions and carries out what they answer."""
+        """Passes an event to the router and executes the commands that it returns."""
         self.decisions.report(event)
 
     def _on_decision_error(self, request_id: str) -> None:
@@ -150,10 +152,10 @@
     def admit(
         self, client: ClientConnection, message: client_wire.RequestFrame | client_wire.MalformedRequest
     ) -> None:
-        """Takes a request that was read, or answers it at once where it can't be taken."""
+        """Passes a request to the router, or answers it at once if it is invalid or too late in shutdown."""
         now = self.clock.now()
         if self.admission_deadline is not None and now > self.admission_deadline:
-            # hardly any time is left: it is answered at once, and sent nowhere
+            # too little time is left to send it to an upstream
             self.event_log.record(EventKind.REQUEST_REJECTED, f"client {client.number}", "shutdown")
             client.connection.write(client_wire.answer(message.stream, client_wire.DENIED, {}))
             return
@@ -173,7 +175,7 @@
         client: ClientConnection,
         message: client_wire.RequestFrame | client_wire.MalformedRequest,
     ) -> OpenRequest:
-        """Reads a request; `ValueError` says what is wrong with it."""
+        """Parses a request and sets its deadline; raises `ValueError` if it is invalid."""
         if isinstance(message, client_wire.MalformedRequest):
             raise RequestFieldError(message.text)
         read_at = self.clock.now()
@@ -190,7 +192,7 @@
         return OpenRequest(request, client, message.stream, message.body, deadline)
 
     def on_client_disconnected(self, request: OpenRequest) -> None:
-        """Nobody waits for a request's answer any more."""
+        """Handles a request whose client no longer waits for its answer."""
         if request.is_closed:
             return
         request.is_closed = request.client_disconnected = True
@@ -198,13 +200,13 @@
         self.event_log.record(EventKind.REQUEST_CANCELLED, request.request_id, "client")
         self.report(ClientDisconnected(request.request_id))
         if request.attempt is not None and request.attempt.withdraw():
-            # also where the settings allow no cancellation of what has begun: what waits for its connection
-            # or behind a blocked socket has not
+            # Done even if the settings forbid cancellation: they mean attempts that have begun, and this one
+            # still waits for its connection or behind a blocked socket.
             self.attempts.finish_operation(request.attempt, AttemptEnd.NOT_SENT)
         self.forget_if_done(request)
 
     def fail(self, request: OpenRequest) -> None:
-        """Answers a request whose connection has to end; the decisions learn that nobody waits for it."""
+        """Fails a request whose client connection is closed; to the router its client has disconnected."""
         if not request.is_closed:
             self.on_client_disconnected(request)
             request.client.send_answer(request, client_wire.ABORTED, {}, b"")
@@ -212,7 +214,7 @@
     def send_final_answer(
         self, request_id: str, code: int, fields: dict[str, str], body: bytes = b""
     ) -> None:
-        """Answers a request that is still open."""
+        """Sends the final answer of a request, unless it is closed already."""
         request = self.requests.get(request_id)
         if request is None or request.is_closed:
             return
@@ -229,69 +231,69 @@
         self.forget_if_done(request)
 
     def forget_if_done(self, request: OpenRequest) -> None:
-        """Forgets a request that is answered and has no attempt in flight."""
+        """Removes a request that is closed and has no attempt in flight."""
         if request.is_closed and request.attempt is None:
             self.requests.pop(request.request_id, None)
 
-    # What the parts report
+    # Reports of the components
 
     def warn(self, kind: str, text: str) -> None:
-        """Logs something that is wrong outside, once a minute of each kind."""
+        """Logs a warning, once per minute and kind; repeats are only counted."""
         self.diagnostics.warn(kind, text)
 
     def finish_operation(
         self, operation: UpstreamOperation, end: AttemptEnd, answer: UpstreamAnswer | None = None
     ) -> None:
-        """Ends an operation, with the answer where there is one."""
+        """Finishes an attempt or a health check, with its answer if there is one."""
         self.attempts.finish_operation(operation, end, answer)
 
     def withdraw_unsent(self, is_affected: Callable[[Attempt], bool]) -> None:
-        """Withdraws attempts of which nothing has been written."""
+        """Withdraws the affected attempts of which nothing has been written."""
         self.attempts.withdraw_unsent(is_affected)
 
     def on_timer(self, token: str) -> None:
-        """A timer of the decisions is due."""
+        """Reports to the router that one of its timers is due."""
         self.report(TimerFired(token))
 
     def on_operation_due(self, operation: UpstreamOperation, due: int, now: int) -> None:
-        """A deadline of an operation is due."""
+        """Handles a deadline of an operation that is due."""
         self.attempts.on_operation_due(operation, due, now)
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """A datagram came from the peer with that index."""
+        """Passes a datagram from the peer with that index to the traffic account or the router."""
         account = self.traffic_account
         if account is not None and account.on_gossip(self.clock.now(), sender, data):
             return
         self.report(GossipReceived(sender, data))
         self.manager.flush()
 
-    # What client connections ask
+    # Called by client connections
 
     def next_client_number(self) -> int:
-        """The number of a connection that was just accepted."""
+        """Returns the number of a connection that was just accepted."""
         return self.clients.next_number()
 
     def is_shutting_down(self) -> bool:
-        """Whether new requests go elsewhere."""
+        """Returns whether shutdown has begun, so that clients should send new requests elsewhere."""
         return self.shutdown_deadline is not None
 
     def is_short_of_descriptors(self) -> bool:
-        """Whether connections have to end for new ones."""
+        """Returns whether idle connections have to be closed for new ones."""
         return self.manager.is_nearly_full()
 
     def on_client_connected(self, client: ClientConnection) -> None:
-        """A client's connection was accepted."""
+        """Adds a client connection that was just accepted."""
         self.clients.add(client)
 
     def on_client_waiting(self, client: ClientConnection) -> None:
-        """A client's connection begins to wait anew."""
+        """Notes that a client connection starts to wait for its client again."""
         self.clients.move_to_end(client)
 
     def on_client_closed(self, client: ClientConnection) -> None:
-        """A client's connection is closed."""
+        """Removes a client connection that was closed."""
         self.clients.discard(client)
 
-    # Commands of the decisions
+    # Commands of the router
 
     def _serve_local_copy(self, command: ServeLocalCopy) -> None:
         request = self.requests.get(command.request_id)
@@ -299,7 +301,7 @@
             self.manager.task_group.start_soon(self._read_local_copy, request)
 
     async def _read_local_copy(self, request: OpenRequest) -> None:
-        """Answers with our own copy, or reports that it could not be had; it is reported once either way."""
+        """Answers a request from the local store; reports to the router once whether it was served."""
         served = False
         try:
             copy = await self.local_store.read(request.received) if self.local_store is not None else None
@@ -308,7 +310,7 @@
                 client_has_copy = request.passed.held_tag == copy.tag.decode(errors="replace")
                 fields, body = (NOT_MODIFIED_FIELDS, b"") if client_has_copy else ({}, copy.body)
                 self.send_final_answer(request.request_id, client_wire.DONE, fields, body)
-        except Exception:  # noqa: BLE001 - the request goes on to the caches
+        except Exception:  # noqa: BLE001 - the router sends the request to a cache instead
             logger.exception("local_copy_failed request={}", request.request_id)
         self.report(LocalCopyFinished(request.request_id, served))
         self.manager.flush()
@@ -330,7 +332,7 @@
         self.timers.schedule(self.clock.now() + command.delay, command.token)
 
     def _ignore_watch_command(self, command: SetWatch | RequestFullList) -> None:
-        """The discovery service is always followed, and tells all changes."""
+        """Does nothing: the director always watches the endpoint list and receives every change."""
 
     def _write_log(self, command: WriteLog) -> None:
         logger.info("decision_note text={!r}", command.text)
@@ -338,11 +340,11 @@
     # Maintenance
 
     async def run_timers(self) -> None:
-        """Fires timers for as long as the program runs."""
+        """Fires due timers until it is cancelled."""
         await self.timers.run(self.manager.flush)
 
     async def run_maintenance(self) -> None:
-        """Measures how late the program runs, closes connections that are due, and logs the counters."""
+        """Measures the loop lag, closes connections that are due, and logs the counters, until cancelled."""
         runs = 0
         while True:
             due = self.clock.now() + MAINTENANCE_INTERVAL
@@ -358,13 +360,13 @@
                 self.diagnostics.reset_log_limits()
 
     def close_idle_connections(self) -> None:
-        """Takes the steps of closing that are due, at upstreams and clients."""
+        """Closes idle upstream connections, and takes the due steps of closing client connections."""
         now = self.clock.now()
         self.pool.close_idle(now)
         self.clients.check_timeouts(now)
 
     def summary(self) -> str:
-        """The counters, as key=value fields."""
+        """Returns the counters, open requests and sockets, and the loop lag, as key=value fields."""
         lag_ms = self.monitor.loop_lag / MILLISECOND
         open_now = f"open_requests={len(self.requests)} open_sockets={self.manager.open_sockets}"
         return f"{self.diagnostics.summary()} {open_now} loop_lag_ms={lag_ms}"
@@ -372,7 +374,12 @@
     # Shutdown
 
     def begin_shutdown(self, time_remaining: int) -> None:
-        """Not ready any more: clients are told, and what was taken is answered within that time."""
+        """Starts the shutdown: the director is no longer ready, and sends GOAWAY to all clients.
+
+        Args:
+            time_remaining: Time within which all open requests are answered, in tenths of a millisecond; it
+                limits the attempts in flight too.
+        """
         self.shutdown_deadline = self.clock.now() + time_remaining
         self.report(ShutdownStarted(time_remaining))
         for request in list(self.requests.values()):
@@ -382,10 +389,10 @@
         self.manager.flush()
 
     def stop_admitting(self) -> None:
-        """From now on requests are rejected at once and sent nowhere."""
+        """Makes the director reject further requests at once, without passing them to the router."""
         self.admission_deadline = self.clock.now()
 
     def close_all_clients(self) -> None:
-        """Ends our side of every client's connection, after what is queued on it."""
+        """Shuts down our side of every client connection, once its queued output is sent."""
         self.clients.close_all()
         self.manager.flush()
--- a/ironhinge/net/event_log.py
+++ b/ironhinge/net/event_log.py
@@ -1,7 +1,7 @@
-"""A ring of the latest events of connections and requests, written to the log on demand.
+"""A ring buffer of the latest events of connections and requests, written to the log on demand.
 
-Recording costs one append and is always on. Nothing is written until a fault or a signal (SIGUSR1) asks for
-it; dumps for faults are limited, so that a fault that repeats can't fill the log.
+Recording is always on and costs one append and a count. Events are written to the log after an error or on
+SIGUSR1; dumps after errors are limited, so that a repeated error can't fill the log.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from loguru import logger
 
-MAX_EVENTS = 2000  # events that are kept; a dump for a signal shows all
-ERROR_DUMP_EVENTS = 200  # events in a dump for a fault
-MAX_ERROR_DUMPS = 1  # dumps for faults between two calls of `reset_dump_allowance`
+MAX_EVENTS = 2000  # events that are kept; a dump on SIGUSR1 writes all of them
+ERROR_DUMP_EVENTS = 200  # events in a dump after an error
+MAX_ERROR_DUMPS = 1  # dumps after errors between two calls of `reset_dump_allowance`
 TICKS_PER_MILLISECOND = 10
 
 
@@ -28,8 +28,8 @@
     CLIENT_CLOSED = "client_closed"
     REQUEST_REJECTED = "request_rejected"
     REQUEST_FAILED = "request_failed"
-    REQUEST_CANCELLED = "request_cancelled"  # its client no longer waits for it
-    REQUEST_UNANSWERED = "request_unanswered"  # its connection ended before the answer
+    REQUEST_CANCELLED = "request_cancelled"  # the client no longer waits for it
+    REQUEST_UNANSWERED = "request_unanswered"  # its client connection was closed before the answer
     INPUT_DISCARDED = "input_discarded"  # bytes arrived after our side was shut down
     ATTEMPT_FAILED = "attempt_failed"  # an attempt ended without a response to deliver
 
@@ -42,7 +42,7 @@
         kind: What happened.
         subject: A request's id, a connection's number, or a system call.
         cause: Why; counted together with the kind.
-        detail: Anything further.
+        detail: Further information; may be empty.
     """
 
     at: int
@@ -53,7 +53,7 @@
 
 
 class EventLog:
-    """The latest events, and a count by kind and cause.
+    """The latest events, and the number of events by kind and cause.
 
     Attributes:
         counts: Number of events ever recorded, by `kind.cause`.
@@ -76,11 +76,11 @@
         return tuple(self._events)
 
     def reset_dump_allowance(self) -> None:
-        """Allows dumps for faults again; called once a minute."""
+        """Allows dumps after errors again; called once per minute."""
         self._error_dumps_remaining = MAX_ERROR_DUMPS
 
     def dump_for_error(self, reason: str) -> None:
-        """Writes the newest events to the log, unless the allowance of dumps is used up."""
+        """Writes the newest events to the log after an error, unless the allowance of dumps is used up."""
         if self._error_dumps_remaining:
             self._error_dumps_remaining -= 1
             self.dump(reason, ERROR_DUMP_EVENTS)
--- a/ironhinge/net/extensions.py
+++ b/ironhinge/net/extensions.py
@@ -1,6 +1,7 @@
-"""What operators may turn on beside the director, as the director sees it.
+"""Interfaces of the optional components that operators may enable.
 
-An account of traffic between zones, and copies of the director's own on disk.
+They are the traffic account, which counts and limits the bytes of fills between zones, and the local store,
+which keeps copies on the director's own disk.
 """
 
 from __future__ import annotations
@@ -16,27 +17,27 @@
 
     @property
     def tag(self) -> bytes:
-        """Names the version of the object's bytes."""
+        """The copy's entity tag, which identifies the version of the object."""
 
     @property
     def body(self) -> bytes:
-        """The object's bytes."""
+        """The bytes of the object."""
 
 
 class BackgroundRunner(Protocol):
     """Runs background work within its budgets."""
 
     async def run(self) -> None:
-        """Works for as long as the program runs."""
+        """Runs background work until it is cancelled."""
 
 
 class TrafficAccount(interface.FillBudget, Protocol):
-    """Keeps the account of traffic between zones."""
+    """Accounts for the traffic between zones; the router also queries it as its fill budget."""
 
     send_gossip: Callable[[bytes], None]
 
     def on_endpoints_updated(self, now: int, event: interface.EndpointsUpdated) -> None:
-        """The endpoint list has changed."""
+        """Handles a change of the endpoint list."""
 
     def on_attempt_started(
         self,
@@ -45,45 +46,48 @@
         command: interface.SendAttempt | interface.SendAttemptWithFill,
         source_id: str,
     ) -> None:
-        """An attempt went out; `source_id` is empty where no fill is named."""
+        """Handles the start of an attempt; `source_id` is empty if its command names no fill source."""
 
     def on_attempt_finished(
         self, now: int, event: interface.AttemptFinished, body_size: int | None, client_disconnected: bool
     ) -> None:
-        """An attempt ended; `body_size` is None where the answer held none of the bytes."""
+        """Handles the end of an attempt; `body_size` is None if the answer carried no body."""
 
     def on_gossip(self, now: int, sender: int, data: bytes) -> bool:
-        """True when the datagram was one of the account's."""
+        """Returns whether the datagram belongs to the account; if so, it has been handled."""
 
     async def run(self) -> None:
-        """Works in the background for as long as the program runs."""
+        """Runs the component's background tasks until it is cancelled."""
 
     async def reload(self) -> None:
-        """Reads the operators' files again."""
+        """Reads the operators' files again, after a SIGHUP."""
 
     def close(self) -> None:
         """Writes the last snapshot."""
 
 
 class LocalCopyStore(interface.LocalStore, Protocol):
-    """Holds copies of the director's own."""
+    """Stores and serves copies on the director's own disk."""
 
     async def read(self, request: interface.RequestReceived) -> LocalCopy | None:
-        """The copy for a request, None if there is none or it can't be read in time."""
+        """Returns the copy for a request, or None if there is none or it can't be read in time."""
 
     def store_copy(
         self, request: interface.RequestReceived, tag: str, produced_unix_ms: int, body: bytes
     ) -> None:
-        """Keeps a copy; it is written in the background."""
+        """Stores a copy; it is written in the background."""
 
     def on_purge(self, object_id: int | None, group: int, unix_ms: int) -> None:
-        """Copies made before that time must not be served; None: all of the group."""
+        """Handles a purge: copies produced before `unix_ms` must not be served any more.
+
+        It covers one object, or the whole group if `object_id` is None.
+        """
 
     def on_discovery_progress(self, unix_ms: int) -> None:
-        """All purges made before that time are known."""
+        """Notes that all purges issued before that time have been received."""
 
     async def run(self) -> None:
-        """Works in the background for as long as the program runs."""
+        """Runs the component's background tasks until it is cancelled."""
 
     def close(self) -> None:
-        """Writes what is queued and gives the folder back."""
+        """Writes queued copies and releases the folder."""
--- a/ironhinge/net/frame.py
+++ b/ironhinge/net/frame.py
@@ -1,4 +1,4 @@
-"""A unit of output of a connection, in pieces that are not copied until they are written."""
+"""A unit of output of a connection, kept in pieces that are not copied before they are written."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 class Frame:
     """Bytes that are written to a connection as a unit, in pieces.
 
-    A frame with `render` gets its pieces at the moment at which it begins to be written; that call may also
-    withdraw it.
+    If a frame has `render`, that is called for its pieces just before writing starts; the call may also
+    withdraw the frame.
 
     Attributes:
-        ring_start: Offset of the first byte in all that the connection has put into its ring; None before.
+        ring_start: Offset of the first byte among all bytes put into the connection's ring; None until then.
         ring_end: Offset just after the last byte; None until the whole frame is in the ring.
-        tag: Identifies the frame to whoever queued it.
+        tag: Chosen by the code that queues the frame, to find it again.
         expires_at: The frame may be withdrawn after this (monotonic seconds); None: never.
         render: Makes the pieces when writing begins.
         all_pieces: The whole frame.
-        unbuffered_pieces: What is not in the ring yet.
+        unbuffered_pieces: The pieces, or rests of them, that are not in the ring yet.
         size: Bytes of the whole frame.
     """
 
@@ -51,7 +51,7 @@
         self.set_pieces(pieces)
 
     def set_pieces(self, pieces: Pieces) -> None:
-        """Sets the content of a frame of which nothing has been written yet."""
+        """Sets the content of a frame before any of it is written."""
         self.all_pieces = [memoryview(piece) for piece in pieces if piece]
         self.unbuffered_pieces = deque(self.all_pieces)
         self.size = sum(map(len, self.unbuffered_pieces))
--- a/ironhinge/net/open_request.py
+++ b/ironhinge/net/open_request.py
@@ -1,4 +1,4 @@
-"""A request from its last byte to its one final answer, and the attempts to serve it."""
+"""The state of a request until its final answer, and of its attempts."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from .connection import Connection
 from .upstream import Upstream, UpstreamOperation
 
-UNREAD_ANSWER_TIMEOUT = SECOND  # a client that has not read its answer by then after its timeout never will
+UNREAD_ANSWER_TIMEOUT = SECOND  # after the client's deadline; an answer still not sent then is dropped
 
 
 class AnswerReceiver(Protocol):
-    """The client's side of a request."""
+    """The client connection that a request arrived on."""
 
     connection: Connection
 
@@ -23,7 +23,7 @@
 
 
 class OpenRequest:
-    """One request, kept until it has been answered and its last attempt has ended."""
+    """A client's request; kept until it is closed and its last attempt has ended."""
 
     __slots__ = (
         "answer_expires_at",
@@ -49,16 +49,16 @@
         self.client = client
         self.stream = stream
         self.body = body
-        self.deadline = deadline  # until then its client waits
+        self.deadline = deadline  # the client waits until then
         self.answer_expires_at = Clock.seconds(deadline + UNREAD_ANSWER_TIMEOUT)
-        self.is_closed = False  # answered, or its client has left
+        self.is_closed = False  # answered, or the client no longer waits
         self.client_disconnected = False
         self.attempt_count = 0
-        self.attempt: Attempt | None = None  # the one in flight
+        self.attempt: Attempt | None = None  # the attempt in flight
 
 
 class Attempt(UpstreamOperation):
-    """One request sent to one upstream, once."""
+    """One try to have a request answered by one upstream."""
 
     __slots__ = ("attempt_number", "oldest_copy_unix_ms", "request", "source")
 
@@ -68,12 +68,15 @@
         super().__init__(request.request_id, upstream, started_at)
         self.request = request
         self.attempt_number = request.attempt_count
-        self.source = source  # where a miss is filled from
-        self.oldest_copy_unix_ms = 0  # 0: any copy will do
+        self.source = source  # the upstream that a miss is filled from
+        self.oldest_copy_unix_ms = 0  # a copy produced earlier must not be served; 0: no limit
         self.leaves_copy = not request.received.is_write
 
     def is_outdated(self) -> bool:
-        """Whether the endpoint list says by now that it should not go, or not where it was going."""
+        """Returns whether a change of the endpoint list since the command rules this attempt out.
+
+        Its connection has been retired, or its upstream or fill source is no longer ready.
+        """
         if self.connection is not None and self.connection.is_retired:
             return True
         return any(each is not None and not each.is_ready for each in (self.upstream, self.source))
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -1,6 +1,6 @@
-"""The program's life: start, signals and shutdown.
+"""The director's process: start-up, signals and shutdown.
 
-It starts the director's tasks, keeps them running and ends them; it never touches a request.
+It starts the director's tasks, restarts them if they fail, and stops them. It does not handle requests.
 """
 
 from __future__ import annotations
@@ -28,9 +28,15 @@
 from .system_calls import Call, Remedy, remedy_for
 from .timed_selector import TimedSelector
 
-GC_THRESHOLDS = 20_000, 20, 20  # ordinary work leaves no cycles, and a pause grows with the decisions' tables
-RESTART_PAUSE = 0.05  # seconds until a task that failed is started again
-LISTEN_TIMEOUT = 2.0  # seconds in which an address that is taken may come free
+GC_THRESHOLDS = (
+    20_000,
+    20,
+    20,
+)  # normal work creates no cycles; collections take longer as the router's tables grow
+RESTART_PAUSE = 0.05  # seconds before a failed task is started again
+LISTEN_TIMEOUT = (
+    2.0  # seconds during which opening the listener is retried, for example while its address is in use
+)
 LISTEN_RETRY_PAUSE = 0.02  # seconds
 TRANSIENT_REMEDIES = Remedy.PAUSE, Remedy.DESCRIPTORS, Remedy.RETRY
 HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1
@@ -38,14 +44,14 @@
 
 @dataclass(slots=True)
 class Extensions:
-    """What operators have turned on beside the director."""
+    """The optional components that operators have enabled."""
 
     traffic_account: TrafficAccount | None = None
     local_store: LocalCopyStore | None = None
     runner: BackgroundRunner | None = None
 
     def close(self) -> None:
-        """Writes what they keep."""
+        """Closes the components, which writes their unsaved data."""
         for extension in (self.traffic_account, self.local_store):
             if extension is not None:
                 extension.close()
@@ -53,38 +59,38 @@
 
 @dataclass(slots=True)
 class Service:
-    """One run of the program."""
+    """The configuration and components of one run of the process."""
 
     config: DirectorConfig
-    read_config: Callable[[], DirectorConfig]  # reads the file again
+    read_config: Callable[[], DirectorConfig]  # reads the configuration file again
     extensions: Extensions = field(default_factory=Extensions)
     clock: Clock = field(default_factory=Clock)
     selector: TimedSelector = field(default_factory=TimedSelector)
 
 
 async def _restart_on_failure(task: Callable[..., Awaitable[None]], *args: Any) -> None:
-    """Runs a task of the program for good: a fault in it is logged and must not end the others."""
+    """Runs a task, and starts it again after an exception, which is logged and must not stop other tasks."""
     while True:
         try:
             return await task(*args)
-        except Exception:  # noqa: BLE001 - it must not end the other tasks
+        except Exception:  # noqa: BLE001 - must not stop the other tasks
             logger.exception("task_failed task={}", getattr(task, "__qualname__", task))
             await anyio.sleep(RESTART_PAUSE)
 
 
 def hold_signals() -> None:
-    """Blocks signals until they are served.
+    """Blocks the handled signals until `run` can receive them.
 
-    One that comes early must neither end the program nor be missed.
+    A signal during start-up must neither end the process nor be lost.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def run(service: Service) -> None:
-    """Serves until SIGTERM.
+    """Serves until SIGTERM or SIGINT, then shuts down gracefully.
 
-    At SIGHUP the configuration is read again, at SIGUSR1 the latest events of connections and requests go to
-    the log.
+    SIGHUP reads the configuration again; SIGUSR1 writes the latest events of connections and requests to the
+    log.
     """
     options = {"loop_factory": lambda: asyncio.SelectorEventLoop(service.selector)}
     anyio.run(_serve, service, backend_options=options)
@@ -123,19 +129,23 @@
         director.manager.task_group.start_soon(account.reload)
     try:
         director.discovery.apply_config(service.read_config())
-    except Exception as error:  # noqa: BLE001 - whatever a file holds, it must not end the program
+    except Exception as error:  # noqa: BLE001 - no content of the file may stop the process
         logger.error("config_reload_failed kept=old error={!r}", str(error))
 
 
 async def _handle_signals_while_draining(signals: AsyncIterator[signal.Signals], director: Director) -> None:
-    """It is ending already: a second SIGTERM or a SIGHUP changes nothing."""
+    """Handles SIGUSR1 during shutdown; SIGHUP and a second SIGTERM or SIGINT are ignored."""
     async for number in signals:
         if number == signal.SIGUSR1:
             director.event_log.dump("SIGUSR1")
 
 
 async def _listen(address: Address) -> socket.socket:
-    """A listener; what is in the way for a moment only is waited for, then `OSError` tells what it is."""
+    """Opens the listener; retries transient errors for `LISTEN_TIMEOUT`.
+
+    Raises:
+        OSError: The address is not available.
+    """
     with anyio.move_on_after(LISTEN_TIMEOUT):
         while True:
             try:
@@ -148,7 +158,7 @@
 
 
 async def _start(service: Service, tasks: TaskGroup) -> tuple[Director, socket.socket]:
-    """Reports what is known to the decisions first; then clients may come."""
+    """Creates the director and starts its tasks; the router gets the endpoints before clients connect."""
     config, extensions = service.config, service.extensions
     manager = ConnectionManager(tasks, config.limits, service.selector)
     director = Director(config, manager, extensions.traffic_account, extensions.local_store, service.clock)
@@ -176,7 +186,7 @@
         director.clients.reclaim_descriptor,
     )
     gc.collect()
-    gc.freeze()  # what lives for good is not looked at again
+    gc.freeze()  # later collections skip the objects that exist now
     gc.set_threshold(*GC_THRESHOLDS)
     logger.info("director_started name={} listen={}:{}", config.name or "director", *config.listen)
     return director, listener
--- a/ironhinge/net/shutdown.py
+++ b/ironhinge/net/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: everything that was taken is answered, and nothing that still comes is lost.
+"""Graceful shutdown: every accepted request is answered, and no connection is reset.
 
-SIGKILL may come at the longest client timeout (or `CLIENT_TIMEOUT_LIMIT`, where that is less) and
-`KILL_GRACE` after SIGTERM. Clients send on open connections until then.
+SIGKILL may follow SIGTERM after the longest client timeout (at most `CLIENT_TIMEOUT_LIMIT`) plus
+`KILL_GRACE`. Clients may send on open connections until then.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from .clock import MILLISECOND, SECOND
 from .director import Director
 
-CLIENT_TIMEOUT_LIMIT = 3 * SECOND
+CLIENT_TIMEOUT_LIMIT = 3 * SECOND  # longer client timeouts do not delay SIGKILL
 KILL_GRACE = 700 * MILLISECOND
-FINAL_WRITE_TIME = 200 * MILLISECOND  # kept of the time until the kill for writing the last answers
-ADMISSION_PERIOD = 0.7  # seconds after SIGTERM in which connections still come: 0.4 says the platform
-MIN_BACKLOG_TIME = 0.05  # seconds for taking the backlog, however short the client timeouts are
-EXIT_DELAY = 500 * MILLISECOND  # after the time of the kill the program ends by itself
-FINAL_CLOSE_TIMEOUT = 200 * MILLISECOND  # for clients to end their side then
+FINAL_WRITE_TIME = 200 * MILLISECOND  # before SIGKILL, reserved for writing the last answers
+ADMISSION_PERIOD = 0.7  # seconds after SIGTERM in which new connections may arrive; the platform states 0.4
+MIN_BACKLOG_TIME = 0.05  # seconds for accepting the backlog, even if the client timeouts are short
+EXIT_DELAY = 500 * MILLISECOND  # after the time of SIGKILL; without one the process then exits by itself
+FINAL_CLOSE_TIMEOUT = 200 * MILLISECOND  # then, for clients to close their side
 CHECK_INTERVAL = 0.02  # seconds
 
 
 async def drain(director: Director, listener: socket.socket) -> None:
-    """Answers what still comes, closes the listener, and waits for the clients to leave.
+    """Serves until the answer deadline, closes the listener, and waits until all clients have disconnected.
 
-    Connections stay open for as long as their clients hold them, since requests come on them until the end:
-    later ones are rejected at once. It returns when no client is left, or some time after the program should
-    have been killed.
+    Clients may send requests until they close their connections, so these stay open; requests that arrive
+    after the listener is closed are rejected at once. Returns when no client is connected, or `EXIT_DELAY`
+    and `FINAL_CLOSE_TIMEOUT` after the time at which SIGKILL was expected.
     """
     clock = director.clock
     logger.info("shutdown_started {}", director.summary())
@@ -50,6 +50,6 @@
         await anyio.sleep(CHECK_INTERVAL)
     director.close_all_clients()
     with anyio.move_on_after(clock.seconds(FINAL_CLOSE_TIMEOUT)):
-        while director.clients:  # noqa: ASYNC110 - a hundred looks at most, at the very end
+        while director.clients:  # noqa: ASYNC110 - a few polls, just before the exit
             await anyio.sleep(CHECK_INTERVAL)
     logger.info("shutdown_finished {}", director.summary())
--- a/ironhinge/net/socket_calls.py
+++ b/ironhinge/net/socket_calls.py
@@ -1,6 +1,7 @@
-"""System calls on sockets: every error comes back as a `Remedy`, never as an OSError.
+"""System calls on sockets: errors are returned as a `Remedy`, not raised as OSError.
 
-This module keeps no state of a connection, and waits for nothing but the readiness of a socket.
+Only polling errors that are bugs, and errors of opening a listener or a UDP socket, are raised. This module
+keeps no state of a connection, and waits only for the readiness of a socket.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 
 LISTEN_BACKLOG = 1024  # connections that may wait to be accepted
 TCP_LAST_DATA_RECEIVED = slice(52, 56)  # of struct tcp_info: tcpi_last_data_recv, in milliseconds
-MAX_IMMEDIATE_RETRIES = 8  # calls made in a row, when interrupted, before the next waits for a pause
+MAX_IMMEDIATE_RETRIES = 8  # calls in a row that may be interrupted before the caller has to pause
 
 FailureCallback = Callable[[Call, str, Remedy], None]  # gets the call, the name of its errno, and the remedy
 UNREPORTED = (Remedy.WAIT, Remedy.BROKEN)  # remedies of errors that occur in normal operation
 
 
 class SocketCalls:
-    """Makes system calls and classifies their errors.
+    """Makes system calls and maps their errors to remedies.
 
-    Every error that does not occur in normal operation is passed to `on_failure` as well.
+    Errors that do not occur in normal operation are also passed to `on_failure`.
     """
 
     def __init__(self, on_failure: FailureCallback):
@@ -41,14 +42,14 @@
         return remedy
 
     def new_stream(self) -> tuple[socket.socket | None, Remedy]:
-        """Makes a non-blocking TCP socket; or returns None and why there is none."""
+        """Creates a non-blocking TCP socket; or returns None and the remedy."""
         try:
             return _new_socket(socket.SOCK_STREAM), Remedy.DONE
         except OSError as error:
             return None, self.classify_failure(Call.SOCKET, error.errno)
 
     def accept(self, listener: socket.socket) -> tuple[socket.socket | None, Remedy]:
-        """Accepts the next connection in the backlog; or returns None and why there is none."""
+        """Accepts the next connection in the backlog; or returns None and the remedy."""
         for _ in range(MAX_IMMEDIATE_RETRIES):
             try:
                 return listener.accept()[0], Remedy.DONE
@@ -59,7 +60,7 @@
         return None, Remedy.PAUSE
 
     def connect(self, sock: socket.socket, address: Address) -> Remedy:
-        """Begins to connect; WAIT while that is in progress."""
+        """Starts to connect; returns WAIT while that is in progress."""
         try:
             error = sock.connect_ex(address)
         except OSError as raised:
@@ -67,7 +68,7 @@
         return self._connect_error(error)
 
     def connected(self, sock: socket.socket) -> Remedy:
-        """Returns how a connect that was in progress ended."""
+        """Returns the result of a connect that was in progress."""
         try:
             return self._connect_error(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
         except OSError as error:
@@ -81,11 +82,11 @@
         return remedy
 
     def send(self, sock: socket.socket, data: memoryview, send_deadline: float = inf) -> tuple[int, Remedy]:
-        """Returns how many bytes the system accepted, and DONE or why it accepted none.
+        """Returns how many bytes the system accepted, and DONE or the remedy if it accepted none.
 
         Args:
             sock: The socket.
-            data: What is to be sent.
+            data: The bytes to send.
             send_deadline: After this (monotonic seconds) nothing is sent; checked just before the call.
         """
         for _ in range(MAX_IMMEDIATE_RETRIES):
@@ -101,7 +102,7 @@
         return 0, Remedy.PAUSE
 
     def receive(self, sock: socket.socket, buffer: memoryview) -> tuple[int, Remedy]:
-        """Returns how many bytes were read, and DONE or why none were; 0 and DONE: the peer has closed."""
+        """Returns how many bytes were read, and DONE or the remedy; 0 and DONE: the peer has closed."""
         for _ in range(MAX_IMMEDIATE_RETRIES):
             try:
                 return sock.recv_into(buffer), Remedy.DONE
@@ -112,7 +113,7 @@
         return 0, Remedy.PAUSE
 
     def peek(self, sock: socket.socket) -> tuple[bool, Remedy]:
-        """Returns whether unread bytes have arrived; False and DONE: the peer has closed."""
+        """Returns whether bytes have arrived and are unread; False and DONE: the peer has closed."""
         for _ in range(MAX_IMMEDIATE_RETRIES):
             try:
                 return bool(sock.recv(1, socket.MSG_PEEK)), Remedy.DONE
@@ -123,7 +124,7 @@
         return False, Remedy.PAUSE
 
     def enable_no_delay(self, sock: socket.socket) -> bool:
-        """Turns TCP_NODELAY on, so that the system does not delay small writes; False: try again later."""
+        """Turns TCP_NODELAY on, so that small writes are not delayed; returns False to try again later."""
         for _ in range(MAX_IMMEDIATE_RETRIES):
             try:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -136,7 +137,7 @@
         return False
 
     def seconds_since_data(self, sock: socket.socket, default: float) -> float:
-        """Returns the seconds since data last arrived, from tcp(7); `default` if the system has no answer."""
+        """Returns the seconds since data last arrived, from tcp(7); `default` if it is unknown."""
         try:
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_LAST_DATA_RECEIVED.stop)
         except OSError as error:
@@ -160,7 +161,7 @@
         return Remedy.PAUSE
 
     def close(self, sock: socket.socket) -> None:
-        """Releases a descriptor; Linux does so also when it reports an error, see the manual of close."""
+        """Releases a descriptor; Linux does so even if it reports an error, see the manual of close."""
         try:
             sock.close()
         except OSError as error:
@@ -186,7 +187,7 @@
         await anyio.sleep(MIN_PAUSE)
 
     def send_datagram(self, sock: socket.socket, data: bytes, address: Address) -> bool:
-        """Sends a datagram, which may be lost; False if the system did not accept it."""
+        """Sends a datagram, which may be lost; returns False if the system did not accept it."""
         try:
             sock.sendto(data, address)
         except OSError as error:
@@ -195,7 +196,7 @@
         return True
 
     def receive_datagram(self, sock: socket.socket, max_bytes: int) -> tuple[bytes, Address | None, Remedy]:
-        """Returns the next datagram, its sender, and DONE; or why there is none."""
+        """Returns the next datagram, its sender, and DONE; or no data and the remedy."""
         try:
             data, sender = sock.recvfrom(max_bytes)
             return data, Address(*sender), Remedy.DONE
@@ -227,7 +228,7 @@
 
 
 def open_datagram_socket(address: Address) -> socket.socket:
-    """Opens a UDP socket.
+    """Opens a bound UDP socket.
 
     Raises:
         OSError: The address is not available.
--- a/ironhinge/net/system_calls.py
+++ b/ironhinge/net/system_calls.py
@@ -1,8 +1,8 @@
-"""What to do about each error of a system call.
+"""The remedy for each error of a system call.
 
-This is the only module of the network code that knows errno values. `docs/system-calls.md` has the same table
-with the test of each row. Sources: the Linux man pages accept(2), connect(2), socket(2), send(2), recv(2),
-setsockopt(2), shutdown(2), epoll_ctl(2), ip(7), tcp(7).
+This is the only module of the network code that interprets errno values. `docs/system-calls.md` has the same
+table with the test of each row. Sources: the Linux man pages accept(2), connect(2), socket(2), send(2),
+recv(2), setsockopt(2), shutdown(2), epoll_ctl(2), ip(7), tcp(7).
 """
 
 from __future__ import annotations
@@ -16,7 +16,9 @@
 from .errors import RemedyTableError
 
 MIN_PAUSE = 0.001  # seconds before a call that failed for lack of a resource is first repeated
-MAX_PAUSE = 0.02  # seconds between later repeats: a client's cancellation has to be read within 0.1 s
+MAX_PAUSE = (
+    0.02  # seconds between later repeats, short since a client's cancellation has to be read within 0.1 s
+)
 
 
 class Call(Enum):
@@ -38,20 +40,22 @@
 
 
 class Remedy(Enum):
-    """What to do about an error."""
+    """What the caller does about an error."""
 
     RETRY = auto()  # repeat the call at once
     WAIT = auto()  # wait until the socket is ready
     PAUSE = auto()  # the system is short of a resource for a moment: repeat the call after a pause
     DESCRIPTORS = auto()  # no file descriptor is left: free one, and repeat the call after a pause
-    SKIP = auto()  # the object of the call no longer exists, or the call does not matter: go on without it
+    SKIP = (
+        auto()
+    )  # the object of the call no longer exists, or its result does not matter: continue without it
     BROKEN = auto()  # the connection is broken
     REFUSED = auto()  # nothing listens at the peer's address
     RESET = auto()  # the peer reset the connection while it was being established
     UNREACHABLE = auto()  # the peer can't be reached
     DONE = auto()  # the call has had its effect already
-    BUG = auto()  # the program made a call that it must not make
-    LATE = auto()  # the call was not made, as the time by which it had to be has passed
+    BUG = auto()  # a programming error: the call was invalid
+    LATE = auto()  # the call was not made, since its deadline had passed
 
 
 class Rule(NamedTuple):
@@ -77,7 +81,7 @@
     errno.EHOSTDOWN,
     errno.ECONNREFUSED,
 )
-# The network of this machine; a connection that is broken reports that at its next call.
+# This machine's network is down; if that has broken the connection, a later call reports so.
 _NETWORK_DOWN = (errno.ENETDOWN, errno.ENETUNREACH)
 
 _RULES: tuple[Rule, ...] = (
@@ -86,7 +90,7 @@
     Rule(Call.SOCKET, Remedy.RETRY, (errno.EINTR,)),
     Rule(Call.SOCKET, Remedy.BUG, (errno.EACCES, errno.EAFNOSUPPORT, errno.EINVAL, errno.EPROTONOSUPPORT)),
     Rule(Call.CONNECT, Remedy.DONE, (0, errno.EISCONN)),
-    # connect(2): an interrupted connect goes on by itself
+    # connect(2): an interrupted connect continues in the background
     Rule(Call.CONNECT, Remedy.WAIT, (errno.EINPROGRESS, errno.EALREADY, errno.EINTR)),
     Rule(Call.CONNECT, Remedy.REFUSED, (errno.ECONNREFUSED,)),
     Rule(Call.CONNECT, Remedy.RESET, (errno.ECONNRESET, errno.EPIPE, errno.ECONNABORTED)),
@@ -130,10 +134,10 @@
     Rule(Call.CLOSE, Remedy.SKIP, (errno.EINTR, errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.ECONNRESET)),
     Rule(Call.CLOSE, Remedy.SKIP, _NO_MEMORY),
     Rule(Call.CLOSE, Remedy.BUG, (errno.EBADF,)),
-    # a socket that can't be polled is tried again after a pause
+    # a socket that can't be polled is used again after a pause
     Rule(Call.POLL, Remedy.PAUSE, (errno.ENOSPC, *_NO_MEMORY)),
     Rule(Call.POLL, Remedy.BUG, (errno.EBADF, errno.EEXIST, errno.EINVAL, errno.ENOENT, errno.EPERM)),
-    # the protocol allows for lost datagrams
+    # the gossip protocol tolerates lost datagrams
     Rule(Call.SEND_DATAGRAM, Remedy.SKIP, (errno.EAGAIN, errno.EINTR, errno.EMSGSIZE)),
     Rule(Call.SEND_DATAGRAM, Remedy.SKIP, _NO_MEMORY + _NETWORK_DOWN + _FILTERED + _BROKEN),
     Rule(Call.SEND_DATAGRAM, Remedy.BUG, _BUGS),
@@ -173,16 +177,18 @@
 
 
 REMEDIES = make_remedy_table(_RULES)
-UNKNOWN_ERROR_REMEDY = Remedy.PAUSE  # an error that no man page lists may pass; it must not cost a request
+UNKNOWN_ERROR_REMEDY = (
+    Remedy.PAUSE
+)  # an error that no man page lists may be transient, and must not fail a request
 
 
 def remedy_for(call: Call, error: int) -> Remedy:
-    """Returns what to do when a call failed with this errno value; 0 stands for success."""
+    """Returns the remedy for a call that failed with this errno value; 0 means success."""
     return REMEDIES.get((call, error), UNKNOWN_ERROR_REMEDY)
 
 
 def spread(pause: float) -> float:
-    """Adds jitter: returns between half of `pause` and all of it, in the same unit.
+    """Adds jitter: returns a random value between half of `pause` and all of it, in the same unit.
 
     Tasks that wait for the same thing must not all wake at the same moment.
     """
@@ -190,7 +196,7 @@
 
 
 class Backoff:
-    """Pauses between repeats of a failing call: exponential up to a bound, with jitter.
+    """Pauses between repeats of a failing call: exponential up to a limit, with jitter.
 
     Attributes:
         pause: The next pause before jitter, in seconds.
