--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -22,24 +22,21 @@
 # Time without input after which a client that has sent no frame, or only part of one, counts as stalled.
 # Usual clients write at once, and the protocol allows 3 s until the director must have announced the close.
 STALLED_TIMEOUT = 1200 * MILLISECOND
-STALLED_TIMEOUT_WHEN_FULL = (
-    400 * MILLISECOND
-)  # for an incomplete frame, when no descriptor is left and no connection is idle
+# The same for an incomplete frame, when no descriptor is left and no connection is idle.
+STALLED_TIMEOUT_WHEN_FULL = 400 * MILLISECOND
 FRAME_TIMEOUT = 2400 * MILLISECOND  # for a whole frame, however slowly it arrives
 IDLE_TIMEOUT = 4500 * MILLISECOND  # clients close their idle connections after 4 s
 
 # How long a connection must have been quiet after GOAWAY before our side is shut down.
 NOTICE_PERIOD = 700 * MILLISECOND  # the network may delay data by 0.3 s in each direction
-NEVER_USED_NOTICE_PERIOD = 400 * MILLISECOND  # of the 3 s, part may have passed in the backlog
+NEVER_USED_NOTICE_PERIOD = 400 * MILLISECOND  # part of the 3 s may have passed in the backlog
 SHORT_OF_DESCRIPTORS_NOTICE_PERIOD = 250 * MILLISECOND
-FULL_NOTICE_PERIOD = (
-    60 * MILLISECOND
-)  # no descriptor is left; with a longer notice, bursts of new connections outpace the closing
+# No descriptor is left: with a longer notice, connections would arrive faster than they are closed.
+FULL_NOTICE_PERIOD = 60 * MILLISECOND
 UNUSED_SHUTDOWN_NOTICE_PERIOD = 100 * MILLISECOND  # during shutdown, for a client that never sent a frame
 
-LINGERING_TIMEOUT = (
-    500 * MILLISECOND
-)  # for the client to close its side; then the socket is closed, even with unread input
+# For the client to close its side; after that the socket is closed, even if output is unread.
+LINGERING_TIMEOUT = 500 * MILLISECOND
 LINGERING_TIMEOUT_WHEN_SHORT = 100 * MILLISECOND  # the same while descriptors are short
 
 
@@ -121,9 +118,7 @@
         self.connection: Connection
         self.phase = Phase.OPEN
         self.close_cause: CloseCause | None = None
-        self.close_not_before: int | None = (
-            None  # the next step of the close is not taken earlier; None: no time is set
-        )
+        self.close_not_before: int | None = None  # earliest time of the next step; None: not set
         self.quiet_period = 0  # how long the connection must have been quiet before our side is shut down
         self.usage = Usage.NONE
         now = owner.clock.now()
@@ -205,7 +200,7 @@
             cause: Why the connection is closed.
             notice_period: Our side is shut down once the connection has been quiet for this long (tenths of a
                 millisecond); a period that was set before stays. None: no time is set, and one that was set
-                is cleared; a later call sets it.
+                is cleared; a later call may set one again.
         """
         if self.phase is Phase.HALF_CLOSED:
             return
--- a/ironhinge/net/client_registry.py
+++ b/ironhinge/net/client_registry.py
@@ -16,7 +16,7 @@
 
 MIN_WAIT = 150 * MILLISECOND  # shortest wait after which a connection may be closed for a new one
 MIN_WAIT_WHEN_FULL = 100 * MILLISECOND  # the same when no descriptor is left
-MIN_WAIT_AFTER_REQUESTS = SECOND  # the same for one with requests, while descriptors are left
+MIN_WAIT_AFTER_REQUESTS = SECOND  # for one that has carried requests, while descriptors are left
 
 
 class ClientRegistry:
@@ -99,7 +99,8 @@
     ) -> ClientConnection | None:
         """Returns the idle connection of a usage that has waited longest, or None.
 
-        One with requests must have waited for `MIN_WAIT_AFTER_REQUESTS`; `now` None lifts that.
+        A connection that has carried requests must have waited for `MIN_WAIT_AFTER_REQUESTS`, unless no
+        descriptor is left (`now` is None).
         """
         for client in clients:
             if client.usage is not usage or not client.is_idle():
--- a/ironhinge/net/client_request.py
+++ b/ironhinge/net/client_request.py
@@ -1,4 +1,4 @@
-"""Parses the fields of a client's request; only this module knows their names on the wire.
+"""Parses the fields of a client's request, and maps their names on the wire to those of the code.
 
 The fields arrive as text. The router gets them parsed, as a `RequestReceived`; fields that are forwarded to
 upstreams unchanged become `PassedFields`.
--- a/ironhinge/net/descriptor_budget.py
+++ b/ironhinge/net/descriptor_budget.py
@@ -13,16 +13,13 @@
 # Share of the descriptors in use at which accepting pauses; the remainder is for upstreams. By the protocol
 # clients usually use at most a third of the descriptors.
 CLIENT_SHARE = 0.85
-RECLAIM_THRESHOLD = (
-    0.9  # share of the clients' descriptors at which idle connections start to be closed for new ones
-)
+# Share of the clients' descriptors in use at which idle connections start to be closed for new ones.
+RECLAIM_THRESHOLD = 0.9
 
-# Share of the descriptors whose connections don't count as in use while they only wait for their peers to
-# close.
+# Share of the descriptors that may belong to connections waiting for their peers to close and yet don't count
+# as in use.
 FINISHING_ALLOWANCE = 0.05
-MAX_CLOSING_SHARE = (
-    0.5  # share of the descriptors whose connections may be closing at a time when none is left
-)
+MAX_CLOSING_SHARE = 0.5  # share of the descriptors whose connections may be closing while none is left
 
 
 class DescriptorBudget:
@@ -58,7 +55,7 @@
         )
 
     def has_recovered(self) -> bool:
-        """Returns whether a shortage is over: far fewer sockets are open than at its start."""
+        """Returns whether so many descriptors are free that a shortage is over, not just interrupted."""
         return self.open_sockets < CLIENT_SHARE * self.descriptor_limit / 2
 
     def max_concurrent_closes(self) -> int:
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -59,7 +59,7 @@
 
 MAINTENANCE_INTERVAL = 50 * MILLISECOND  # of `run_maintenance`, which measures the loop lag in each run
 RUNS_PER_TIMEOUT_CHECK = 2
-RUNS_PER_SUMMARY = 1200
+RUNS_PER_SUMMARY = 1200  # one minute
 
 
 class Director:
@@ -77,9 +77,7 @@
         self.manager = manager
         self.clock = clock or Clock()
         self.requests: dict[str, OpenRequest] = {}
-        self.shutdown_deadline: int | None = (
-            None  # all open requests are answered by then; None: not shutting down
-        )
+        self.shutdown_deadline: int | None = None  # all is answered by then; None: not shutting down
         self.admission_deadline: int | None = None  # requests read after that are rejected at once
         self.diagnostics = Diagnostics(self.clock)
         self.monitor = LoopMonitor(self.clock)
@@ -206,7 +204,7 @@
         self.forget_if_done(request)
 
     def fail(self, request: OpenRequest) -> None:
-        """Fails a request whose client connection is closed; to the router its client has disconnected."""
+        """Fails a request whose client connection is being closed; to the router, its client disconnects."""
         if not request.is_closed:
             self.on_client_disconnected(request)
             request.client.send_answer(request, client_wire.ABORTED, {}, b"")
--- a/ironhinge/net/frame.py
+++ b/ironhinge/net/frame.py
@@ -21,7 +21,7 @@
         expires_at: The frame may be withdrawn after this (monotonic seconds); None: never.
         render: Makes the pieces when writing begins.
         all_pieces: The whole frame.
-        unbuffered_pieces: The pieces, or rests of them, that are not in the ring yet.
+        unbuffered_pieces: The pieces, or remainders of pieces, that are not in the ring yet.
         size: Bytes of the whole frame.
     """
 
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -28,15 +28,10 @@
 from .system_calls import Call, Remedy, remedy_for
 from .timed_selector import TimedSelector
 
-GC_THRESHOLDS = (
-    20_000,
-    20,
-    20,
-)  # normal work creates no cycles; collections take longer as the router's tables grow
+# Collections are rare: normal work creates no cycles, and they take longer as the router's tables grow.
+GC_THRESHOLDS = 20_000, 20, 20
 RESTART_PAUSE = 0.05  # seconds before a failed task is started again
-LISTEN_TIMEOUT = (
-    2.0  # seconds during which opening the listener is retried, for example while its address is in use
-)
+LISTEN_TIMEOUT = 2.0  # seconds during which a transient error, such as an address in use, is retried
 LISTEN_RETRY_PAUSE = 0.02  # seconds
 TRANSIENT_REMEDIES = Remedy.PAUSE, Remedy.DESCRIPTORS, Remedy.RETRY
 HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1
--- a/ironhinge/net/shutdown.py
+++ b/ironhinge/net/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: every accepted request is answered, and no connection is reset.
+"""Graceful shutdown: every accepted request is answered, and nothing that still arrives is lost.
 
 SIGKILL may follow SIGTERM after the longest client timeout (at most `CLIENT_TIMEOUT_LIMIT`) plus
 `KILL_GRACE`. Clients may send on open connections until then.
@@ -26,11 +26,11 @@
 
 
 async def drain(director: Director, listener: socket.socket) -> None:
-    """Serves until the answer deadline, closes the listener, and waits until all clients have disconnected.
+    """Accepts connections a little longer, closes the listener, and waits for the clients to disconnect.
 
     Clients may send requests until they close their connections, so these stay open; requests that arrive
-    after the listener is closed are rejected at once. Returns when no client is connected, or `EXIT_DELAY`
-    and `FINAL_CLOSE_TIMEOUT` after the time at which SIGKILL was expected.
+    after the listener is closed are rejected at once. Returns when no client is connected, at the latest
+    `EXIT_DELAY` and `FINAL_CLOSE_TIMEOUT` after the time at which SIGKILL was expected.
     """
     clock = director.clock
     logger.info("shutdown_started {}", director.summary())
--- a/ironhinge/net/system_calls.py
+++ b/ironhinge/net/system_calls.py
@@ -16,9 +16,7 @@
 from .errors import RemedyTableError
 
 MIN_PAUSE = 0.001  # seconds before a call that failed for lack of a resource is first repeated
-MAX_PAUSE = (
-    0.02  # seconds between later repeats, short since a client's cancellation has to be read within 0.1 s
-)
+MAX_PAUSE = 0.02  # seconds between later repeats; a client's cancellation has to be read within 0.1 s
 
 
 class Call(Enum):
@@ -46,9 +44,7 @@
     WAIT = auto()  # wait until the socket is ready
     PAUSE = auto()  # the system is short of a resource for a moment: repeat the call after a pause
     DESCRIPTORS = auto()  # no file descriptor is left: free one, and repeat the call after a pause
-    SKIP = (
-        auto()
-    )  # the object of the call no longer exists, or its result does not matter: continue without it
+    SKIP = auto()  # the object of the call no longer exists, or its result does not matter: ignore the error
     BROKEN = auto()  # the connection is broken
     REFUSED = auto()  # nothing listens at the peer's address
     RESET = auto()  # the peer reset the connection while it was being established
@@ -177,9 +173,7 @@
 
 
 REMEDIES = make_remedy_table(_RULES)
-UNKNOWN_ERROR_REMEDY = (
-    Remedy.PAUSE
-)  # an error that no man page lists may be transient, and must not fail a request
+UNKNOWN_ERROR_REMEDY = Remedy.PAUSE  # an unlisted error may be transient, and must not fail a request
 
 
 def remedy_for(call: Call, error: int) -> Remedy:
