--- a/ironhinge/net/client_wire.py
+++ b/ironhinge/net/client_wire.py
@@ -48,7 +48,7 @@
 
 
 class RequestFrame(NamedTuple):
-    """A request."""
+    """A request, with its decoded fields and its body."""
 
     stream: int
     fields: dict[str, str]
@@ -146,7 +146,7 @@
 
 
 def error(text: str) -> tuple[bytes, ...]:
-    """Encodes an error that belongs to no request."""
+    """Encodes an error that concerns the connection, not one request: a response on stream 0."""
     return answer(0, ABORTED, {}, text.encode())
 
 
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -77,7 +77,7 @@
         self.manager = manager
         self.clock = clock or Clock()
         self.requests: dict[str, OpenRequest] = {}
-        self.shutdown_deadline: int | None = None  # all is answered by then; None: not shutting down
+        self.shutdown_deadline: int | None = None  # for all answers; None: not shutting down
         self.admission_deadline: int | None = None  # requests read after that are rejected at once
         self.diagnostics = Diagnostics(self.clock)
         self.monitor = LoopMonitor(self.clock)
--- a/ironhinge/net/errors.py
+++ b/ironhinge/net/errors.py
@@ -8,7 +8,7 @@
 
 
 class RingBufferError(NetworkError, ValueError):
-    """A byte count exceeds what a ring buffer holds or has room for."""
+    """A byte count exceeds the content or the free space of a ring buffer."""
 
 
 class FieldError(NetworkError, ValueError):
@@ -16,7 +16,7 @@
 
 
 class UnparsableError(NetworkError):
-    """A peer's bytes do not follow its protocol; nothing after them can be read."""
+    """A peer's bytes do not follow its protocol; nothing after them can be decoded."""
 
 
 class ListenerError(NetworkError, RuntimeError):
@@ -24,4 +24,4 @@
 
 
 class RemedyTableError(NetworkError, ValueError):
-    """The table of system-call errors gives two remedies for the same call and error."""
+    """The remedy table has two remedies for the same system call and error."""
