--- a/ironhinge/traffic/buckets.py
+++ b/ironhinge/traffic/buckets.py
@@ -10,13 +10,13 @@
 from .types import CLOCK_UNITS_PER_SECOND
 
 NEVER = 1 << 40  # a wait that no client waits for
-SURPLUS_FROM = 0.5  # of its capacity: what a bucket holds above that it can do without
+RETAINED_SHARE = 0.5  # of its capacity: what a bucket holds above that it can do without
 
 
 class TokenBucket:
     """A rate with a burst."""
 
-    leaves_reservations = True  # its fills leave what is reserved for streams
+    respects_reservations = True  # its fills leave what is reserved for streams
 
     def __init__(self, rate: float, burst: float, now: int, starts_full: bool):
         """Makes a bucket of `burst` bytes that refills at `rate` bytes a second."""
@@ -53,7 +53,7 @@
     def surplus(self, now: int) -> float:
         """The bytes that could be granted to a peer."""
         self.refill(now)
-        return max(0.0, self.level - SURPLUS_FROM * self.capacity)
+        return max(0.0, self.level - RETAINED_SHARE * self.capacity)
 
     def state(self) -> list[float]:
         """What a snapshot holds of it."""
@@ -72,27 +72,27 @@
 class PeriodQuota(TokenBucket):
     """A sum of bytes for a period, paced: what remains goes evenly over what remains of the period."""
 
-    leaves_reservations = False
+    respects_reservations = False
 
     def __init__(
-        self, limit: float, ahead_share: float, remaining: float, period: BillingPeriod, starts_full: bool
+        self, limit: float, burst_share: float, remaining: float, period: BillingPeriod, starts_full: bool
     ):
         """Makes the quota of a period that has begun already.
 
         Args:
             limit: Bytes in a whole period.
-            ahead_share: Share of the limit that may be saved up for a burst.
+            burst_share: Share of the limit that may be saved up for a burst.
             remaining: Bytes that may be spent in what remains of the period.
             period: The period as it stands.
             starts_full: Whether the burst can be had at once.
         """
-        super().__init__(0.0, limit * ahead_share, period.now, starts_full)
+        super().__init__(0.0, limit * burst_share, period.now, starts_full)
         self.limit, self.remaining, self.period_end = limit, remaining, period.end
         self._update_rate(period.now)
 
     def _update_rate(self, now: int) -> None:
-        not_in_bucket = self.remaining - max(0.0, self.level)
-        self.rate = max(0.0, not_in_bucket) / max(1, self.period_end - now)
+        undistributed = self.remaining - max(0.0, self.level)
+        self.rate = max(0.0, undistributed) / max(1, self.period_end - now)
 
     def refill(self, now: int) -> None:
         """Adds what the pace has given since the last time, up to what remains of the limit."""
--- a/ironhinge/traffic/budget.py
+++ b/ironhinge/traffic/budget.py
@@ -56,8 +56,8 @@
         """Takes up the buckets of a snapshot, unless the settings have changed which there are."""
         if len(self.buckets) != len(state):
             return
-        for bucket, figures in zip(self.buckets, state, strict=True):
-            bucket.restore(figures, now, unaccounted_seconds)
+        for bucket, bucket_state in zip(self.buckets, state, strict=True):
+            bucket.restore(bucket_state, now, unaccounted_seconds)
 
 
 class BudgetCheck(NamedTuple):
@@ -88,8 +88,8 @@
         self.reservations: StreamReservations | None = None
         if config.streams is not None and config.rate is not None:
             self.reservations = StreamReservations(config.streams, rate, burst)
-        self._passed = BudgetCheck(0, self.regular)
-        self._passed_by_emergency = BudgetCheck(0, self.emergency)
+        self._allowed_by_regular = BudgetCheck(0, self.regular)
+        self._allowed_by_emergency = BudgetCheck(0, self.emergency)
         self.refusals = 0
         self.unmet_demand = 0.0  # bytes refused lately, for peers that have a surplus
 
@@ -134,13 +134,13 @@
             reserved = self.reservations.reserved_bytes()
         wait_time = 0
         for bucket in self.regular.buckets:
-            bucket_wait = bucket.wait_time(now, size, reserved if bucket.leaves_reservations else 0.0)
+            bucket_wait = bucket.wait_time(now, size, reserved if bucket.respects_reservations else 0.0)
             if bucket_wait > wait_time:
                 wait_time = bucket_wait
         if not wait_time:
-            return self._passed
+            return self._allowed_by_regular
         if diverted and self._emergency_allows(now, size):
-            return self._passed_by_emergency
+            return self._allowed_by_emergency
         return BudgetCheck(wait_time, self.regular)
 
     def _emergency_allows(self, now: int, size: float) -> bool:
--- a/ironhinge/traffic/calendar.py
+++ b/ironhinge/traffic/calendar.py
@@ -12,8 +12,8 @@
 
 from .types import CLOCK_UNITS_PER_MS
 
-MAX_PLAIN_STEP_MS = 60_000  # a larger step ahead has to be confirmed
-CONFIRMING_READINGS = 3
+MAX_UNCONFIRMED_STEP_MS = 60_000  # a larger step ahead has to be confirmed
+CONFIRMATION_READINGS = 3
 
 
 class BillingPeriod(NamedTuple):
@@ -44,11 +44,11 @@
     def read_clock(self, now: int, unix_ms: int) -> int:
         """Takes in a reading of the system's clock; returns billing time as a Unix millisecond."""
         ahead_ms = unix_ms - self.advance(now)
-        if abs(ahead_ms) > MAX_PLAIN_STEP_MS and not self.readings_ahead:
+        if abs(ahead_ms) > MAX_UNCONFIRMED_STEP_MS and not self.readings_ahead:
             self.clock_steps += 1
-        if ahead_ms > MAX_PLAIN_STEP_MS:
+        if ahead_ms > MAX_UNCONFIRMED_STEP_MS:
             self.readings_ahead += 1
-            if self.readings_ahead >= CONFIRMING_READINGS:
+            if self.readings_ahead >= CONFIRMATION_READINGS:
                 self.unix_ms, self.readings_ahead = unix_ms, 0
         else:
             self.readings_ahead = 0
--- a/ironhinge/traffic/cli.py
+++ b/ironhinge/traffic/cli.py
@@ -10,7 +10,7 @@
 
 import click
 
-from .labels import CUTS
+from .labels import DIMENSIONS
 
 if TYPE_CHECKING:
     from ..settings import records
@@ -19,9 +19,9 @@
 # what reads and reports is imported by the commands that need it: all others start faster
 
 WINDOWS = ("second", "minute", "hour", "period")
-DEFAULT_CUTS = ("way", "use", "vhost", "pair", "forced")
-WATCH_JSON_CUTS = ("way", "forced")
-WATCH_TABLE_CUTS = ("way", "forced", "vhost")
+DEFAULT_DIMENSIONS = ("way", "use", "vhost", "pair", "forced")
+WATCH_JSON_DIMENSIONS = ("way", "forced")
+WATCH_TABLE_DIMENSIONS = ("way", "forced", "vhost")
 EXIT_FAILURE = 1
 
 folders_argument = click.argument(
@@ -52,10 +52,10 @@
 
     snapshots = []
     for folder in folders:
-        found, faults = read_folder(folder)
+        found, unreadable = read_folder(folder)
         snapshots += found
-        for fault in faults:
-            click.echo(f"ironhinge: passed over: {fault}", err=True)
+        for reason in unreadable:
+            click.echo(f"ironhinge: passed over: {reason}", err=True)
     if not snapshots:
         click.echo("ironhinge: no account in these folders", err=True)
         sys.exit(EXIT_FAILURE)
@@ -71,13 +71,13 @@
     return settings.prices if settings is not None else ()
 
 
-def _draw(folders: tuple[Path, ...], window: str, cut: str, path: Path) -> None:
+def _draw(folders: tuple[Path, ...], window: str, dimension: str, path: Path) -> None:
     try:
         from .plot import draw_chart
     except ImportError:
         click.echo("ironhinge: plots need matplotlib: see README", err=True)
         sys.exit(EXIT_FAILURE)
-    draw_chart(_load_report(folders, window, all_intervals=True), cut, path)
+    draw_chart(_load_report(folders, window, all_intervals=True), dimension, path)
     click.echo(f"drawn: {path}", err=True)
 
 
@@ -92,7 +92,9 @@
     help="The Unix millisecond at which the stretch begins; default: the newest.",
 )
 @click.option("--all", "all_intervals", is_flag=True, help="All stretches that are kept, not just one.")
-@click.option("--by", "cuts", multiple=True, type=click.Choice(CUTS), help="Cuts to show; may be repeated.")
+@click.option(
+    "--by", "dimensions", multiple=True, type=click.Choice(DIMENSIONS), help="Cuts to show; may be repeated."
+)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 @click.option("--csv", "as_csv", is_flag=True, help="Every line, uncut.")
 @click.option(
@@ -104,7 +106,7 @@
     operations: tuple[str, ...],
     start_ms: int | None,
     all_intervals: bool,
-    cuts: tuple[str, ...],
+    dimensions: tuple[str, ...],
     as_json: bool,
     as_csv: bool,
     plot: Path | None,
@@ -113,16 +115,16 @@
     from .report_formats import to_csv, to_json, to_table
 
     found = _load_report(folders, window, start_ms, all_intervals)
-    cuts = cuts or DEFAULT_CUTS
+    dimensions = dimensions or DEFAULT_DIMENSIONS
     prices = _load_prices(operations)
     if plot is not None:
-        _draw(folders, window, cuts[0], plot)
+        _draw(folders, window, dimensions[0], plot)
     if as_csv:
         click.echo(to_csv(found), nl=False)
     elif as_json:
-        click.echo(json.dumps(to_json(found, cuts, prices)))
+        click.echo(json.dumps(to_json(found, dimensions, prices)))
     else:
-        click.echo(to_table(found, cuts, prices))
+        click.echo(to_table(found, dimensions, prices))
 
 
 @traffic.command()
@@ -140,10 +142,10 @@
         while not times or shown < times:
             found = _load_report(folders, window)
             if as_json:
-                click.echo(json.dumps(to_json(found, WATCH_JSON_CUTS)))
+                click.echo(json.dumps(to_json(found, WATCH_JSON_DIMENSIONS)))
             else:
                 click.clear()
-                click.echo(to_table(found, WATCH_TABLE_CUTS))
+                click.echo(to_table(found, WATCH_TABLE_DIMENSIONS))
             shown += 1
             if not times or shown < times:
                 time.sleep(every)
--- a/ironhinge/traffic/endpoints.py
+++ b/ironhinge/traffic/endpoints.py
@@ -13,7 +13,7 @@
 from .types import Route
 
 MAX_PREFERRED_HUBS = 4096  # objects whose preferred hub is kept at hand
-MIN_DEPARTED_HUBS = 8  # departed parents that are remembered at least
+MIN_REMOVED_HUBS = 8  # departed parents that are remembered at least
 
 
 class SourceEndpoint(NamedTuple):
@@ -28,13 +28,13 @@
 class EndpointDirectory:
     """The endpoint list, with the parents that left it lately."""
 
-    def __init__(self, deployment: interface.Deployment, departed_retention: int):
+    def __init__(self, deployment: interface.Deployment, removed_hub_retention: int):
         """Makes an empty directory; parents that depart count for `departed_retention` longer."""
         self._deployment = deployment
-        self._departed_retention = departed_retention
+        self._removed_hub_retention = removed_hub_retention
         self.endpoints: dict[str, SourceEndpoint] = {}
         self.hubs: dict[str, SourceEndpoint] = {}  # listed parents, and departed ones
-        self.departed_at: dict[str, int] = {}  # of departed parents, the longest ago first
+        self.removed_at: dict[str, int] = {}  # of departed parents, the longest ago first
         # while the hubs are the same: what orders them, and the first of that order by object
         self._hub_hasher: RendezvousHasher | None = None
         self._preferred_hubs: dict[int, str] = {}
@@ -68,17 +68,17 @@
         self.endpoints[endpoint.id] = source
         if is_parent:
             self.hubs[endpoint.id] = source
-            self.departed_at.pop(endpoint.id, None)
+            self.removed_at.pop(endpoint.id, None)
 
     def _remove(self, now: int, endpoint_id: str) -> None:
         self.endpoints.pop(endpoint_id, None)
-        if endpoint_id not in self.hubs or endpoint_id in self.departed_at:
+        if endpoint_id not in self.hubs or endpoint_id in self.removed_at:
             return
-        self.departed_at[endpoint_id] = now
+        self.removed_at[endpoint_id] = now
         # bounds the memory where parents are replaced all the time
-        while len(self.departed_at) > max(MIN_DEPARTED_HUBS, 2 * len(self.endpoints)):
-            oldest = next(iter(self.departed_at))
-            del self.departed_at[oldest], self.hubs[oldest]
+        while len(self.removed_at) > max(MIN_REMOVED_HUBS, 2 * len(self.endpoints)):
+            oldest = next(iter(self.removed_at))
+            del self.removed_at[oldest], self.hubs[oldest]
 
     def _route(self, endpoint: interface.Endpoint) -> Route:
         deployment = self._deployment
@@ -90,12 +90,12 @@
         own_hub = hubs[zone] if zone < len(hubs) else zone
         return Route.OWN_HUB if endpoint.zone == own_hub else Route.OTHER_HUB
 
-    def forget_departed(self, now: int) -> None:
+    def expire_removed_hubs(self, now: int) -> None:
         """Drops the parents that departed too long ago to count."""
-        retention = self._departed_retention
-        expired = [hub_id for hub_id, since in self.departed_at.items() if now > since + retention]
+        retention = self._removed_hub_retention
+        expired = [hub_id for hub_id, since in self.removed_at.items() if now > since + retention]
         for hub_id in expired:
-            del self.departed_at[hub_id], self.hubs[hub_id]
+            del self.removed_at[hub_id], self.hubs[hub_id]
             self._on_hubs_changed()
 
     def _on_hubs_changed(self) -> None:
@@ -120,6 +120,6 @@
     def _first_by_hash(self, object_id: int) -> str:
         if self._hub_hasher is None:
             self._hub_hasher = RendezvousHasher([hub.hash_key for hub in self.hubs.values()])
-        parent_hash_key = score(object_id, 0)
-        scores = self._hub_hasher.scores(parent_hash_key)
+        object_hash_key = score(object_id, 0)
+        scores = self._hub_hasher.scores(object_hash_key)
         return list(self.hubs)[scores.index(max(scores))]
--- a/ironhinge/traffic/labels.py
+++ b/ironhinge/traffic/labels.py
@@ -26,7 +26,7 @@
 DIVERTED_LABEL, PREFERRED_LABEL = "forced", "chosen"
 OTHER_LABEL = "the rest"
 
-CUT_FIELDS = {  # the cuts of a report, and the field of `report.ReportLine` that each of them goes by
+DIMENSION_FIELDS = {  # the cuts of a report, and the field of `report.ReportLine` that each of them goes by
     "way": "route",
     "use": "outcome",
     "vhost": "request_class",
@@ -35,7 +35,7 @@
     "forced": "diversion",
     "pair": "zone_pair",
 }
-CUTS = tuple(CUT_FIELDS)
+DIMENSIONS = tuple(DIMENSION_FIELDS)
 
 
 def label_at(labels: Sequence[str], index: int) -> str:
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -35,7 +35,7 @@
     LogNotice,
 )
 
-DEPARTED_HUB_RETENTION = 6_000_000  # ten minutes, where no budget's settings say how long
+REMOVED_HUB_RETENTION = 6_000_000  # ten minutes, where no budget's settings say how long
 
 _DONE = interface.AttemptResult.DONE
 
@@ -76,10 +76,10 @@
     return max(1, config.period // CLOCK_UNITS_PER_MS)
 
 
-def _departed_retention(config: records.Traffic) -> int:
+def _removed_hub_retention(config: records.Traffic) -> int:
     emergencies = (budget.emergency for budget in config.budgets.values())
     retentions = [emergency.remember for emergency in emergencies if emergency]
-    return max(retentions, default=DEPARTED_HUB_RETENTION)
+    return max(retentions, default=REMOVED_HUB_RETENTION)
 
 
 def _stream_tracker(config: records.Traffic) -> StreamTracker | None:
@@ -113,7 +113,7 @@
         self.config, self.deployment, self.identity = config, deployment, identity
         self.calendar = BillingCalendar(_period_ms(config), clock.now, clock.unix_ms)
         self.account = Account(_period_ms(config))
-        self.directory = EndpointDirectory(deployment, _departed_retention(config))
+        self.directory = EndpointDirectory(deployment, _removed_hub_retention(config))
         period = self.calendar.current_period()
         self.budget_set = BudgetSet(config.budgets, deployment, identity, period)
         self.budgets = self.budget_set.budgets
@@ -128,7 +128,7 @@
 
             self.distributions = FillDistributions(identity.request_classes)
         self.attempts: dict[str, AttemptInFlight] = {}  # by request
-        self.served_requests: dict[str, None] = {}  # open ones for which bytes have been transferred
+        self.requests_with_transfers: dict[str, None] = {}  # open ones for which bytes have been transferred
         self.period_start = self.calendar.period_start()
         self.unknown_ms = 0  # of this period: time in which the director did not run
         self._last_check: PassedCheck | None = None
@@ -159,7 +159,7 @@
             commands.append(LogNotice(BILLING_PERIOD_STARTED, {"unix_ms": start}))
         if self.streams is not None:
             self.streams.expire(now)
-        self.directory.forget_departed(now)
+        self.directory.expire_removed_hubs(now)
         if self.exchange is not None:
             commands += self.exchange.tick(now)
         return commands
@@ -167,7 +167,7 @@
     def _on_endpoints_updated(self, now: int, event: interface.EndpointsUpdated) -> None:
         self._last_check = None
         for endpoint_id in self.directory.update(now, event):
-            self.estimator.forget_source(endpoint_id)
+            self.estimator.remove_source(endpoint_id)
 
     def wait_time(self, now: int, request: interface.RequestReceived, source_id: str) -> int:
         """How long a fill would have to wait for its budgets.
@@ -251,7 +251,7 @@
             stores_copy=bool(event.admission_rank) and not endpoint.is_upstream,
             revalidates=event.revalidates,
             diverted=diverted,
-            is_repeat=request.request_id in self.served_requests,
+            is_repeat=request.request_id in self.requests_with_transfers,
         )
         self.attempts[request.request_id] = attempt
         self._charge(now, attempt, source, check)
@@ -282,7 +282,7 @@
         attempt = self.attempts.pop(event.request_id, None)
         if attempt is None:
             if event.request_closed:
-                self.served_requests.pop(event.request_id, None)
+                self.requests_with_transfers.pop(event.request_id, None)
             return
         # what it transferred is judged by what was known before its own answer
         transferred, guessed = self.estimator.transferred(attempt, event)
@@ -293,26 +293,28 @@
             amount = TransferAmount(1, transferred, guessed, origin_bytes)
             self.account.add(self.calendar.advance(now), attempt.kind(event), amount)
         attempt.settle(transferred)
-        self._track_served(event, transferred)
+        self._track_transfers(event, transferred)
 
     def _record_answer(self, now: int, attempt: AttemptInFlight, size: int, event: AttemptEnded) -> None:
         self.estimator.record_answer(now, attempt, size, event)
         if self.distributions is not None and is_fill(event):
             self.distributions.add(attempt.request.class_index, size, event.duration)
 
-    def _track_served(self, event: AttemptEnded, transferred: int) -> None:
+    def _track_transfers(self, event: AttemptEnded, transferred: int) -> None:
         """Remembers open requests for which bytes were transferred: more of them are repeats."""
         if event.request_closed or event.result == _DONE:
-            self.served_requests.pop(event.request_id, None)
+            self.requests_with_transfers.pop(event.request_id, None)
         elif transferred:
-            self.served_requests[event.request_id] = None
-            if len(self.served_requests) > self.config.max_streams:  # bounds the memory if ends get lost
-                del self.served_requests[next(iter(self.served_requests))]
+            self.requests_with_transfers[event.request_id] = None
+            if (
+                len(self.requests_with_transfers) > self.config.max_streams
+            ):  # bounds the memory if ends get lost
+                del self.requests_with_transfers[next(iter(self.requests_with_transfers))]
 
     def adopt(self, previous: TrafficLedger) -> None:
         """Goes on with what a ledger under earlier settings has in flight."""
         self.attempts = previous.attempts  # each is settled where it was charged
-        self.served_requests = previous.served_requests
+        self.requests_with_transfers = previous.requests_with_transfers
         self.estimator.classes = previous.estimator.classes
         if previous.streams is not None and self.streams is not None:
             replacements = {
--- a/ironhinge/traffic/plot.py
+++ b/ironhinge/traffic/plot.py
@@ -18,7 +18,7 @@
 MS_PER_SECOND = 1000
 
 
-def draw_chart(report: Report, cut: str, path: Path) -> None:
+def draw_chart(report: Report, dimension: str, path: Path) -> None:
     """Draws transferred bytes over time, stacked by one cut, into a PNG.
 
     Raises:
@@ -26,7 +26,7 @@
     """
     from matplotlib import pyplot
 
-    starts, rows = report.series(cut)
+    starts, rows = report.series(dimension)
     times: Any = [datetime.fromtimestamp(start / MS_PER_SECOND, UTC) for start in starts]
     figure, axes = pyplot.subplots(figsize=SIZE_INCHES)
     if starts:
@@ -34,7 +34,7 @@
         axes.stackplot(times, *megabytes, labels=list(rows))
         axes.legend(loc="upper left", fontsize="small")
     axes.set_ylabel(f"MB a {report.window}")
-    axes.set_title(f"What crossed, by {cut}")
+    axes.set_title(f"What crossed, by {dimension}")
     figure.autofmt_xdate()
     figure.tight_layout()
     figure.savefig(path, dpi=DOTS_PER_INCH)
--- a/ironhinge/traffic/quota_exchange.py
+++ b/ironhinge/traffic/quota_exchange.py
@@ -57,7 +57,7 @@
         self.peers: dict[int, QuotaPeer] = {}
         self._sequence = 0
         self._sent_at = LONG_AGO
-        self._first_grant = 0  # where the next message begins among the grants
+        self._grant_offset = 0  # where the next message begins among the grants
 
     def receive(self, now: int, sender: int, data: bytes) -> None:
         """Takes in a datagram, whatever it holds."""
@@ -78,11 +78,11 @@
             budget = self._budgets.get(key)
             if budget is None or recipient != self._peer_index or incarnation != self._incarnation:
                 continue
-            new = total - peer.received.get(key, 0)
-            if new > 0:
+            newly_granted = total - peer.received.get(key, 0)
+            if newly_granted > 0:
                 peer.received[key] = total
                 for bucket in budget.regular.buckets:
-                    bucket.deposit(new)
+                    bucket.deposit(newly_granted)
 
     def tick(self, now: int) -> list[LedgerCommand]:
         """Grants what is in surplus and sends a message, when it is time to."""
@@ -142,5 +142,5 @@
     def _rotated(self, entries: Sequence[bytes], max_entries: int) -> list[bytes]:
         if len(entries) <= max_entries:
             return list(entries)
-        self._first_grant = (self._first_grant + max_entries) % len(entries)
-        return [entries[(self._first_grant + offset) % len(entries)] for offset in range(max_entries)]
+        self._grant_offset = (self._grant_offset + max_entries) % len(entries)
+        return [entries[(self._grant_offset + offset) % len(entries)] for offset in range(max_entries)]
--- a/ironhinge/traffic/report.py
+++ b/ironhinge/traffic/report.py
@@ -12,7 +12,7 @@
 from ..settings import records
 from .account import PERIOD_WINDOW, StoredTransfer
 from .labels import (
-    CUT_FIELDS,
+    DIMENSION_FIELDS,
     DIVERTED_LABEL,
     OUTCOME_LABELS,
     ROUTE_LABELS,
@@ -46,9 +46,9 @@
         """Both zones together."""
         return f"{self.source} to {self.destination}"
 
-    def cut(self, name: str) -> str:
+    def dimension(self, name: str) -> str:
         """Its value in one of `labels.CUTS`."""
-        return str(getattr(self, CUT_FIELDS[name]))
+        return str(getattr(self, DIMENSION_FIELDS[name]))
 
 
 @dataclass(slots=True)
@@ -104,11 +104,11 @@
         diverted = self.by("forced").get(DIVERTED_LABEL, 0)
         return round(diverted / total, SHARE_DIGITS) if total else 0.0
 
-    def by(self, *cuts: str) -> dict[str, int]:
+    def by(self, *dimensions: str) -> dict[str, int]:
         """Transferred bytes by one of `labels.CUTS`, or several together, the most first."""
         sums: dict[str, int] = {}
         for line in self.lines:
-            key = " | ".join(line.cut(cut) for cut in cuts)
+            key = " | ".join(line.dimension(dimension) for dimension in dimensions)
             sums[key] = sums.get(key, 0) + line.transferred
         return dict(sorted(sums.items(), key=lambda item: -item[1]))
 
@@ -116,7 +116,7 @@
         """The cost by route: each line at the last price that fits it; without one it costs nothing."""
         costs: dict[str, float] = {}
         for line in self.lines:
-            price = next((each for each in reversed(prices) if _fits(each, line)), None)
+            price = next((each for each in reversed(prices) if _price_applies(each, line)), None)
             if price is not None:
                 cost = line.transferred / BYTES_PER_GB * price.per_gb
                 costs[line.route] = costs.get(line.route, 0.0) + cost
@@ -142,7 +142,7 @@
             if snapshot.state.distributions
         }
 
-    def series(self, cut: str) -> tuple[list[int], dict[str, list[int]]]:
+    def series(self, dimension: str) -> tuple[list[int], dict[str, list[int]]]:
         """Transferred bytes over time by one cut.
 
         Returns:
@@ -151,12 +151,12 @@
         starts = sorted({line.start_ms for line in self.lines})
         series: dict[str, list[int]] = {}
         for line in self.lines:
-            values = series.setdefault(line.cut(cut), [0] * len(starts))
+            values = series.setdefault(line.dimension(dimension), [0] * len(starts))
             values[starts.index(line.start_ms)] += line.transferred
         return starts, series
 
 
-def _fits(price: records.Price, line: ReportLine) -> bool:
+def _price_applies(price: records.Price, line: ReportLine) -> bool:
     return (
         line.route in price.routes
         and price.destination_zone in (None, line.destination)
--- a/ironhinge/traffic/report_formats.py
+++ b/ironhinge/traffic/report_formats.py
@@ -32,7 +32,9 @@
 MEDIAN, HIGH_PERCENTILE = "50.0", "99.0"
 
 
-def to_json(report: Report, cuts: Sequence[str], prices: Sequence[records.Price] = ()) -> dict[str, Any]:
+def to_json(
+    report: Report, dimensions: Sequence[str], prices: Sequence[records.Price] = ()
+) -> dict[str, Any]:
     """The object that `--json` prints."""
     return {
         "window": report.window,
@@ -44,7 +46,7 @@
         "fills": report.fills(),
         "forced_share": report.diverted_share(),
         "unknown_ms": report.unknown_ms(),
-        "cuts": {cut: report.by(cut) for cut in cuts},
+        "cuts": {dimension: report.by(dimension) for dimension in dimensions},
         "budgets": {name: _budget_json(summary) for name, summary in report.budgets().items()},
         "money": report.cost(prices),
         "distributions": msgspec.to_builtins(report.distributions()),
@@ -81,7 +83,7 @@
     return f"{size:.0f} B" if unit == SIZE_UNITS[0] else f"{size:.1f} {unit}"
 
 
-def to_table(report: Report, cuts: Sequence[str], prices: Sequence[records.Price] = ()) -> str:
+def to_table(report: Report, dimensions: Sequence[str], prices: Sequence[records.Price] = ()) -> str:
     """The report for people."""
     lines = [
         f"{report.window} from {report.start_ms}, {len(report.snapshots)} directors: "
@@ -91,9 +93,11 @@
     if report.unknown_ms():
         seconds = report.unknown_ms() / MS_PER_SECOND
         lines.append(f"not in it: {seconds:.1f} s of directors that ended without a last snapshot")
-    for cut in cuts:
+    for dimension in dimensions:
         lines.append("")
-        lines += [f"{cut:12} {name:32} {format_size(size):>12}" for name, size in report.by(cut).items()]
+        lines += [
+            f"{dimension:12} {name:32} {format_size(size):>12}" for name, size in report.by(dimension).items()
+        ]
     for name, summary in report.budgets().items():
         lines += ["", _budget_line(name, summary)]
     cost = report.cost(prices)
--- a/ironhinge/traffic/service.py
+++ b/ironhinge/traffic/service.py
@@ -217,17 +217,17 @@
 
     async def run(self) -> None:
         """Ticks, and writes a snapshot now and then, for as long as the program runs."""
-        waited_seconds = 0.0
+        seconds_since_write = 0.0
         while True:
             tick = EXCHANGE_TICK_SECONDS if self._config.share is not None else TICK_SECONDS
             await anyio.sleep(tick)
-            waited_seconds += tick
+            seconds_since_write += tick
             self._execute(self.ledger.handle(self._clocks.monotonic(), ClockTick(self._clocks.unix_ms())))
             if self.metrics is not None:
                 self.metrics.publish(self.ledger)
             keep = self._config.keep
-            if keep is not None and waited_seconds >= keep.every / CLOCK_UNITS_PER_SECOND:
-                waited_seconds = 0.0
+            if keep is not None and seconds_since_write >= keep.every / CLOCK_UNITS_PER_SECOND:
+                seconds_since_write = 0.0
                 self._request_write()
 
     def _request_write(self) -> None:
--- a/ironhinge/traffic/size_estimator.py
+++ b/ironhinge/traffic/size_estimator.py
@@ -18,15 +18,15 @@
 from .types import AttemptEnded
 
 SMOOTHING = 0.05  # weight of the newest answer in means
-REFUSAL_SHARE = 0.15  # of a fill's usual time: one that ends before it has transferred nothing
+MIN_TRANSFER_TIME_SHARE = 0.15  # of a fill's usual time: one that ends before it has transferred nothing
 DEFAULT_BYTES_PER_KB = 1000.0
 MAX_OBSERVED_KB = 1e6  # bounds the weight of answers long ago
 
 # looking a member up in its class costs too much to do it for each attempt
 _DONE, _TIMEOUT = AttemptResult.DONE, AttemptResult.TIMEOUT
 _FILLED_FROM_ORIGIN = CacheStatus.FILLED_FROM_ORIGIN
-_FILLED_NOTES = frozenset({CacheStatus.FILLED_FROM_SOURCE, CacheStatus.FILLED_FROM_ORIGIN})
-_EMPTY_NOTES = frozenset(  # hits, joined fills, and sources that gave nothing
+_FILL_STATUSES = frozenset({CacheStatus.FILLED_FROM_SOURCE, CacheStatus.FILLED_FROM_ORIGIN})
+_NO_TRANSFER_STATUSES = frozenset(  # hits, joined fills, and sources that gave nothing
     {
         CacheStatus.HIT,
         CacheStatus.JOINED_FILL,
@@ -36,7 +36,7 @@
         CacheStatus.ORIGIN_FAILED,
     }
 )
-_EMPTY_RESULTS = frozenset(  # ends before which nothing was transferred
+_NO_TRANSFER_RESULTS = frozenset(  # ends before which nothing was transferred
     {
         AttemptResult.NOT_SENT,
         AttemptResult.CUT_BEFORE_SEND,
@@ -49,7 +49,7 @@
 
 def is_fill(event: AttemptEnded) -> bool:
     """Whether the answer says that a fill of its own brought it."""
-    return event.cache_status in _FILLED_NOTES
+    return event.cache_status in _FILL_STATUSES
 
 
 class TransferredBytes(NamedTuple):
@@ -59,7 +59,7 @@
     guessed: int
 
 
-_NOTHING = TransferredBytes(0, 0)
+_NO_TRANSFER = TransferredBytes(0, 0)
 
 
 @dataclass(slots=True)
@@ -105,14 +105,16 @@
         if not size or not (self.time_per_byte or self.origin_time_per_byte):
             return 1.0
         transfer_time = size * (self.time_per_byte or self.origin_time_per_byte)
-        if duration < REFUSAL_SHARE * transfer_time:  # no source answers that fast: it refused or broke
+        if (
+            duration < MIN_TRANSFER_TIME_SHARE * transfer_time
+        ):  # no source answers that fast: it refused or broke
             return 0.0
         origin_wait = max(0.0, size * self.origin_time_per_byte - transfer_time)
         share_if_origin = min(1.0, max(0.0, duration - origin_wait) / transfer_time)
         if duration >= transfer_time:
             return share_if_origin
-        share_if_held = min(1.0, duration / transfer_time)
-        return (1 - self.origin_share) * share_if_held + self.origin_share * share_if_origin
+        share_if_cached = min(1.0, duration / transfer_time)
+        return (1 - self.origin_share) * share_if_cached + self.origin_share * share_if_origin
 
 
 class TransferEstimator:
@@ -134,7 +136,7 @@
         """A fill is requested of a source."""
         self._activity[source_id].requested_at = now
 
-    def forget_source(self, source_id: str) -> None:
+    def remove_source(self, source_id: str) -> None:
         """The source is no longer listed."""
         self._activity.pop(source_id, None)
 
@@ -143,8 +145,8 @@
         request = attempt.request
         if request.size:
             self.observed_kb = min(self.observed_kb + request.size, MAX_OBSERVED_KB)
-            found = size / request.size
-            self.bytes_per_kb += (found - self.bytes_per_kb) * request.size / self.observed_kb
+            bytes_per_request_kb = size / request.size
+            self.bytes_per_kb += (bytes_per_request_kb - self.bytes_per_kb) * request.size / self.observed_kb
         if is_fill(event):
             self._activity[attempt.source_id].delivered_at = now
             from_origin = event.cache_status == _FILLED_FROM_ORIGIN
@@ -152,14 +154,14 @@
 
     def transferred(self, attempt: AttemptInFlight, event: AttemptEnded) -> TransferredBytes:
         """The bytes that an attempt transferred until it ended as the event says."""
-        if event.result in _EMPTY_RESULTS or event.cache_status in _EMPTY_NOTES:
-            return _NOTHING
+        if event.result in _NO_TRANSFER_RESULTS or event.cache_status in _NO_TRANSFER_STATUSES:
+            return _NO_TRANSFER
         # until the first answer has shown how many bytes a KB stands for, no size is guessed
         size = self.expected_size(attempt.request) if self.observed_kb else 0.0
         if event.result == _DONE:
             return self._transferred_when_done(attempt, event, size)
         if event.result == _TIMEOUT and self._is_unresponsive(attempt):
-            return _NOTHING
+            return _NO_TRANSFER
         estimator = self.classes[attempt.request.class_index]
         guess = int(size * estimator.transferred_share(size, event.duration))
         return TransferredBytes(guess, guess)
@@ -168,7 +170,7 @@
         self, attempt: AttemptInFlight, event: AttemptEnded, size: float
     ) -> TransferredBytes:
         if event.cache_status and not is_fill(event):
-            return TransferredBytes(int(size), int(size)) if attempt.revalidates else _NOTHING
+            return TransferredBytes(int(size), int(size)) if attempt.revalidates else _NO_TRANSFER
         if event.body_size is None:  # the client's own copy stands for it
             return TransferredBytes(int(size), int(size))
         return TransferredBytes(event.body_size, 0 if event.cache_status else event.body_size)
--- a/ironhinge/traffic/snapshot_files.py
+++ b/ironhinge/traffic/snapshot_files.py
@@ -23,13 +23,13 @@
 
 def read_folder(folder: Path) -> tuple[list[Snapshot], list[str]]:
     """The snapshots of a folder, and for each file that can't be read what is wrong with it."""
-    snapshots, faults = [], []
+    snapshots, unreadable = [], []
     for path in sorted(folder.glob("*" + SUFFIX)):
         try:
             snapshots.append(unpack(path.read_bytes()))
         except (OSError, SnapshotError) as error:
-            faults.append(f"{path}: {error}")
-    return snapshots, faults
+            unreadable.append(f"{path}: {error}")
+    return snapshots, unreadable
 
 
 def write_atomically(path: Path, data: bytes) -> None:
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._written = 0  # the newest sequence number in it
+        self._written_sequence = 0  # the newest sequence number in it
 
     def write(self, path: Path, sequence: int, data: bytes) -> None:
         """Writes a snapshot unless a newer one is there: a slow disk may finish an older one last.
@@ -61,6 +61,6 @@
             OSError: The file could not be written.
         """
         with self._lock:
-            if sequence > self._written:
+            if sequence > self._written_sequence:
                 write_atomically(path, data)
-                self._written = sequence
+                self._written_sequence = sequence
--- a/ironhinge/traffic/streams.py
+++ b/ironhinge/traffic/streams.py
@@ -15,9 +15,9 @@
 SMOOTHING = 0.1  # weight of the newest interval, and the newest stream, in the means of a class
 REPEAT_SHARE = 0.3  # a segment that comes within this share of the usual interval repeats the last one
 # how many usual intervals a stream may pause
-NEW_STREAM_PATIENCE = 3  # one that has shown a single segment
-ESTABLISHED_PATIENCE = 5
-COMPLETE_PATIENCE = 1.5  # one that has had as many segments as usual
+NEW_STREAM_IDLE_INTERVALS = 3  # one that has shown a single segment
+ESTABLISHED_IDLE_INTERVALS = 5
+COMPLETE_IDLE_INTERVALS = 1.5  # one that has had as many segments as usual
 
 StreamKey = tuple[int, int]  # the client connection, and the object
 
@@ -97,23 +97,25 @@
         else:
             self._record_interval(key, stream, class_index, now - stream.updated_at)
         stream.updated_at = now
-        self._reserve_anew(stream, segment_size or stream.segment_size, reservations)
+        self._update_reservations(stream, segment_size or stream.segment_size, reservations)
 
     def _record_interval(self, key: StreamKey, stream: Stream, class_index: int, interval: int) -> None:
-        usual = self.segment_interval(class_index)
-        if interval <= REPEAT_SHARE * usual:
+        mean = self.segment_interval(class_index)
+        if interval <= REPEAT_SHARE * mean:
             return
-        self.intervals[class_index] = usual + SMOOTHING * (interval - usual)
+        self.intervals[class_index] = mean + SMOOTHING * (interval - mean)
         self.new.pop(key, None)
         self.established[key] = stream
         self.established.move_to_end(key)
         stream.segment_count += 1
 
-    def _reserve_anew(self, stream: Stream, segment_size: float, more: Sequence[StreamReservations]) -> None:
+    def _update_reservations(
+        self, stream: Stream, segment_size: float, added: Sequence[StreamReservations]
+    ) -> None:
         stream.release()
         stream.segment_size = segment_size
         stream.rate = self.stream_rate(stream.class_index, segment_size)
-        stream.reservations = tuple(dict.fromkeys((*stream.reservations, *more)))
+        stream.reservations = tuple(dict.fromkeys((*stream.reservations, *added)))
         stream.reserve()
 
     def continue_stream(self, key: StreamKey, class_index: int, now: int) -> None:
@@ -133,8 +135,8 @@
         self.intervals, self.segment_counts = other.intervals, other.segment_counts
         self.new, self.established = other.new, other.established
         for stream in (*self.new.values(), *self.established.values()):
-            present = [replacements.get(id(before)) for before in stream.reservations]
-            stream.reservations = tuple(each for each in present if each is not None)
+            current = [replacements.get(id(previous)) for previous in stream.reservations]
+            stream.reservations = tuple(each for each in current if each is not None)
             stream.reserve()
 
     def expire(self, now: int) -> None:
@@ -155,13 +157,13 @@
 
     def _record_length(self, stream: Stream) -> None:
         if stream.segment_count > 1:
-            usual = self.segment_counts.get(stream.class_index, float(stream.segment_count))
-            self.segment_counts[stream.class_index] = usual + SMOOTHING * (stream.segment_count - usual)
+            mean = self.segment_counts.get(stream.class_index, float(stream.segment_count))
+            self.segment_counts[stream.class_index] = mean + SMOOTHING * (stream.segment_count - mean)
 
     def _idle_limit(self, stream: Stream, is_new: bool) -> float:
         is_complete = stream.segment_count >= self.segment_counts.get(stream.class_index, NEVER)
         if is_complete:
-            patience = COMPLETE_PATIENCE
+            max_idle_intervals = COMPLETE_IDLE_INTERVALS
         else:
-            patience = NEW_STREAM_PATIENCE if is_new else ESTABLISHED_PATIENCE
-        return min(self.idle_timeout, patience * self.segment_interval(stream.class_index))
+            max_idle_intervals = NEW_STREAM_IDLE_INTERVALS if is_new else ESTABLISHED_IDLE_INTERVALS
+        return min(self.idle_timeout, max_idle_intervals * self.segment_interval(stream.class_index))
--- a/tests/test_traffic_account.py
+++ b/tests/test_traffic_account.py
@@ -10,7 +10,7 @@
 from ironhinge.settings import records
 from ironhinge.traffic import ledger_state
 from ironhinge.traffic.account import MAX_KINDS, Account, TransferAmount
-from ironhinge.traffic.labels import CUTS
+from ironhinge.traffic.labels import DIMENSIONS
 from ironhinge.traffic.metrics import MetricsExporter
 from ironhinge.traffic.report import collect
 from ironhinge.traffic.snapshot import Snapshot
@@ -117,7 +117,7 @@
     start(ledger, 50, "by", source="", endpoint="p1")  # past the caches
     end(ledger, 60, "by")
     assert transferred(ledger, outcome=Outcome.PASSED_THROUGH) == 10_000
-    assert not ledger.served_requests
+    assert not ledger.requests_with_transfers
 
 
 def test_what_hubs_drew_from_the_origin_is_booked_beside():
@@ -154,7 +154,7 @@
     for window in ("period", "hour"):
         report = collect(snapshots, window, all_intervals=True)
         assert report.total() == total
-        for cut in CUTS:
+        for cut in DIMENSIONS:
             assert sum(report.by(cut).values()) == total
         assert sum(report.by("way", "vhost").values()) == total
     twice = collect(snapshots + snapshots[:1], all_intervals=True)
--- a/tests/test_traffic_budgets.py
+++ b/tests/test_traffic_budgets.py
@@ -192,8 +192,8 @@
         hub = endpoint_in(2, f"p{now + 9}")
         update(ledger, now, hub)
         update(ledger, now, hub._replace(state=REMOVED))
-    assert len(ledger.directory.departed_at) <= 10
+    assert len(ledger.directory.removed_at) <= 10
     assert len(ledger.directory.hubs) <= 12
     ledger.handle(700 * SECOND, ClockTick(UNIX_MS))
-    assert not ledger.directory.departed_at
+    assert not ledger.directory.removed_at
     assert set(ledger.directory.hubs) == {"p0", "p1"}
