--- a/ironhinge/traffic/account.py
+++ b/ironhinge/traffic/account.py
@@ -1,7 +1,7 @@
-"""Transferred bytes by kind, in windows of a second, a minute, an hour and a billing period.
+"""Transferred bytes by kind, in intervals of a second, a minute, an hour and a billing period.
 
-Memory stays bounded whatever names the outside makes up: an interval holds at most `MAX_KINDS` kinds, and
-what comes beyond is added to one coarse kind for each route and outcome, so that totals stay complete.
+Memory is bounded, whatever zones endpoints report: an interval holds at most `MAX_KINDS` kinds. Transfers of
+further kinds are added to one coarse kind per route, outcome and diversion, so that totals stay complete.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 from .types import Outcome, Route, TransferKind
 
-MAX_KINDS = 2048  # in one interval
-ANY_INDEX = -1  # a zone or class that is not told apart
+MAX_KINDS = 2048  # per interval, not counting coarse kinds
+ANY_INDEX = -1  # zone or class of a coarse kind, which does not distinguish them
 MAX_PERIODS = 13
 PERIOD_WINDOW = "period"
 
 
 class WindowSpec(NamedTuple):
-    """One resolution of the account."""
+    """Interval length and retention of one window of the account."""
 
     name: str
     interval_ms: int
     max_intervals: int
-    is_detailed: bool  # tells zones and classes apart
+    is_detailed: bool  # distinguishes zones and classes
 
 
 WINDOWS = (
@@ -37,17 +37,17 @@
 
 
 class TransferAmount(NamedTuple):
-    """What one or more fills transferred."""
+    """The number of fills and the bytes that they transferred."""
 
     fills: int
     transferred: int  # bytes
-    guessed: int = 0  # of the transferred bytes
-    from_origin: int = 0  # bytes that the hub drew from the origin for them
+    guessed: int = 0  # part of `transferred` that is estimated
+    from_origin: int = 0  # bytes that hubs fetched from the origin for these fills
 
 
 @dataclass(slots=True)
 class TransferTotals:
-    """The sums of one kind in one interval; the fields are those of `TransferAmount`."""
+    """The mutable sums of one kind in one interval, with the fields of `TransferAmount`."""
 
     fills: int = 0
     transferred: int = 0
@@ -63,12 +63,12 @@
         self.from_origin += from_origin
 
     def amount(self) -> TransferAmount:
-        """The sums as they stand."""
+        """Returns the current sums."""
         return TransferAmount(self.fills, self.transferred, self.guessed, self.from_origin)
 
 
 class TransferRecord(NamedTuple):
-    """The sums of one kind in one interval, as they are read."""
+    """The sums of one kind in one interval, as returned to readers."""
 
     kind: TransferKind
     fills: int
@@ -78,7 +78,7 @@
 
 
 class StoredTransfer(NamedTuple):
-    """A `TransferRecord` as it stands in a snapshot: plain numbers, in this order."""
+    """A `TransferRecord` as stored in a snapshot: an array of numbers in this order."""
 
     destination_zone: int
     source_zone: int
@@ -92,7 +92,7 @@
     from_origin: int
 
     def kind(self) -> TransferKind:
-        """The kind that the first six numbers stand for."""
+        """Returns the kind, which is stored in the first six numbers."""
         return TransferKind(
             self.destination_zone,
             self.source_zone,
@@ -103,7 +103,7 @@
         )
 
     def amount(self) -> TransferAmount:
-        """The sums that the last four numbers stand for."""
+        """Returns the sums, which are stored in the last four numbers."""
         return TransferAmount(self.fills, self.transferred, self.guessed, self.from_origin)
 
 
@@ -123,7 +123,7 @@
 
 
 IntervalTotals = dict[TransferKind, TransferTotals]
-StoredInterval = tuple[int, list[StoredTransfer]]  # when it began (Unix milliseconds), and its kinds
+StoredInterval = tuple[int, list[StoredTransfer]]  # start in Unix milliseconds, and the sums by kind
 
 _COARSE_KINDS = {
     (route, outcome, diverted): TransferKind(ANY_INDEX, ANY_INDEX, route, outcome, ANY_INDEX, diverted)
@@ -132,7 +132,7 @@
 
 
 def coarse_kind(kind: TransferKind) -> TransferKind:
-    """The same kind with zones and class not told apart."""
+    """Returns the coarse kind that a kind belongs to, which does not distinguish zones and class."""
     return _COARSE_KINDS[kind.route, kind.outcome, kind.diverted]
 
 
@@ -142,14 +142,14 @@
     def __init__(self, spec: WindowSpec):
         self.interval_ms, self.max_intervals = spec.interval_ms, spec.max_intervals
         self.is_detailed = spec.is_detailed
-        self.intervals: OrderedDict[int, IntervalTotals] = OrderedDict()  # by start, the oldest first
+        self.intervals: OrderedDict[int, IntervalTotals] = OrderedDict()  # by start, oldest first
         self.intervals_dropped = 0
-        # the interval used last, which most transfers fall into
+        # cache of the last used interval, which most transfers fall into
         self._start, self._end = 0, 0
         self._totals: IntervalTotals = {}
 
     def add(self, unix_ms: int, kind: TransferKind, amount: TransferAmount) -> None:
-        """Adds an amount to the interval of a Unix millisecond."""
+        """Adds an amount to the interval that contains `unix_ms`."""
         if not self._start <= unix_ms < self._end:
             self._start = unix_ms - unix_ms % self.interval_ms
             self._end = self._start + self.interval_ms
@@ -166,7 +166,7 @@
         if found is not None:
             return found
         totals = self.intervals[start] = {}
-        if start < max(self.intervals):  # the clock stepped back
+        if start < max(self.intervals):  # the clock was set back
             self._sort()
         while len(self.intervals) > self.max_intervals:
             self.intervals.popitem(last=False)
@@ -177,7 +177,7 @@
         self.intervals = OrderedDict(sorted(self.intervals.items()))
 
     def state(self) -> list[StoredInterval]:
-        """All intervals, for a snapshot."""
+        """Returns all intervals in their stored form."""
         return [
             (
                 start,
@@ -187,13 +187,13 @@
         ]
 
     def restore(self, state: Sequence[StoredInterval]) -> None:
-        """Adds the intervals of a snapshot to what is here."""
+        """Adds the intervals of a snapshot to the existing ones."""
         for start, transfers in state:
             by_kind = self.intervals.setdefault(start, {})
             for stored in transfers:
                 by_kind.setdefault(stored.kind(), TransferTotals()).add(stored.amount())
         self._sort()
-        self._end = 0  # the interval used last may be another one now
+        self._end = 0  # invalidates the cached interval
 
 
 class Account:
@@ -204,13 +204,13 @@
         self.windows = {spec.name: TransferWindow(spec) for spec in specs}
 
     def add(self, unix_ms: int, kind: TransferKind, amount: TransferAmount) -> None:
-        """Adds an amount to the intervals of a Unix millisecond."""
+        """Adds an amount to the interval of each window that contains `unix_ms`."""
         coarse = coarse_kind(kind)
         for window in self.windows.values():
             window.add(unix_ms, kind if window.is_detailed else coarse, amount)
 
     def transfers(self, window: str, start: int | None = None) -> list[TransferRecord]:
-        """The totals of the interval that began at `start`, by default of the latest one."""
+        """Returns the totals of the interval that starts at `start`; default: the latest interval."""
         intervals = self.windows[window].intervals
         if not intervals:
             return []
@@ -218,11 +218,11 @@
         return [TransferRecord(kind, *totals.amount()) for kind, totals in by_kind.items()]
 
     def state(self) -> dict[str, list[StoredInterval]]:
-        """All windows by name, for a snapshot."""
+        """Returns all windows by name in their stored form."""
         return {name: window.state() for name, window in self.windows.items()}
 
     def restore(self, state: Mapping[str, Sequence[StoredInterval]]) -> None:
-        """Adds what a snapshot holds; windows that this version does not keep are left out."""
+        """Adds the windows of a snapshot; windows that this version does not have are ignored."""
         for name, intervals in state.items():
             window = self.windows.get(name)
             if window is not None:
--- a/ironhinge/traffic/attempts.py
+++ b/ironhinge/traffic/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight that may transfer bytes, and what becomes of those bytes."""
+"""Attempts in flight that may transfer bytes, and how those bytes are classified and charged."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     stores_copy: bool
     revalidates: bool
     diverted: bool
-    is_repeat: bool  # bytes have been transferred for its request before
-    allowances: Sequence[Allowance] = ()  # that it was charged to
-    charged: float = 0.0  # bytes, to each of them
+    is_repeat: bool  # an earlier attempt of its request has transferred bytes
+    allowances: Sequence[Allowance] = ()  # the allowances that it was charged to
+    charged: float = 0.0  # bytes charged to each allowance
 
     def outcome(self, event: AttemptEnded) -> Outcome:
-        """What became of the bytes that it transferred."""
+        """Returns the outcome of the bytes that the attempt transferred."""
         is_unread = event.request_closed and event.body_size is None
         if event.result != _DONE or is_unread or event.cache_status == _STALE_HIT:
             return Outcome.WASTED
@@ -41,7 +41,7 @@
         return Outcome.STORED if self.stores_copy else Outcome.PASSED_THROUGH
 
     def kind(self, event: AttemptEnded) -> TransferKind:
-        """The kind under which its bytes are accounted."""
+        """Returns the kind under which the transferred bytes are counted."""
         return TransferKind(
             self.destination_zone,
             self.source_zone,
@@ -52,17 +52,17 @@
         )
 
     def origin_bytes(self, event: AttemptEnded, transferred: int) -> int:
-        """The bytes that the hub drew from the origin for it."""
+        """Returns the bytes that the hub fetched from the origin for this attempt."""
         from_origin = event.cache_status == _FILLED_FROM_ORIGIN and self.route is not Route.ORIGIN
         return transferred if from_origin else 0
 
     def charge(self, allowances: Sequence[Allowance], size: float) -> None:
-        """Charges what it may need at most."""
+        """Charges the largest size that the attempt is expected to need to each allowance."""
         self.allowances, self.charged = allowances, size
         for allowance in allowances:
             allowance.charge(size)
 
     def settle(self, transferred: int) -> None:
-        """Settles what it was charged, wherever that was."""
+        """Replaces the charge with the transferred bytes in each allowance that was charged."""
         for allowance in self.allowances:
             allowance.settle(self.charged, transferred)
--- a/ironhinge/traffic/budget.py
+++ b/ironhinge/traffic/budget.py
@@ -1,7 +1,7 @@
-"""What a budget allows now: its buckets, what it reserves for streams, and its emergency allowance.
+"""A budget: its token buckets, its reservations for streams, and its emergency allowance.
 
-A fill is charged when its attempt is sent, with the most bytes that it may need, and settled when it ends; so
-fills in flight never spend the same bytes twice.
+A fill is charged when its attempt is sent, for the largest size that it is expected to need, and settled to
+its actual size when it ends. Concurrent fills can therefore not spend the same bytes.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 
 
 class Allowance:
-    """Buckets that are charged together, with what was spent from them in this period."""
+    """Buckets that are charged together, and the bytes spent from them in this period."""
 
     __slots__ = ("buckets", "outstanding", "spent")
 
     def __init__(self, buckets: list[TokenBucket]):
         self.buckets = buckets
-        self.outstanding = 0.0  # charged and not settled
+        self.outstanding = 0.0  # bytes charged and not yet settled
         self.spent = 0  # bytes of this period
 
     def charge(self, size: float) -> None:
-        """Charges what a fill may need at most."""
+        """Charges the largest size that a fill is expected to need."""
         self.outstanding += size
         for bucket in self.buckets:
             bucket.withdraw(size)
 
     def settle(self, charged: float, actual: int) -> None:
-        """Returns what a fill did not need of its charge, or takes what it needed beyond it."""
+        """Replaces the charge of a fill with its actual size: returns or charges the difference."""
         self.outstanding -= charged
         for bucket in self.buckets:
             if actual > charged:
@@ -42,18 +42,18 @@
         self.spent += actual
 
     def begin_period(self, now: int, end: int) -> None:
-        """Opens the quotas of a new billing period."""
+        """Resets the period quotas at the start of a billing period."""
         for bucket in self.buckets:
             if isinstance(bucket, PeriodQuota):
                 bucket.begin_period(now, end, self.outstanding)
         self.spent = 0
 
     def state(self) -> list[list[float]]:
-        """What a snapshot holds of its buckets."""
+        """Returns the state of the buckets to store in a snapshot."""
         return [bucket.state() for bucket in self.buckets]
 
     def restore(self, state: list[list[float]], now: int, unaccounted_seconds: float) -> None:
-        """Takes up the buckets of a snapshot, unless the settings have changed which there are."""
+        """Restores the buckets from a snapshot, unless the settings now define another number of them."""
         if len(self.buckets) != len(state):
             return
         for bucket, bucket_state in zip(self.buckets, state, strict=True):
@@ -61,26 +61,26 @@
 
 
 class BudgetCheck(NamedTuple):
-    """What a budget says of a fill."""
+    """The result of checking a fill against a budget."""
 
-    wait_time: int  # 0: the fill may go now
-    allowance: Allowance  # that it would be charged to
+    wait_time: int  # 0: the fill may start now
+    allowance: Allowance  # the allowance that the fill would be charged to
 
 
 class Budget:
-    """One budget of this director's."""
+    """This director's part of one budget."""
 
     def __init__(self, name: str, config: records.Budget, share: float, period: BillingPeriod):
         """Makes the director's part of a budget.
 
         Args:
-            name: As in the settings.
+            name: The name of the budget in the settings.
             config: The settings of the budget.
-            share: The director's share, where all directors that have the budget sum up to 1.
-            period: The billing period as it stands.
+            share: The director's share of the budget; the shares of all directors in its scope sum up to 1.
+            period: The current billing period.
         """
         self.name, self.config, self.share = name, config, share
-        self.parent: Budget | None = None  # a fill needs room there as well
+        self.parent: Budget | None = None  # the budget that this one is within: a fill needs room in both
         rate = (config.rate or 0) * share
         burst = (config.burst if config.burst is not None else config.rate or 0) * share
         self.regular = Allowance(self._regular_buckets(rate, burst, period))
@@ -91,7 +91,7 @@
         self._allowed_by_regular = BudgetCheck(0, self.regular)
         self._allowed_by_emergency = BudgetCheck(0, self.emergency)
         self.refusals = 0
-        self.unmet_demand = 0.0  # bytes refused lately, for peers that have a surplus
+        self.unmet_demand = 0.0  # bytes recently refused, requested from peers that have a surplus
 
     def _starts_full(self) -> bool:
         return self.config.begin == "full"
@@ -121,13 +121,13 @@
         return buckets
 
     def check(self, now: int, size: float, is_open_stream: bool, diverted: bool) -> BudgetCheck:
-        """Whether a fill may go now, and what it would be charged to.
+        """Checks whether a fill may start now, and selects the allowance that it would be charged to.
 
         Args:
-            now: The present instant.
-            size: Bytes that the fill may need.
-            is_open_stream: Whether it is a segment of an open stream, for which bytes are reserved.
-            diverted: Whether it may draw on the emergency allowance.
+            now: The current time.
+            size: Bytes that the fill is expected to need.
+            is_open_stream: Whether the fill is a segment of an open stream, for which bytes are reserved.
+            diverted: Whether the fill is diverted, which lets it use the emergency allowance.
         """
         reserved = 0.0
         if self.reservations is not None and not is_open_stream:
@@ -148,21 +148,21 @@
         return bool(buckets) and not any(bucket.wait_time(now, size, 0.0) for bucket in buckets)
 
     def record_refusal(self, size: float) -> None:
-        """Counts a fill for which some budget that it falls under had no room."""
+        """Counts a refusal of a fill because this or another of its budgets had no room."""
         self.refusals += 1
         self.unmet_demand += size
 
     def record_charge(self, size: float) -> None:
-        """Takes a fill that goes out off the unmet demand."""
+        """Subtracts a fill that was sent from the unmet demand."""
         self.unmet_demand = max(0.0, self.unmet_demand - size)
 
     def begin_period(self, now: int, end: int) -> None:
-        """Opens the quotas of a new billing period."""
+        """Resets the period quotas at the start of a billing period."""
         self.regular.begin_period(now, end)
         self.emergency.begin_period(now, end)
 
     def usage(self) -> BudgetUsage:
-        """How much of the director's part is used, for reports and metrics."""
+        """Returns how much of the director's part is used, for reports and metrics."""
         config = self.config
         quotas = (bucket for bucket in self.regular.buckets if isinstance(bucket, PeriodQuota))
         quota = next(quotas, None)
@@ -177,7 +177,7 @@
         )
 
     def state(self) -> BudgetState:
-        """What a snapshot holds of it."""
+        """Returns the state to store in a snapshot."""
         return BudgetState(
             spent=self.regular.spent,
             emergency_spent=self.emergency.spent,
@@ -186,7 +186,7 @@
         )
 
     def restore(self, state: BudgetState, now: int, unaccounted_seconds: float) -> None:
-        """Takes up a snapshot of the same period; what may have been spent since then counts as spent."""
+        """Restores a snapshot of the same period; bytes that may have been spent since count as spent."""
         self.regular.spent, self.emergency.spent = state.spent, state.emergency_spent
         self.regular.restore(state.buckets, now, unaccounted_seconds)
         self.emergency.restore(state.emergency_buckets, now, unaccounted_seconds)
--- a/ironhinge/traffic/budget_set.py
+++ b/ironhinge/traffic/budget_set.py
@@ -1,4 +1,4 @@
-"""All budgets of a director, and which of them a fill falls under."""
+"""All budgets of a director, and the selection of those that apply to a fill."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BudgetSet:
-    """The budgets of the settings, each with the director's part of it."""
+    """The budgets of the settings, each reduced to this director's part."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._matching: dict[tuple[int, int, Route], tuple[Budget, ...]] = {}
 
     def matching(self, class_index: int, source: SourceEndpoint) -> tuple[Budget, ...]:
-        """The budgets that a fill falls under, with those that they stand within."""
+        """Returns the budgets that apply to a fill, including the budgets that those are within."""
         key = class_index, source.zone, source.route
         found = self._matching.get(key)
         if found is None:
@@ -68,20 +68,20 @@
         return zones[zone] if 0 <= zone < len(zones) else ""
 
     def begin_period(self, now: int, end: int) -> None:
-        """Opens the quotas of a new billing period."""
+        """Resets the period quotas at the start of a billing period."""
         for budget in self.budgets.values():
             budget.begin_period(now, end)
 
     def usage(self) -> dict[str, BudgetUsage]:
-        """How much of each budget is used, by name."""
+        """Returns how much of each budget is used, by name."""
         return {name: budget.usage() for name, budget in self.budgets.items()}
 
     def state(self) -> dict[str, BudgetState]:
-        """What a snapshot holds of the budgets, by name."""
+        """Returns the state of the budgets to store in a snapshot, by name."""
         return {name: budget.state() for name, budget in self.budgets.items()}
 
     def restore(self, state: Mapping[str, BudgetState], now: int, unaccounted_seconds: float) -> None:
-        """Takes up the budgets of a snapshot that the settings still name."""
+        """Restores the budgets from a snapshot; it ignores budgets that the settings no longer have."""
         for name, budget in self.budgets.items():
             if name in state:
                 budget.restore(state[name], now, unaccounted_seconds)
--- a/ironhinge/traffic/cli.py
+++ b/ironhinge/traffic/cli.py
@@ -1,4 +1,4 @@
-"""The commands on accounts of traffic. They read the folders of directors and never write to them."""
+"""The `traffic` commands. They read the snapshot folders of directors and never write to them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from ..settings import records
     from .report import Report
 
-# what reads and reports is imported by the commands that need it: all others start faster
+# modules for reports are imported only in the commands that need them: other commands start faster
 
 WINDOWS = ("second", "minute", "hour", "period")
 DEFAULT_DIMENSIONS = ("way", "use", "vhost", "pair", "forced")
@@ -28,24 +28,31 @@
     "folders", nargs=-1, required=True, type=click.Path(exists=True, file_okay=False, path_type=Path)
 )
 window_option = click.option(
-    "--window", type=click.Choice(WINDOWS), default="period", show_default=True, help="Which stretch of time."
+    "--window",
+    type=click.Choice(WINDOWS),
+    default="period",
+    show_default=True,
+    help="Length of the intervals.",
 )
 operations_option = click.option(
-    "--operations", multiple=True, type=click.Path(dir_okay=False), help="For prices: the operations files."
+    "--operations",
+    multiple=True,
+    type=click.Path(dir_okay=False),
+    help="Operations files to read prices from.",
 )
 
 
 @click.group()
 def traffic() -> None:
-    """What crossed between zones, by whom and why, and what budgets have left."""
+    """Report the bytes that fills transferred between zones, and the state of their budgets."""
 
 
 def _load_report(
     folders: tuple[Path, ...], window: str, start_ms: int | None = None, all_intervals: bool = False
 ) -> Report:
-    """The report of all directors that keep their accounts in these folders.
+    """Returns the report of all directors whose snapshots are in these folders.
 
-    Files that can't be read are named on stderr; where none is left the program ends.
+    Lists unreadable files on stderr. Exits with an error if no snapshot can be read.
     """
     from .report import collect
     from .snapshot_files import read_folder
@@ -55,9 +62,9 @@
         found, unreadable = read_folder(folder)
         snapshots += found
         for reason in unreadable:
-            click.echo(f"ironhinge: passed over: {reason}", err=True)
+            click.echo(f"ironhinge: skipped: {reason}", err=True)
     if not snapshots:
-        click.echo("ironhinge: no account in these folders", err=True)
+        click.echo("ironhinge: no readable snapshot in these folders", err=True)
         sys.exit(EXIT_FAILURE)
     return collect(snapshots, window, start_ms, all_intervals)
 
@@ -78,7 +85,7 @@
         click.echo("ironhinge: plots need matplotlib: see README", err=True)
         sys.exit(EXIT_FAILURE)
     draw_chart(_load_report(folders, window, all_intervals=True), dimension, path)
-    click.echo(f"drawn: {path}", err=True)
+    click.echo(f"wrote {path}", err=True)
 
 
 @traffic.command()
@@ -89,18 +96,24 @@
     "--start",
     "start_ms",
     type=int,
-    help="The Unix millisecond at which the stretch begins; default: the newest.",
+    help="Start of the interval in Unix milliseconds; default: the latest.",
 )
-@click.option("--all", "all_intervals", is_flag=True, help="All stretches that are kept, not just one.")
+@click.option("--all", "all_intervals", is_flag=True, help="All stored intervals instead of one.")
 @click.option(
-    "--by", "dimensions", multiple=True, type=click.Choice(DIMENSIONS), help="Cuts to show; may be repeated."
+    "--by",
+    "dimensions",
+    multiple=True,
+    type=click.Choice(DIMENSIONS),
+    help="Dimension to group by; may be repeated.",
 )
-@click.option("--json", "as_json", is_flag=True, help="One JSON object.")
-@click.option("--csv", "as_csv", is_flag=True, help="Every line, uncut.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+@click.option("--csv", "as_csv", is_flag=True, help="Print every line, not grouped.")
 @click.option(
-    "--plot", type=click.Path(dir_okay=False, path_type=Path), help="Draw bytes by time into a PNG."
+    "--plot",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write a chart of bytes over time to a PNG file.",
 )
-def report(  # noqa: PLR0913 - one argument for each option
+def report(  # noqa: PLR0913 - one argument per option
     folders: tuple[Path, ...],
     window: str,
     operations: tuple[str, ...],
@@ -111,7 +124,7 @@
     as_csv: bool,
     plot: Path | None,
 ) -> None:
-    """Add up the accounts that directors keep in FOLDERS, each director once."""
+    """Sum up the newest snapshot of each director in FOLDERS."""
     from .report_formats import to_csv, to_json, to_table
 
     found = _load_report(folders, window, start_ms, all_intervals)
@@ -130,11 +143,17 @@
 @traffic.command()
 @folders_argument
 @window_option
-@click.option("--every", type=click.FloatRange(0.2, 3600), default=2.0, show_default=True, help="Seconds.")
-@click.option("--times", type=int, default=0, help="How often; 0: until Ctrl-C.")
-@click.option("--json", "as_json", is_flag=True, help="A JSON object a line.")
+@click.option(
+    "--every",
+    type=click.FloatRange(0.2, 3600),
+    default=2.0,
+    show_default=True,
+    help="Seconds between reports.",
+)
+@click.option("--times", type=int, default=0, help="Number of reports; 0: until Ctrl-C.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
 def watch(folders: tuple[Path, ...], window: str, every: float, times: int, as_json: bool) -> None:
-    """Show the report anew every few seconds."""
+    """Show the report again every few seconds."""
     from .report_formats import to_json, to_table
 
     shown = 0
--- a/ironhinge/traffic/distributions.py
+++ b/ironhinge/traffic/distributions.py
@@ -1,6 +1,6 @@
 """Distributions of the sizes and durations of fills, in HDR histograms of fixed memory.
 
-Imported only where operators turn them on: the library is an optional extra.
+Imported only where operators have enabled them: the library is an optional dependency.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 SIGNIFICANT_DIGITS = 2
 MAX_SIZE = 1_000_000  # bytes
-MAX_DURATION = 600_000  # a minute
+MAX_DURATION = 600_000  # clock units: one minute
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 
 class FillDistributions:
-    """A histogram of sizes and one of durations for each request class."""
+    """A histogram of sizes and one of durations per request class."""
 
     def __init__(self, request_classes: Sequence[str]):
         self.request_classes = request_classes
@@ -30,12 +30,12 @@
         ]
 
     def add(self, class_index: int, size: int, duration: int) -> None:
-        """Counts a fill; what is beyond a histogram's range counts at its edge."""
+        """Counts a fill; a value outside the range of its histogram is clamped to the range."""
         self._sizes[class_index].record_value(max(1, min(size, MAX_SIZE)))
         self._durations[class_index].record_value(max(1, min(duration, MAX_DURATION)))
 
     def state(self) -> dict[str, ClassDistribution]:
-        """The distributions of the classes that had fills, by name."""
+        """Returns the distributions of the classes that had fills, by class name."""
         classes = zip(self.request_classes, self._sizes, self._durations, strict=True)
         return {
             name: ClassDistribution(
--- a/ironhinge/traffic/endpoints.py
+++ b/ironhinge/traffic/endpoints.py
@@ -1,7 +1,7 @@
-"""The endpoints as the account sees them: the routes of their fills, and the hub that each object prefers.
+"""The endpoint list of the account: the route of fills from each endpoint, and each object's preferred hub.
 
-An object prefers the first parent of its hash order. Parents that left the endpoint list lately still count
-in that order, so that transfers from the others stand out as diverted.
+The preferred hub of an object is the parent with the highest rendezvous score. Parents that were removed from
+the endpoint list recently are still ranked, so that fills from the remaining parents count as diverted.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 from ..routing.hashing import RendezvousHasher, hash_key, score
 from .types import Route
 
-MAX_PREFERRED_HUBS = 4096  # objects whose preferred hub is kept at hand
-MIN_REMOVED_HUBS = 8  # departed parents that are remembered at least
+MAX_PREFERRED_HUBS = 4096  # maximum number of objects whose preferred hub is cached
+MIN_REMOVED_HUBS = 8  # number of removed parents that are always remembered until they expire
 
 
 class SourceEndpoint(NamedTuple):
-    """An endpoint that fills may come from."""
+    """An endpoint that can be the source of a fill."""
 
     zone: int
     hash_key: int
     route: Route
-    is_upstream: bool  # a parent or the origin, behind the caches
+    is_upstream: bool  # a parent or the origin, not a cache
 
 
 class EndpointDirectory:
-    """The endpoint list, with the parents that left it lately."""
+    """The endpoint list, with the parents that were recently removed from it."""
 
     def __init__(self, deployment: interface.Deployment, removed_hub_retention: int):
-        """Makes an empty directory; parents that depart count for `departed_retention` longer."""
+        """Makes an empty directory; removed parents are still ranked for `removed_hub_retention`."""
         self._deployment = deployment
         self._removed_hub_retention = removed_hub_retention
         self.endpoints: dict[str, SourceEndpoint] = {}
-        self.hubs: dict[str, SourceEndpoint] = {}  # listed parents, and departed ones
-        self.removed_at: dict[str, int] = {}  # of departed parents, the longest ago first
-        # while the hubs are the same: what orders them, and the first of that order by object
+        self.hubs: dict[str, SourceEndpoint] = {}  # listed and recently removed parents
+        self.removed_at: dict[str, int] = {}  # when removed parents were removed, oldest first
+        # kept until `hubs` changes: the hasher over the hubs, and the preferred hub by object
         self._hub_hasher: RendezvousHasher | None = None
         self._preferred_hubs: dict[int, str] = {}
 
     def update(self, now: int, event: interface.EndpointsUpdated) -> list[str]:
-        """Takes in the endpoint list or a change of it; returns the ids that it removes."""
+        """Applies the endpoint list or a change to it; returns the ids of removed endpoints."""
         self._on_hubs_changed()
         removed: list[str] = []
         if event.is_full:
@@ -75,7 +75,7 @@
         if endpoint_id not in self.hubs or endpoint_id in self.removed_at:
             return
         self.removed_at[endpoint_id] = now
-        # bounds the memory where parents are replaced all the time
+        # bounds the memory where parents are replaced often
         while len(self.removed_at) > max(MIN_REMOVED_HUBS, 2 * len(self.endpoints)):
             oldest = next(iter(self.removed_at))
             del self.removed_at[oldest], self.hubs[oldest]
@@ -91,7 +91,7 @@
         return Route.OWN_HUB if endpoint.zone == own_hub else Route.OTHER_HUB
 
     def expire_removed_hubs(self, now: int) -> None:
-        """Drops the parents that departed too long ago to count."""
+        """Drops parents that were removed longer ago than the retention time."""
         retention = self._removed_hub_retention
         expired = [hub_id for hub_id, since in self.removed_at.items() if now > since + retention]
         for hub_id in expired:
@@ -103,7 +103,7 @@
         self._preferred_hubs.clear()
 
     def is_diverted(self, object_id: int, source_id: str, source: SourceEndpoint) -> bool:
-        """Whether a fill from that source comes from behind the caches, but not from the preferred hub."""
+        """Returns whether the source is a parent or the origin, but not the preferred hub of the object."""
         if not source.is_upstream or not self.hubs:
             return False
         return self._preferred_hub(object_id) != source_id
--- a/ironhinge/traffic/errors.py
+++ b/ironhinge/traffic/errors.py
@@ -1,11 +1,11 @@
-"""The errors of this package; all of them share `TrafficError`."""
+"""The errors of this package; all derive from `TrafficError`."""
 
 from __future__ import annotations
 
 
 class TrafficError(Exception):
-    """Anything that goes wrong in the account of traffic and its budgets."""
+    """Base class of the errors of the traffic account and its budgets."""
 
 
 class SnapshotError(TrafficError):
-    """The bytes of a snapshot are torn, foreign or of another version."""
+    """The bytes are not a snapshot of this version, or they are incomplete or damaged."""
--- a/ironhinge/traffic/labels.py
+++ b/ironhinge/traffic/labels.py
@@ -1,7 +1,7 @@
-"""The texts by which settings, reports and metrics name routes, outcomes and the cuts of a report.
+"""The labels of routes, outcomes and report dimensions in settings, reports and metrics.
 
-Operators' files, scripts and dashboards hold these texts: they stay as they are when names in the code
-change, and nothing but this module maps them.
+These labels are a public format: operators' files, scripts and dashboards contain them, so they stay the same
+when names in the code change. Only this module maps them.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 DIVERTED_LABEL, PREFERRED_LABEL = "forced", "chosen"
 OTHER_LABEL = "the rest"
 
-DIMENSION_FIELDS = {  # the cuts of a report, and the field of `report.ReportLine` that each of them goes by
+DIMENSION_FIELDS = {  # dimensions that reports can group by, and their fields in `report.ReportLine`
     "way": "route",
     "use": "outcome",
     "vhost": "request_class",
@@ -39,10 +39,10 @@
 
 
 def label_at(labels: Sequence[str], index: int) -> str:
-    """The name of a zone or a request class; `OTHER_LABEL` where the index names none."""
+    """Returns the name of a zone or a request class; `OTHER_LABEL` if the index is out of range."""
     return labels[index] if 0 <= index < len(labels) else OTHER_LABEL
 
 
 def diversion_label(diverted: bool) -> str:
-    """How reports name a transfer that was, or was not, diverted from its preferred hub."""
+    """Returns the label of transfers that were, or were not, diverted from the preferred hub."""
     return DIVERTED_LABEL if diverted else PREFERRED_LABEL
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -1,8 +1,8 @@
-"""The one entry point of the account and its budgets.
+"""The entry point of the account and its budgets.
 
-`TrafficLedger.handle` takes the events of attempts, endpoints, clocks and peers, and returns what is to be
-done; `TrafficLedger.wait_time` tells the router whether the budgets have room for a fill from a source. The
-same calls in the same order give the same results: nothing here reads a clock or a file.
+`TrafficLedger.handle` applies events of attempts, endpoints, clocks and peers, and returns commands for
+`service` to execute. The router calls `TrafficLedger.wait_time` to check whether the budgets have room for a
+fill from a source. The ledger is deterministic: it reads neither clocks nor files.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
     LogNotice,
 )
 
-REMOVED_HUB_RETENTION = 6_000_000  # ten minutes, where no budget's settings say how long
+REMOVED_HUB_RETENTION = 6_000_000  # ten minutes; used if no budget has an emergency allowance
 
 _DONE = interface.AttemptResult.DONE
 
 
 class PassedCheck(NamedTuple):
-    """A check that all budgets passed, for the attempt that should follow it at once."""
+    """A check in which all budgets had room, kept for the attempt that should follow immediately."""
 
     now: int
     request: interface.RequestReceived
@@ -50,14 +50,14 @@
     allowances: list[Allowance]  # in the order of the budgets
 
     def covers(self, now: int, request: interface.RequestReceived, source_id: str) -> bool:
-        """Whether it is the check of that very attempt."""
+        """Returns whether this check was made for the given attempt, at the same time."""
         return (self.now, self.request, self.source_id) == (now, request, source_id)
 
 
 def check_budgets(
     budgets: tuple[Budget, ...], now: int, size: float, is_open_stream: bool, diverted: bool
 ) -> tuple[int, list[Allowance]]:
-    """The time until all budgets have room for a fill, and what each of them would charge it to."""
+    """Returns the time until all budgets have room for a fill, and the allowance of each to charge."""
     wait_time, allowances = 0, []
     for budget in budgets:
         check = budget.check(now, size, is_open_stream, diverted)
@@ -68,7 +68,7 @@
 
 
 def stream_key(request: interface.RequestReceived) -> StreamKey:
-    """The stream that a request for a segment belongs to."""
+    """Returns the key of the stream that a request for a segment belongs to."""
     return request.connection_id, request.object_id
 
 
@@ -91,7 +91,7 @@
 
 
 class TrafficLedger:
-    """The account of one director and the budgets that its fills are held to."""
+    """The account of one director and the budgets that limit its fills."""
 
     def __init__(
         self,
@@ -101,14 +101,14 @@
         incarnation: int,
         clock: ClockReading,
     ):
-        """Makes a ledger that knows of nothing yet.
+        """Makes an empty ledger.
 
         Args:
             config: The operators' settings.
-            deployment: What the router knows of the deployment.
-            identity: Whose account it is.
-            incarnation: Tells this run of the director from those before it; it must rise.
-            clock: The clocks as they stand.
+            deployment: The configuration of the router.
+            identity: The director that the account belongs to.
+            incarnation: Identifies this run of the director; it must be higher than in earlier runs.
+            clock: The current reading of the clocks.
         """
         self.config, self.deployment, self.identity = config, deployment, identity
         self.calendar = BillingCalendar(_period_ms(config), clock.now, clock.unix_ms)
@@ -124,17 +124,17 @@
         self.estimator = TransferEstimator(len(identity.request_classes))
         self.distributions = None
         if config.distributions:
-            from .distributions import FillDistributions  # an optional extra
+            from .distributions import FillDistributions  # needs an optional dependency
 
             self.distributions = FillDistributions(identity.request_classes)
-        self.attempts: dict[str, AttemptInFlight] = {}  # by request
-        self.requests_with_transfers: dict[str, None] = {}  # open ones for which bytes have been transferred
+        self.attempts: dict[str, AttemptInFlight] = {}  # by request id
+        self.requests_with_transfers: dict[str, None] = {}  # ids of open requests with transferred bytes
         self.period_start = self.calendar.period_start()
-        self.unknown_ms = 0  # of this period: time in which the director did not run
+        self.unknown_ms = 0  # time of this period that the account does not cover
         self._last_check: PassedCheck | None = None
 
     def handle(self, now: int, event: LedgerEvent) -> list[LedgerCommand]:
-        """Takes in one event; returns what is to be done, in order."""
+        """Applies one event; returns the commands to execute, in order."""
         match event:
             case AttemptStarted():
                 self._on_attempt_started(now, event)
@@ -170,10 +170,10 @@
             self.estimator.remove_source(endpoint_id)
 
     def wait_time(self, now: int, request: interface.RequestReceived, source_id: str) -> int:
-        """How long a fill would have to wait for its budgets.
+        """Checks a fill against the budgets that apply to it; counts a refusal.
 
         Returns:
-            0 where all budgets that the fill falls under have room for it, else the time until they should.
+            0 if all of them have room for the fill, else the expected time until they do.
         """
         source = self.directory.endpoints.get(source_id)
         if source is None:
@@ -197,7 +197,7 @@
         return 0
 
     def _streams_of(self, request: interface.RequestReceived) -> StreamTracker | None:
-        """The open streams, where the request may belong to one."""
+        """Returns the stream tracker if the request may belong to a stream, else None."""
         if self.streams is None or not self.deployment.request_classes[request.class_index].is_segmented:
             return None
         return self.streams
@@ -209,7 +209,7 @@
         budgets: tuple[Budget, ...],
         size: float,
     ) -> int:
-        """The time until another stream may be tried to begin; 0: it may begin now."""
+        """Returns 0 if a new stream may start now, else the time until it may be tried again."""
         rate = streams.stream_rate(request.class_index, size)
         reservations = [budget.reservations for budget in budgets if budget.reservations is not None]
         if all(each.admits(rate) for each in reservations):
@@ -228,7 +228,7 @@
         streams = self._streams_of(request)
         if streams is not None:
             streams.continue_stream(stream_key(request), request.class_index, now)
-        # past the caches the bytes come from the endpoint itself
+        # parents and the origin send the bytes themselves, without a fill source
         source_id = event.endpoint_id if endpoint.is_upstream else event.source_id
         source = self.directory.endpoints.get(source_id)
         if source is None:
@@ -259,7 +259,7 @@
     def _charge(
         self, now: int, attempt: AttemptInFlight, source: SourceEndpoint, check: PassedCheck | None
     ) -> None:
-        """Charges an attempt to the budgets that it falls under, and opens or continues its stream."""
+        """Charges an attempt to the budgets that apply to it, and opens or continues its stream."""
         request = attempt.request
         budgets = self.budget_set.matching(request.class_index, source)
         if not budgets:
@@ -284,7 +284,7 @@
             if event.request_closed:
                 self.requests_with_transfers.pop(event.request_id, None)
             return
-        # what it transferred is judged by what was known before its own answer
+        # before `_record_answer`, so that the attempt's own answer does not affect the estimate
         transferred, guessed = self.estimator.transferred(attempt, event)
         if event.result == _DONE and event.body_size:
             self._record_answer(now, attempt, event.body_size, event)
@@ -301,19 +301,18 @@
             self.distributions.add(attempt.request.class_index, size, event.duration)
 
     def _track_transfers(self, event: AttemptEnded, transferred: int) -> None:
-        """Remembers open requests for which bytes were transferred: more of them are repeats."""
+        """Remembers open requests for which bytes were transferred: further bytes count as repeated."""
         if event.request_closed or event.result == _DONE:
             self.requests_with_transfers.pop(event.request_id, None)
         elif transferred:
             self.requests_with_transfers[event.request_id] = None
-            if (
-                len(self.requests_with_transfers) > self.config.max_streams
-            ):  # bounds the memory if ends get lost
+            # bounds the memory if end events are lost
+            if len(self.requests_with_transfers) > self.config.max_streams:
                 del self.requests_with_transfers[next(iter(self.requests_with_transfers))]
 
     def adopt(self, previous: TrafficLedger) -> None:
-        """Goes on with what a ledger under earlier settings has in flight."""
-        self.attempts = previous.attempts  # each is settled where it was charged
+        """Takes over attempts, estimates, streams and peers from the ledger of the previous settings."""
+        self.attempts = previous.attempts  # each is settled in the allowances that it was charged to
         self.requests_with_transfers = previous.requests_with_transfers
         self.estimator.classes = previous.estimator.classes
         if previous.streams is not None and self.streams is not None:
@@ -323,4 +322,4 @@
             }
             self.streams.adopt(previous.streams, replacements)
         if previous.exchange is not None and self.exchange is not None:
-            self.exchange.peers = previous.exchange.peers  # a grant must not be deposited twice
+            self.exchange.peers = previous.exchange.peers  # keeps their counters: no grant is deposited twice
--- a/ironhinge/traffic/ledger_state.py
+++ b/ironhinge/traffic/ledger_state.py
@@ -1,4 +1,4 @@
-"""What a restart has to know of a ledger: captured for a snapshot, and restored from one."""
+"""Captures the state of a ledger for a snapshot, and restores it after a restart."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def capture(ledger: TrafficLedger, is_final: bool) -> AccountState:
-    """The state of a ledger.
+    """Returns the state of a ledger.
 
     Args:
         ledger: The ledger.
-        is_final: Whether it is the last state of this incarnation, so that nothing is missing after it.
+        is_final: Whether this is the last state of the incarnation, after which nothing more is counted.
     """
     estimator, distributions = ledger.estimator, ledger.distributions
     return AccountState(
@@ -36,10 +36,10 @@
 
 
 def restore(ledger: TrafficLedger, state: AccountState, now: int) -> list[LogNotice]:
-    """Takes up a state in a new ledger; returns what an operator should know.
+    """Restores a state into a new ledger; returns the notices to log for operators.
 
-    The time since a state that is not final can't be known. It counts as spent in the budgets and as unknown
-    in the account: bytes are never made up for it.
+    What was transferred since a state that is not final is unknown. The budgets count as spent all that fills
+    could have spent in that time; the account adds the time to `unknown_ms` and estimates no bytes for it.
     """
     identity, calendar = ledger.identity, ledger.calendar
     if (state.zones, state.request_classes) != (identity.zones, identity.request_classes):
@@ -47,7 +47,7 @@
     if state.period_ms != calendar.period_ms:
         return [LogNotice(SNAPSHOT_DISCARDED, {"reason": "other_period_length"})]
     unaccounted_ms = max(0, calendar.advance(now) - state.unix_ms)
-    calendar.unix_ms = max(calendar.unix_ms, state.unix_ms)  # the clock may have been set back since
+    calendar.unix_ms = max(calendar.unix_ms, state.unix_ms)  # the system clock may have been set back since
     ledger.period_start = calendar.period_start()
     ledger.account.restore(state.account)
     ledger.estimator.bytes_per_kb, ledger.estimator.observed_kb = state.size_scale
--- a/ironhinge/traffic/log_events.py
+++ b/ironhinge/traffic/log_events.py
@@ -1,4 +1,4 @@
-"""The events that this package writes to the log: a name, then its fields as `key=value`."""
+"""The log events of this package: each log line is the event name followed by fields as `key=value`."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
 
 
 def log_line(event: str, fields: Mapping[str, object]) -> str:
-    """The text of a log line; a field that holds free text should come last."""
+    """Returns the text of a log line; a field with free text should come last."""
     return " ".join([event, *(f"{name}={value}" for name, value in fields.items())])
--- a/ironhinge/traffic/metrics.py
+++ b/ironhinge/traffic/metrics.py
@@ -1,7 +1,7 @@
-"""The listener for scrapes by Prometheus; imported only where operators ask for it.
+"""The HTTP server for Prometheus; imported only where operators have enabled it.
 
-Its thread never touches the ledger: it shows the metric families that the director's loop publishes now and
-then.
+Its thread never accesses the ledger: it serves the metric families that the director's event loop published
+last.
 """
 
 from __future__ import annotations
@@ -42,9 +42,11 @@
 
 def _transfer_families(ledger: TrafficLedger) -> list[Metric]:
     transferred = CounterMetricFamily(
-        "ironhinge_crossed_bytes", "Bytes that fills carried.", labels=TRANSFER_LABELS
+        "ironhinge_crossed_bytes", "Bytes transferred by fills.", labels=TRANSFER_LABELS
+    )
+    fills = CounterMetricFamily(
+        "ironhinge_crossed_fills", "Fills that transferred bytes.", labels=TRANSFER_LABELS
     )
-    fills = CounterMetricFamily("ironhinge_crossed_fills", "Fills that carried them.", labels=TRANSFER_LABELS)
     for kind, totals in _totals_by_kind(ledger).items():
         values = _label_values(ledger, kind)
         transferred.add_metric(values, totals.transferred)
@@ -53,9 +55,19 @@
 
 
 def _budget_families(ledger: TrafficLedger) -> list[Metric]:
-    refusals = CounterMetricFamily("ironhinge_budget_refusals", "Times without room.", labels=BUDGET_LABELS)
-    spent = GaugeMetricFamily("ironhinge_budget_spent_bytes", "Of this period.", labels=BUDGET_LABELS)
-    emergency = GaugeMetricFamily("ironhinge_budget_drawn_bytes", "Of its allowance.", labels=BUDGET_LABELS)
+    refusals = CounterMetricFamily(
+        "ironhinge_budget_refusals", "Refusals of fills because a budget had no room.", labels=BUDGET_LABELS
+    )
+    spent = GaugeMetricFamily(
+        "ironhinge_budget_spent_bytes",
+        "Bytes spent in this billing period, without the emergency allowance.",
+        labels=BUDGET_LABELS,
+    )
+    emergency = GaugeMetricFamily(
+        "ironhinge_budget_drawn_bytes",
+        "Bytes spent from the emergency allowance in this billing period.",
+        labels=BUDGET_LABELS,
+    )
     for name, usage in ledger.budget_set.usage().items():
         refusals.add_metric([name], usage.refusals)
         spent.add_metric([name], usage.spent)
@@ -64,13 +76,13 @@
 
 
 class MetricsExporter(Collector):
-    """Serves the metrics that were published last."""
+    """Serves the last published metrics over HTTP."""
 
     def __init__(self, config: records.Metrics):
-        """Opens the listener.
+        """Starts the HTTP server in a thread.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: The server cannot listen on the address.
         """
         self._families: list[Metric] = []
         registry = CollectorRegistry()
@@ -78,12 +90,12 @@
         self.server, self.thread = start_http_server(config.port, config.host, registry)
 
     def collect(self) -> Iterator[Metric]:
-        """The metrics that were published last; called by the listener's thread."""
+        """Returns the metrics that were published last; called in the server's thread."""
         return iter(self._families)
 
     def publish(self, ledger: TrafficLedger) -> None:
-        """Makes the metrics of a ledger the ones that are served.
+        """Publishes the current metrics of a ledger.
 
-        Counters are sums over the billing periods in memory; they only rise while the director runs.
+        Transfer counters are sums over the billing periods in memory: they rise until the oldest is dropped.
         """
         self._families = _transfer_families(ledger) + _budget_families(ledger)
--- a/ironhinge/traffic/plot.py
+++ b/ironhinge/traffic/plot.py
@@ -1,4 +1,4 @@
-"""The chart of a report. Imported only where one is asked for: matplotlib is an optional extra."""
+"""The chart of a report. Imported only when a chart is drawn: matplotlib is an optional dependency."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def draw_chart(report: Report, dimension: str, path: Path) -> None:
-    """Draws transferred bytes over time, stacked by one cut, into a PNG.
+    """Writes a PNG chart of transferred bytes over time, stacked by one dimension.
 
     Raises:
         OSError: The file could not be written.
@@ -33,8 +33,8 @@
         megabytes = ([size / BYTES_PER_MB for size in row] for row in rows.values())
         axes.stackplot(times, *megabytes, labels=list(rows))
         axes.legend(loc="upper left", fontsize="small")
-    axes.set_ylabel(f"MB a {report.window}")
-    axes.set_title(f"What crossed, by {dimension}")
+    axes.set_ylabel(f"MB per {report.window}")
+    axes.set_title(f"Transferred bytes by {dimension}")
     figure.autofmt_xdate()
     figure.tight_layout()
     figure.savefig(path, dpi=DOTS_PER_INCH)
--- a/ironhinge/traffic/quota_datagram.py
+++ b/ironhinge/traffic/quota_datagram.py
@@ -1,8 +1,8 @@
-"""The datagrams by which directors exchange quota: at most 256 bytes, integers in network byte order.
+"""The datagrams with which directors exchange quota: at most 256 bytes, integers in network byte order.
 
-A header is followed by entries. A request entry tells the bytes of a budget that its sender refused lately. A
-grant entry is a counter that only rises: all bytes of a budget that went from one incarnation of the sender
-to one incarnation of the recipient.
+A header is followed by entries. A request entry holds the bytes of a budget that the sender recently refused.
+A grant entry is a counter that only rises: the total bytes of a budget that one incarnation of the sender has
+granted to one incarnation of the recipient.
 """
 
 from __future__ import annotations
@@ -18,59 +18,59 @@
 REQUEST_ENTRY, GRANT_ENTRY = 1, 2
 SEQUENCE_MASK = 0xFFFFFFFF
 
-HEADER = struct.Struct(">2sHQI")  # magic, sender, its incarnation, sequence number
-REQUEST = struct.Struct(">BIQ")  # entry kind, budget, bytes
-GRANT = struct.Struct(">BIHQQ")  # entry kind, budget, recipient, its incarnation, bytes in all
+HEADER = struct.Struct(">2sHQI")  # magic, sender, sender incarnation, sequence number
+REQUEST = struct.Struct(">BIQ")  # entry kind, budget key, bytes
+GRANT = struct.Struct(">BIHQQ")  # entry kind, budget key, recipient, recipient incarnation, total bytes
 
 
 class QuotaRequest(NamedTuple):
-    """Bytes of a budget that the sender refused lately."""
+    """Bytes of a budget that the sender recently refused."""
 
     budget_key: int
     size: int
 
 
 class QuotaGrant(NamedTuple):
-    """All bytes of a budget that the sender granted to one incarnation of a peer."""
+    """The total bytes of a budget that the sender has granted to one incarnation of a peer."""
 
     budget_key: int
     recipient: int
-    incarnation: int
+    incarnation: int  # of the recipient
     total: int
 
 
 class QuotaMessage(NamedTuple):
-    """One datagram, read."""
+    """A decoded datagram."""
 
     sender: int
-    incarnation: int
+    incarnation: int  # of the sender
     sequence: int
     requests: tuple[QuotaRequest, ...]
     grants: tuple[QuotaGrant, ...]
 
 
 def budget_key(name: str) -> int:
-    """The number that stands for a budget's name."""
+    """Returns the number that identifies a budget in datagrams, a hash of its name."""
     return xxhash.xxh32_intdigest(name)
 
 
 def encode_header(sender: int, incarnation: int, sequence: int) -> bytes:
-    """The beginning of a datagram."""
+    """Encodes the header of a datagram."""
     return HEADER.pack(MAGIC, sender, incarnation, sequence & SEQUENCE_MASK)
 
 
 def encode_requests(requests: Iterable[QuotaRequest]) -> list[bytes]:
-    """The entries of requests."""
+    """Encodes request entries."""
     return [REQUEST.pack(REQUEST_ENTRY, *request) for request in requests]
 
 
 def encode_grants(grants: Iterable[QuotaGrant]) -> list[bytes]:
-    """The entries of grants."""
+    """Encodes grant entries."""
     return [GRANT.pack(GRANT_ENTRY, *grant) for grant in grants]
 
 
 def decode(data: bytes) -> QuotaMessage | None:
-    """Reads a datagram; None for what is not one of ours, as a datagram may hold anything."""
+    """Decodes a datagram; returns None for invalid data, as anyone may send a datagram."""
     if not HEADER.size <= len(data) <= MAX_BYTES:
         return None
     magic, sender, incarnation, sequence = HEADER.unpack_from(data)
--- a/ironhinge/traffic/quota_exchange.py
+++ b/ironhinge/traffic/quota_exchange.py
@@ -1,11 +1,11 @@
-"""How the directors of a location move parts of a budget to where the demand is.
-
-Each director spends only its own part, and the parts sum up to the budget. One that has a surplus withdraws
-bytes from its own buckets first and then grants them to a peer that refused fills lately. The recipient
-deposits what is new in the sender's counter (see `quota_datagram`). So a message that is lost, late or
-duplicated never makes two bytes of one; what is lost with an incarnation on either side is lost, and nothing
-is granted to a peer that was not heard from lately. An unresponsive peer's part is never taken from it:
-nobody can tell a dead peer from one that only can't be reached.
+"""The exchange of quota between the directors of a location: parts of a budget move to where the demand is.
+
+Each director spends only its own part, and the parts sum up to the budget. A director with a surplus first
+withdraws bytes from its own buckets and then grants them to a peer that recently refused fills. The recipient
+deposits only the increase of the sender's counter (see `quota_datagram`), so a message that is lost, late or
+duplicated never duplicates bytes. Grants that are in transit when either director restarts are lost, and
+nothing is granted to a peer that has been silent for `PEER_TIMEOUT`. The part of a silent peer is never taken
+over, because a stopped peer can't be told from one that is only unreachable.
 """
 
 from __future__ import annotations
@@ -29,25 +29,25 @@
 )
 from .types import BroadcastDatagram, LedgerCommand
 
-PEER_TIMEOUT = 20_000  # a peer that was not heard from for that long is granted nothing
-DEMAND_DECAY = 0.5  # of the unmet demand, after each message
+PEER_TIMEOUT = 20_000  # a peer that has been silent for longer is granted nothing
+DEMAND_DECAY = 0.5  # factor applied to the unmet demand after each message
 LONG_AGO = -(1 << 60)
 
 
 class QuotaPeer:
-    """What is known of one incarnation of a peer; all sizes by the key of their budget."""
+    """The state of the exchange with one incarnation of a peer; sizes are by budget key."""
 
     __slots__ = ("granted", "incarnation", "last_seen", "received", "requested")
 
     def __init__(self, incarnation: int, now: int):
         self.incarnation, self.last_seen = incarnation, now
-        self.requested: dict[int, int] = {}  # what is left of its last requests
-        self.granted: dict[int, int] = {}  # all that went to it
-        self.received: dict[int, int] = {}  # all that came from it
+        self.requested: dict[int, int] = {}  # bytes that it last requested, less those granted since
+        self.granted: dict[int, int] = {}  # total bytes granted to it
+        self.received: dict[int, int] = {}  # total bytes received from it
 
 
 class QuotaExchange:
-    """The requests and grants of one director."""
+    """Requests quota from peers and grants them the surplus of this director."""
 
     def __init__(
         self, config: records.Share, budgets: Mapping[str, Budget], peer_index: int, incarnation: int
@@ -57,10 +57,10 @@
         self.peers: dict[int, QuotaPeer] = {}
         self._sequence = 0
         self._sent_at = LONG_AGO
-        self._grant_offset = 0  # where the next message begins among the grants
+        self._grant_offset = 0  # index of the first grant in the last message that could not hold all grants
 
     def receive(self, now: int, sender: int, data: bytes) -> None:
-        """Takes in a datagram, whatever it holds."""
+        """Applies a datagram; invalid ones are ignored."""
         message = decode(data)
         if message is None or message.sender != sender or sender == self._peer_index:
             return
@@ -68,7 +68,7 @@
         if peer is None or message.incarnation > peer.incarnation:
             peer = self.peers[sender] = QuotaPeer(message.incarnation, now)
         elif message.incarnation < peer.incarnation:
-            return  # it comes late, from an earlier incarnation
+            return  # a late datagram of an earlier incarnation
         peer.last_seen = now
         peer.requested.update(message.requests)
         self._deposit_grants(peer, message)
@@ -85,7 +85,7 @@
                     bucket.deposit(newly_granted)
 
     def tick(self, now: int) -> list[LedgerCommand]:
-        """Grants what is in surplus and sends a message, when it is time to."""
+        """Grants the surplus and sends a message, if the interval since the last one has passed."""
         if now < self._sent_at + self._config.every:
             return []
         self._sent_at = now
@@ -94,7 +94,7 @@
         return [BroadcastDatagram(self._next_message())]
 
     def _grant_surplus(self, now: int, key: int, budget: Budget) -> None:
-        """Divides the surplus among the peers that request some, in proportion to what they request."""
+        """Divides the surplus among the requesting peers, in proportion to their requests."""
         requesting = [
             (peer.requested.get(key, 0), peer)
             for peer in self.peers.values()
@@ -110,12 +110,12 @@
             if size <= 0:
                 continue
             for bucket in buckets:
-                bucket.withdraw(size)  # before anyone else can have it
+                bucket.withdraw(size)  # withdrawn first, so that no byte is spent on both sides
             peer.granted[key] = peer.granted.get(key, 0) + size
             peer.requested[key] = requested - size
 
     def _next_message(self) -> bytes:
-        """Requests first, then as many grants as fit, in turn: all of them come round."""
+        """Encodes requests, then as many grants as fit; the grants rotate, so that all of them get sent."""
         self._sequence += 1
         header = encode_header(self._peer_index, self._incarnation, self._sequence)
         max_requests = (MAX_BYTES - len(header)) // 2 // REQUEST.size
--- a/ironhinge/traffic/report.py
+++ b/ironhinge/traffic/report.py
@@ -1,6 +1,6 @@
-"""The report: sums over the accounts of several directors, their cost, and where a period is going.
+"""The report: sums over the accounts of several directors, their cost, and the projected use of budgets.
 
-It reads no file: it is made of snapshots, of which each director's newest counts.
+It is built from snapshots in memory, of which only the newest of each director counts.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class ReportLine(NamedTuple):
-    """One kind of transfer in one interval, by names."""
+    """The sums of one kind of transfer in one interval, with names instead of indices."""
 
     start_ms: int  # Unix milliseconds
     destination: str
@@ -43,27 +43,27 @@
 
     @property
     def zone_pair(self) -> str:
-        """Both zones together."""
+        """The source and the destination zone as one label."""
         return f"{self.source} to {self.destination}"
 
     def dimension(self, name: str) -> str:
-        """Its value in one of `labels.CUTS`."""
+        """Returns the value of one of `labels.DIMENSIONS`."""
         return str(getattr(self, DIMENSION_FIELDS[name]))
 
 
 @dataclass(slots=True)
 class BudgetSummary:
-    """What all directors together have spent of a budget, in bytes of this period."""
+    """The use of a budget in this period, summed over all directors; sizes are in bytes."""
 
     spent: int = 0
     emergency_spent: int = 0
     refusals: int = 0
     limit: int | None = None
     remaining: int | None = None
-    projected: int = 0  # by the period's end, at the pace so far
+    projected: int = 0  # spent by the end of the period, at the average rate so far
 
     def add(self, usage: BudgetUsage, state: AccountState) -> None:
-        """Adds the part of one director."""
+        """Adds the use of one director."""
         self.spent += usage.spent
         self.emergency_spent += usage.emergency_spent
         self.refusals += usage.refusals
@@ -77,35 +77,35 @@
 
 
 class Report:
-    """The lines of one interval, or of all intervals, of a window."""
+    """The lines of one interval or of all intervals of a window, and the snapshots that they come from."""
 
     def __init__(self, lines: list[ReportLine], snapshots: list[Snapshot], window: str, start_ms: int | None):
         self.lines, self.snapshots, self.window, self.start_ms = lines, snapshots, window, start_ms
 
     def total(self) -> int:
-        """Transferred bytes."""
+        """Returns the transferred bytes."""
         return sum(line.transferred for line in self.lines)
 
     def guessed(self) -> int:
-        """Transferred bytes that are guessed."""
+        """Returns the part of the transferred bytes that is estimated."""
         return sum(line.guessed for line in self.lines)
 
     def from_origin(self) -> int:
-        """Bytes that hubs drew from the origin for the fills."""
+        """Returns the bytes that hubs fetched from the origin for the fills."""
         return sum(line.from_origin for line in self.lines)
 
     def fills(self) -> int:
-        """Fills that transferred bytes."""
+        """Returns the number of fills that transferred bytes."""
         return sum(line.fills for line in self.lines)
 
     def diverted_share(self) -> float:
-        """The share of the bytes that came from another hub than the preferred one, rounded."""
+        """Returns the share of the bytes that were diverted from the preferred hub, rounded."""
         total = self.total()
         diverted = self.by("forced").get(DIVERTED_LABEL, 0)
         return round(diverted / total, SHARE_DIGITS) if total else 0.0
 
     def by(self, *dimensions: str) -> dict[str, int]:
-        """Transferred bytes by one of `labels.CUTS`, or several together, the most first."""
+        """Returns transferred bytes by one or several of `labels.DIMENSIONS`, in descending order."""
         sums: dict[str, int] = {}
         for line in self.lines:
             key = " | ".join(line.dimension(dimension) for dimension in dimensions)
@@ -113,7 +113,7 @@
         return dict(sorted(sums.items(), key=lambda item: -item[1]))
 
     def cost(self, prices: Sequence[records.Price]) -> dict[str, float]:
-        """The cost by route: each line at the last price that fits it; without one it costs nothing."""
+        """Returns the cost by route: each line at the last price that applies to it, if there is one."""
         costs: dict[str, float] = {}
         for line in self.lines:
             price = next((each for each in reversed(prices) if _price_applies(each, line)), None)
@@ -123,7 +123,7 @@
         return costs
 
     def budgets(self) -> dict[str, BudgetSummary]:
-        """The budgets of all directors together, by name."""
+        """Returns the use of each budget summed over all directors, by name."""
         summaries: dict[str, BudgetSummary] = {}
         for snapshot in self.snapshots:
             for name, usage in snapshot.state.usage.items():
@@ -131,11 +131,11 @@
         return summaries
 
     def unknown_ms(self) -> int:
-        """Time of this period that is in no account, summed over the directors."""
+        """Returns the time of this period that accounts do not cover, summed over the directors."""
         return sum(snapshot.state.unknown_ms for snapshot in self.snapshots)
 
     def distributions(self) -> dict[str, dict[str, ClassDistribution]]:
-        """Sizes and durations of fills, by director and request class."""
+        """Returns sizes and durations of fills, by director and request class."""
         return {
             snapshot.director: snapshot.state.distributions
             for snapshot in self.snapshots
@@ -143,10 +143,10 @@
         }
 
     def series(self, dimension: str) -> tuple[list[int], dict[str, list[int]]]:
-        """Transferred bytes over time by one cut.
+        """Sums up transferred bytes over time by one dimension.
 
         Returns:
-            When the intervals began, and for each value of the cut the bytes in each of them.
+            The starts of the intervals, and for each value of the dimension the bytes per interval.
         """
         starts = sorted({line.start_ms for line in self.lines})
         series: dict[str, list[int]] = {}
@@ -176,13 +176,13 @@
     start_ms: int | None = None,
     all_intervals: bool = False,
 ) -> Report:
-    """Makes a report of the newest snapshot of each director.
+    """Makes a report from the newest snapshot of each director.
 
     Args:
-        snapshots: Of any directors, in any order.
+        snapshots: Snapshots of any directors, in any order.
         window: The name of a window of the account.
-        start_ms: The interval that began then; None: the newest that any director has.
-        all_intervals: Take all intervals instead.
+        start_ms: The start of the interval to report; None: the latest interval of any director.
+        all_intervals: Report all intervals instead of one.
     """
     latest = newest_by_director(snapshots)
     intervals = [
@@ -203,7 +203,7 @@
 
 
 def _newest_start(latest: list[Snapshot], intervals: list[_Interval], window: str) -> int | None:
-    """When the newest interval began; a billing period counts from its start, though nothing was sent."""
+    """Returns the latest start of an interval; a billing period counts even without transfers."""
     if window == PERIOD_WINDOW:
         return max((snapshot.state.period_start for snapshot in latest), default=None)
     return max((interval.start_ms for interval in intervals), default=None)
--- a/ironhinge/traffic/report_formats.py
+++ b/ironhinge/traffic/report_formats.py
@@ -1,4 +1,4 @@
-"""The forms of a report: JSON, CSV and a table for people. What other programs read keeps its names here."""
+"""The output formats of a report: JSON, CSV and a text table. Key and column names are public."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 def to_json(
     report: Report, dimensions: Sequence[str], prices: Sequence[records.Price] = ()
 ) -> dict[str, Any]:
-    """The object that `--json` prints."""
+    """Returns the object that `--json` prints."""
     return {
         "window": report.window,
         "start": report.start_ms,
@@ -65,7 +65,7 @@
 
 
 def to_csv(report: Report) -> str:
-    """Every line of the report, under a header."""
+    """Returns all lines of the report as CSV with a header."""
     out = io.StringIO()
     writer = csv.writer(out, lineterminator="\n")
     writer.writerow(CSV_HEADER)
@@ -74,7 +74,7 @@
 
 
 def format_size(size: float) -> str:
-    """Bytes for people."""
+    """Formats a number of bytes with a decimal unit."""
     unit = SIZE_UNITS[0]
     for unit in SIZE_UNITS:
         if abs(size) < BYTES_PER_KB or unit == SIZE_UNITS[-1]:
@@ -84,7 +84,7 @@
 
 
 def to_table(report: Report, dimensions: Sequence[str], prices: Sequence[records.Price] = ()) -> str:
-    """The report for people."""
+    """Returns the report as a text table."""
     lines = [
         f"{report.window} from {report.start_ms}, {len(report.snapshots)} directors: "
         f"{format_size(report.total())} in {report.fills()} fills, "
@@ -92,7 +92,7 @@
     ]
     if report.unknown_ms():
         seconds = report.unknown_ms() / MS_PER_SECOND
-        lines.append(f"not in it: {seconds:.1f} s of directors that ended without a last snapshot")
+        lines.append(f"not covered: {seconds:.1f} s of directors that stopped without a final snapshot")
     for dimension in dimensions:
         lines.append("")
         lines += [
--- a/ironhinge/traffic/service.py
+++ b/ironhinge/traffic/service.py
@@ -1,7 +1,7 @@
-"""The account of one director, as its front uses it: the ledger with its clocks, its file and its metrics.
+"""The account of one director as its host uses it: the ledger with its clocks, snapshot file and metrics.
 
-Nothing is decided here. What the front reports goes to the ledger, and what the ledger says is carried out.
-Snapshots are written in the background: a slow or full disk makes the report older and holds up no request.
+The service makes no decisions: it passes the host's reports to the ledger and executes the returned commands.
+Snapshots are written in the background, so a slow or full disk makes reports outdated but delays no request.
 """
 
 from __future__ import annotations
@@ -36,30 +36,30 @@
     LogNotice,
 )
 
-# seconds; each tick wakes the program, so there are only as many as budgets need
+# seconds; each tick wakes the process, so ticks are only as frequent as budgets need
 TICK_SECONDS, EXCHANGE_TICK_SECONDS = 0.5, 0.05
-SLOW_DISK_SECONDS = 5  # a snapshot that takes longer is logged
+SLOW_DISK_SECONDS = 5  # a snapshot write that takes longer is logged
 SNAPSHOT_JOB, SNAPSHOT_JOB_PRIORITY = "snapshot", 1
 SNAPSHOT_JOB_DEADLINE = CLOCK_UNITS_PER_SECOND
 
 
 class Clocks(NamedTuple):
-    """The clocks of the front."""
+    """The clocks of the host."""
 
     monotonic: Callable[[], int]  # tenths of a millisecond
     unix_ms: Callable[[], int]
 
     def read(self) -> ClockReading:
-        """Both of them now."""
+        """Reads both clocks."""
         return ClockReading(self.monotonic(), self.unix_ms())
 
 
 def _ignore_datagram(data: bytes) -> None:
-    """Stands for the network until the front has connected it."""
+    """Discards a datagram; used until the host sets `AccountService.send_gossip`."""
 
 
 class AccountService:
-    """The account of one director."""
+    """The account of one director, for its host."""
 
     def __init__(
         self,
@@ -69,17 +69,17 @@
         clocks: Clocks,
         runner: Runner,
     ):
-        """Opens the account, with what the last snapshot holds of it.
+        """Creates the account and restores it from the last snapshot, if there is one.
 
         Args:
             config: The operators' settings.
-            deployment: What the router knows of the deployment.
-            identity: Whose account it is.
-            clocks: The clocks of the front.
-            runner: Runs the writing of snapshots in the background.
+            deployment: The configuration of the router.
+            identity: The director that the account belongs to.
+            clocks: The clocks of the host.
+            runner: Runs the jobs that write snapshots in the background.
 
         Raises:
-            OSError: The address for metrics can't be listened on.
+            OSError: The metrics server cannot listen on its address.
         """
         self._config, self._deployment, self._identity = config, deployment, identity
         self._clocks, self._runner = clocks, runner
@@ -87,14 +87,14 @@
         self._endpoints: dict[str, interface.Endpoint] = {}
         self._file = SnapshotFile()
         self._write_requested_at = 0
-        # set by the front: sends a datagram to all peers, and reads the operators' files again
+        # set by the host: broadcasts a datagram to all peers, and reads the operators' files again
         self.send_gossip: Callable[[bytes], None] = _ignore_datagram
         self.read_settings: Callable[[], records.Operations] | None = None
         self.ledger = self._new_ledger(config)
         self._restore()
         self.metrics: Any = None
         if config.metrics is not None:
-            from .metrics import MetricsExporter  # an optional extra
+            from .metrics import MetricsExporter  # needs an optional dependency
 
             self.metrics = MetricsExporter(config.metrics)
 
@@ -120,9 +120,10 @@
             self._execute(ledger_state.restore(self.ledger, snapshot.state, self._clocks.monotonic()))
 
     async def reload(self) -> None:
-        """Reads the operators' files again and applies them; a bad file changes nothing and is logged.
+        """Reads the operators' files again and applies them; an invalid file is logged and changes nothing.
 
-        They are read by a process of its own, which a thread waits for: no request and no other signal does.
+        The files are read in a separate process and a thread waits for it, so that requests and other signals
+        are not blocked.
         """
         if self.read_settings is None:
             return
@@ -132,7 +133,7 @@
             logger.error(log_line(log_events.SETTINGS_RELOAD_FAILED, {"error": error}))
 
     def _apply(self, operations: records.Operations) -> None:
-        """Applies new settings between two events, as far as that can be done without a restart."""
+        """Applies new settings between two events; logs changes that need a restart and ignores them."""
         config = operations.traffic
         if config is None:
             self._log_ignored_change("traffic")
@@ -153,7 +154,7 @@
         logger.warning(log_line(log_events.SETTINGS_CHANGE_IGNORED, fields))
 
     def _replace_ledger(self, config: records.Traffic) -> None:
-        """Goes on under new settings: with the account, and what a budget of the same name has spent."""
+        """Replaces the ledger for new settings; keeps the account, and the state of budgets by name."""
         previous, self._config = self.ledger, config
         self.ledger = self._new_ledger(config)
         endpoints = interface.EndpointsUpdated(True, tuple(self._endpoints.values()))
@@ -175,7 +176,7 @@
         return self.ledger.wait_time(now, request, source_id)
 
     def on_endpoints_updated(self, now: int, event: interface.EndpointsUpdated) -> None:
-        """The endpoint list was read, or changed."""
+        """Handles the endpoint list or a change to it."""
         if event.is_full:
             self._endpoints = {}
         for endpoint in event.endpoints:
@@ -192,7 +193,7 @@
         command: interface.SendAttempt | interface.SendAttemptWithFill,
         source_id: str,
     ) -> None:
-        """An attempt went out; `source_id` is empty where no fill is named."""
+        """Handles the start of an attempt; `source_id` is empty if it has no fill source."""
         admission_rank, revalidates = 0, False
         if isinstance(command, interface.SendAttemptWithFill):
             admission_rank, revalidates = command.admission_rank, command.revalidates
@@ -202,21 +203,21 @@
     def on_attempt_finished(
         self, now: int, event: interface.AttemptFinished, body_size: int | None, client_disconnected: bool
     ) -> None:
-        """An attempt ended; `body_size` is None where the answer held none of the bytes."""
+        """Handles the end of an attempt; `body_size` is None if no body was received."""
         ended = AttemptEnded(
             event.request_id, event.result, event.cache_status, body_size, event.duration, client_disconnected
         )
         self._execute(self.ledger.handle(now, ended))
 
     def on_gossip(self, now: int, sender: int, data: bytes) -> bool:
-        """A datagram came from a peer; returns whether datagrams are for the account at all."""
+        """Handles a datagram from a peer; returns False if the account does not use datagrams."""
         if self.ledger.exchange is None:
             return False
         self._execute(self.ledger.handle(now, DatagramReceived(sender, data)))
         return True
 
     async def run(self) -> None:
-        """Ticks, and writes a snapshot now and then, for as long as the program runs."""
+        """Runs until cancelled: ticks, publishes metrics and requests snapshots at intervals."""
         seconds_since_write = 0.0
         while True:
             tick = EXCHANGE_TICK_SECONDS if self._config.share is not None else TICK_SECONDS
@@ -231,7 +232,7 @@
                 self._request_write()
 
     def _request_write(self) -> None:
-        """Has a snapshot written in the background, unless the last one is still being written."""
+        """Submits a job that writes a snapshot, unless the previous job has not finished."""
         now = self._clocks.monotonic()
         if SNAPSHOT_JOB not in self._runner.scheduler.jobs:
             self._write_requested_at = now
@@ -242,14 +243,14 @@
             logger.warning(log_line(log_events.SNAPSHOT_WRITE_SLOW, fields))
 
     def pack_snapshot(self, is_final: bool) -> tuple[int, bytes]:
-        """The sequence number and the bytes of a snapshot of this moment."""
+        """Returns the sequence number and the bytes of a snapshot of the current state."""
         self._sequence += 1
         state = ledger_state.capture(self.ledger, is_final)
         snapshot = Snapshot(self._identity.name, self._incarnation, self._sequence, state)
         return self._sequence, pack(snapshot)
 
     def write_snapshot(self, path: Path, sequence: int, data: bytes) -> None:
-        """Writes a snapshot unless a newer one is there; a failure is logged."""
+        """Writes a snapshot unless a newer one has been written; a failure is logged."""
         try:
             self._file.write(path, sequence, data)
         except OSError as error:
@@ -257,7 +258,7 @@
             logger.warning(log_line(log_events.SNAPSHOT_WRITE_FAILED, fields))
 
     def _write_job(self) -> Iterator[int]:
-        """The job's slices: the snapshot is of the moment at which the job is made."""
+        """Returns the slices of the job; the state is captured here, before the first slice runs."""
         path = self._path()
         if path is None:
             return iter(())
@@ -268,7 +269,7 @@
         yield len(data)
 
     def close(self) -> None:
-        """Writes the last snapshot, which says that nothing is missing after it."""
+        """Writes the final snapshot, which marks that nothing was counted after it."""
         path = self._path()
         if path is not None:
             self.write_snapshot(path, *self.pack_snapshot(is_final=True))
--- a/ironhinge/traffic/snapshot.py
+++ b/ironhinge/traffic/snapshot.py
@@ -1,4 +1,4 @@
-"""The bytes of a snapshot: a magic line, a checksum, and a director's account with its budgets."""
+"""The stored form of a snapshot: a magic line, a checksum, and a director's account with its budgets."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class Snapshot(NamedTuple):
-    """One snapshot; its fields are stored in this order."""
+    """The state of a director's account at one time; its fields are stored in this order."""
 
     director: str
-    incarnation: int  # Unix millisecond of the director's start
-    sequence: int  # of the snapshot in that incarnation
+    incarnation: int  # Unix milliseconds of the director's start
+    sequence: int  # number of the snapshot within the incarnation
     state: AccountState
 
 
@@ -28,25 +28,27 @@
 
 
 def pack(snapshot: Snapshot) -> bytes:
-    """The bytes of a snapshot."""
+    """Encodes a snapshot."""
     body = msgspec.msgpack.encode(snapshot)
     return MAGIC + xxhash.xxh64_digest(body) + body
 
 
 def unpack(data: bytes) -> Snapshot:
-    """Reads the bytes of a snapshot.
+    """Decodes a snapshot.
 
     Raises:
-        SnapshotError: They are no snapshot of this version, or not all of one.
+        SnapshotError: The bytes are not a snapshot of this version, or they are incomplete or damaged.
     """
     if not data.startswith(MAGIC):
-        raise SnapshotError(f"no snapshot of this version: it begins {data[: len(MAGIC)]!r}, not {MAGIC!r}")
+        raise SnapshotError(
+            f"not a snapshot of this version: starts with {data[: len(MAGIC)]!r}, expected {MAGIC!r}"
+        )
     checksum, body = data[len(MAGIC) :][:CHECKSUM_BYTES], data[len(MAGIC) + CHECKSUM_BYTES :]
     found = xxhash.xxh64_digest(body)
     if found != checksum:
         raise SnapshotError(
-            f"not written whole: the checksum of {len(body)} bytes is {found.hex()}, "
-            f"expected {checksum.hex() or 'one'}"
+            f"checksum mismatch: the checksum of {len(body)} bytes is {found.hex()}, "
+            f"the file has {checksum.hex() or 'none'}"
         )
     try:
         return _decoder.decode(body)
@@ -55,10 +57,10 @@
 
 
 def newest(snapshots: Iterable[Snapshot]) -> Snapshot | None:
-    """The newest snapshot of one director.
+    """Returns the newest snapshot of one director.
 
-    Billing time goes before incarnation and sequence, so that a system clock that was set back does not
-    bring back the past.
+    Billing time is compared before incarnation and sequence: the incarnation is read from the system clock,
+    which may have been set back, and an older snapshot must not win then.
     """
     return max(
         snapshots,
@@ -68,7 +70,7 @@
 
 
 def newest_by_director(snapshots: Iterable[Snapshot]) -> list[Snapshot]:
-    """The newest snapshot of each director, by name; it holds all that the director counted before."""
+    """Returns the newest snapshot of each director, by name; it includes what earlier ones counted."""
     by_director: dict[str, list[Snapshot]] = {}
     for snapshot in snapshots:
         by_director.setdefault(snapshot.director, []).append(snapshot)
--- a/ironhinge/traffic/snapshot_files.py
+++ b/ironhinge/traffic/snapshot_files.py
@@ -1,4 +1,4 @@
-"""Snapshots on disk: one file for each director, replaced in one step."""
+"""Snapshots on disk: one file per director, replaced atomically."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def file_name(director: str) -> str:
-    """The name of a director's file."""
+    """Returns the name of a director's snapshot file."""
     return _UNSAFE_CHARACTERS.sub("_", director or DEFAULT_NAME) + SUFFIX
 
 
 def read_folder(folder: Path) -> tuple[list[Snapshot], list[str]]:
-    """The snapshots of a folder, and for each file that can't be read what is wrong with it."""
+    """Returns the snapshots in a folder, and an error message for each file that can't be read."""
     snapshots, unreadable = [], []
     for path in sorted(folder.glob("*" + SUFFIX)):
         try:
@@ -33,7 +33,7 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Replaces a file in one step: a reader, or a crash, finds the old bytes or the new ones.
+    """Replaces a file atomically: after a crash, or for a reader, it has either the old or the new bytes.
 
     Raises:
         OSError: The file could not be written; the old bytes stay.
@@ -48,14 +48,14 @@
 
 
 class SnapshotFile:
-    """The file of one director; it may be written from several threads."""
+    """The snapshot file of one director; safe to write from several threads."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._written_sequence = 0  # the newest sequence number in it
+        self._written_sequence = 0  # highest sequence number written
 
     def write(self, path: Path, sequence: int, data: bytes) -> None:
-        """Writes a snapshot unless a newer one is there: a slow disk may finish an older one last.
+        """Writes a snapshot unless a newer one has been written: on a slow disk an older write may come last.
 
         Raises:
             OSError: The file could not be written.
--- a/ironhinge/traffic/state.py
+++ b/ironhinge/traffic/state.py
@@ -1,4 +1,4 @@
-"""The records of a snapshot. The names of their fields in stored bytes are given here, and nowhere else."""
+"""The records of a snapshot. Their stored field names are defined only here."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BudgetState(msgspec.Struct, frozen=True):
-    """What a restart has to know of a budget."""
+    """The state of a budget that is restored after a restart."""
 
     spent: int  # bytes of this period
     emergency_spent: int = msgspec.field(name="drawn")
@@ -17,19 +17,19 @@
 
 
 class BudgetUsage(msgspec.Struct, frozen=True):
-    """How much of a director's part of a budget is used; None where the budget has no such thing."""
+    """How much of a director's part of a budget is used; None where the budget has no such limit."""
 
     spent: int  # bytes of this period
     emergency_spent: int = msgspec.field(name="drawn")
     refusals: int = msgspec.field(name="refused")
     limit: float | None = msgspec.field(name="sum")
-    rate: float | None  # bytes a second
+    rate: float | None  # bytes per second
     remaining: float | None = msgspec.field(name="left")
     stream_count: int | None = msgspec.field(name="streams")
 
 
 class ClassDistribution(msgspec.Struct, frozen=True):
-    """Sizes and durations of the fills of a request class, by percentile."""
+    """Sizes in bytes and durations of the fills of a request class, by percentile."""
 
     fills: int
     sizes: dict[str, int] = msgspec.field(name="bytes")
@@ -37,7 +37,7 @@
 
 
 class AccountState(msgspec.Struct, frozen=True):
-    """All that a restart and the reports have to know of a director's account and budgets."""
+    """The state of a director's account and budgets, for restarts and reports."""
 
     zones: tuple[str, ...]
     request_classes: tuple[str, ...] = msgspec.field(name="vhosts")
@@ -45,9 +45,11 @@
     unix_ms: int = msgspec.field(name="unix")
     period_start: int = msgspec.field(name="period")
     period_ms: int
-    is_final: bool = msgspec.field(name="clean")  # the last one of its incarnation: nothing came after it
-    unknown_ms: int  # of this period: time that is not in the account
-    size_scale: tuple[float, float] = msgspec.field(name="per_kb")  # bytes a KB, and KB they were seen over
+    # the last snapshot of its incarnation: nothing was counted after it
+    is_final: bool = msgspec.field(name="clean")
+    unknown_ms: int  # time of this period that the account does not cover
+    # bytes per KB, and the total KB of the answers that this ratio was measured on
+    size_scale: tuple[float, float] = msgspec.field(name="per_kb")
     account: dict[str, list[StoredInterval]]
     budgets: dict[str, BudgetState]
     usage: dict[str, BudgetUsage] = msgspec.field(name="spans")
--- a/ironhinge/traffic/streams.py
+++ b/ironhinge/traffic/streams.py
@@ -1,7 +1,8 @@
-"""Which streams are open: the clients that request the segments of an object in turn, how large and how fast.
+"""The open streams, with the size and the rate of their segments.
 
-Whether a stream may begin is for the budgets to say. Memory is bounded by the setting `most_streams`: beyond
-it new streams are not told apart from other requests.
+A stream is a client connection that requests the segments of one object one after another.
+The budgets decide whether a new stream may start. Memory is bounded by the setting `most_streams`: further
+streams are not tracked and their requests are treated like all others.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from .buckets import NEVER
 from .reservations import StreamReservations
 
-SMOOTHING = 0.1  # weight of the newest interval, and the newest stream, in the means of a class
-REPEAT_SHARE = 0.3  # a segment that comes within this share of the usual interval repeats the last one
-# how many usual intervals a stream may pause
-NEW_STREAM_IDLE_INTERVALS = 3  # one that has shown a single segment
-ESTABLISHED_IDLE_INTERVALS = 5
-COMPLETE_IDLE_INTERVALS = 1.5  # one that has had as many segments as usual
+SMOOTHING = 0.1  # weight of the newest value in the moving averages of a class
+REPEAT_SHARE = 0.3  # of the mean interval: a segment requested sooner is a retry of the last one
+# number of mean intervals without a segment after which a stream is closed
+NEW_STREAM_IDLE_INTERVALS = 3  # stream with a single segment so far
+ESTABLISHED_IDLE_INTERVALS = 5  # stream with several segments
+COMPLETE_IDLE_INTERVALS = 1.5  # stream that has reached the mean number of segments
 
-StreamKey = tuple[int, int]  # the client connection, and the object
+StreamKey = tuple[int, int]  # ids of the client connection and the object
 
 
 class Stream:
@@ -29,49 +30,49 @@
 
     def __init__(self, class_index: int, now: int):
         self.class_index, self.updated_at = class_index, now
-        self.segment_size = 0.0  # bytes of its next segment
-        self.rate = 0.0  # bytes for each clock unit
+        self.segment_size = 0.0  # expected bytes of the next segment
+        self.rate = 0.0  # bytes per clock unit
         self.segment_count = 0
         self.reservations: tuple[StreamReservations, ...] = ()
 
     def reserve(self) -> None:
-        """Holds its rate and its next segment in each of its reservations."""
+        """Reserves its rate and its next segment in each of its budgets."""
         for reservations in self.reservations:
             reservations.reserve(self.rate, self.segment_size)
 
     def release(self) -> None:
-        """Gives up what it holds in its reservations."""
+        """Releases its reservations."""
         for reservations in self.reservations:
             reservations.release(self.rate, self.segment_size)
 
 
 class StreamTracker:
-    """The open streams, and what streams of each request class are usually like."""
+    """The open streams, and averages over the streams of each request class."""
 
     def __init__(self, max_streams: int, idle_timeout: int, default_interval: int):
         self.max_streams, self.idle_timeout = max_streams, idle_timeout
         self.default_interval = default_interval
-        self.intervals: dict[int, float] = {}  # by class: usual time between two segments
-        self.segment_counts: dict[int, float] = {}  # by class: usual number of segments
-        # streams of one segment, and those that went on; the longest idle first
+        self.intervals: dict[int, float] = {}  # by class: mean time between two segments
+        self.segment_counts: dict[int, float] = {}  # by class: mean number of segments
+        # streams with one segment, and those with more; the longest idle first
         self.new: OrderedDict[StreamKey, Stream] = OrderedDict()
         self.established: OrderedDict[StreamKey, Stream] = OrderedDict()
-        self.expired = 0  # streams that stopped
-        self.untracked = 0  # first segments that came while the memory was full
+        self.expired = 0  # streams closed because they were idle
+        self.untracked = 0  # first segments that opened no stream because `max_streams` were open
 
     def __len__(self) -> int:
         return len(self.new) + len(self.established)
 
     def segment_interval(self, class_index: int) -> float:
-        """The usual time between two segments of a stream of that class."""
+        """Returns the mean time between two segments of a stream of the class."""
         return self.intervals.get(class_index, float(self.default_interval))
 
     def stream_rate(self, class_index: int, segment_size: float) -> float:
-        """The rate of a stream of such segments, in bytes for each clock unit."""
+        """Returns the rate of a stream with such segments, in bytes per clock unit."""
         return segment_size / max(1.0, self.segment_interval(class_index))
 
     def find(self, key: StreamKey, now: int) -> Stream | None:
-        """An open stream; None where there is none, or it has stopped."""
+        """Returns an open stream; None if there is none or it has been idle too long."""
         self.expire(now)
         return self.established.get(key) or self.new.get(key)
 
@@ -83,9 +84,9 @@
         now: int,
         reservations: Sequence[StreamReservations],
     ) -> None:
-        """Counts a segment that is requested; its first one opens a stream that holds `reservations`.
+        """Counts a requested segment; the first one opens a stream that reserves in `reservations`.
 
-        A segment that is sent again counts once more, which only keeps the stream open longer.
+        A segment that is sent again counts again, which only keeps the stream open longer.
         """
         stream = self.find(key, now)
         if stream is None:
@@ -119,18 +120,18 @@
         stream.reserve()
 
     def continue_stream(self, key: StreamKey, class_index: int, now: int) -> None:
-        """Counts a segment whether or not it needs a fill; does nothing where no such stream is open."""
+        """Counts a segment of an open stream, whether or not it needs a fill; else does nothing."""
         stream = self.find(key, now)
         if stream is not None:
             self.record_segment(key, class_index, stream.segment_size, now, ())
 
     def adopt(self, other: StreamTracker, replacements: Mapping[int, StreamReservations | None]) -> None:
-        """Goes on with the streams of another tracker.
+        """Takes over the streams of another tracker.
 
         Args:
-            other: The tracker of the settings before.
-            replacements: The present reservations by the identity (`id`) of those before; None: they are
-                gone.
+            other: The tracker of the previous settings.
+            replacements: The current reservations by the identity (`id`) of the previous ones; None: the
+                budget no longer has reservations.
         """
         self.intervals, self.segment_counts = other.intervals, other.segment_counts
         self.new, self.established = other.new, other.established
@@ -140,10 +141,10 @@
             stream.reserve()
 
     def expire(self, now: int) -> None:
-        """Closes streams that have stopped and releases what they reserved.
+        """Closes streams that have been idle too long and releases their reservations.
 
-        One segment is no stream yet and is waited for less long: a flood of first segments then reserves
-        nothing for long.
+        A stream with a single segment is closed sooner, so that a flood of first segments does not hold
+        reservations for long.
         """
         for streams in (self.new, self.established):
             while streams:
@@ -161,6 +162,7 @@
             self.segment_counts[stream.class_index] = mean + SMOOTHING * (stream.segment_count - mean)
 
     def _idle_limit(self, stream: Stream, is_new: bool) -> float:
+        # while the mean number of segments is unknown, no stream is complete
         is_complete = stream.segment_count >= self.segment_counts.get(stream.class_index, NEVER)
         if is_complete:
             max_idle_intervals = COMPLETE_IDLE_INTERVALS
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -1,7 +1,7 @@
-"""The terms of the account: routes, outcomes, kinds of transfers, and the events and commands of the ledger.
+"""Types of the account: routes, outcomes and kinds of transfers, and the events and commands of the ledger.
 
-Times are tenths of a millisecond on the front's monotonic clock ("clock units") unless they say Unix
-milliseconds; sizes are bytes unless they say KB.
+Times are in clock units, tenths of a millisecond on the host's monotonic clock, unless named as Unix
+milliseconds. Sizes are in bytes unless named as KB.
 """
 
 from __future__ import annotations
@@ -17,48 +17,48 @@
 
 
 class Route(IntEnum):
-    """Where the bytes of a fill come from, as seen from the location of the cache; stored in snapshots."""
+    """Where the bytes of a fill come from, relative to the location of the cache; stored in snapshots."""
 
-    OWN_HUB = 0
-    OTHER_HUB = 1
+    OWN_HUB = 0  # a parent in the hub of this location
+    OTHER_HUB = 1  # a parent in another hub
     ORIGIN = 2
-    NEIGHBOUR = 3
+    NEIGHBOUR = 3  # another cache
 
 
 class Outcome(IntEnum):
-    """What became of the bytes of a fill; stored in snapshots."""
+    """What the bytes of a fill were used for; stored in snapshots."""
 
-    STORED = 0  # answered a request, and the cache was to store a copy
-    PASSED_THROUGH = 1  # answered a request and was not stored
-    REPEATED = 2  # answered a request for which bytes had been transferred before
-    WASTED = 3  # answered nobody: disconnected, timed out, broken off, or revalidated in the background
+    STORED = 0  # answered a request; the cache was asked to store a copy
+    PASSED_THROUGH = 1  # answered a request; the cache was not asked to store a copy
+    REPEATED = 2  # answered a request for which an earlier attempt had transferred bytes
+    WASTED = 3  # not used in an answer: client gone, timeout, broken transfer or background revalidation
 
 
 class TransferKind(NamedTuple):
-    """All that a report can tell transfers apart by; a zone or class of -1 stands for any other."""
+    """The attributes by which reports distinguish transfers; -1 is a zone or class not distinguished."""
 
-    destination_zone: int  # of the cache
+    destination_zone: int  # zone of the cache
     source_zone: int
     route: Route
     outcome: Outcome
     class_index: int
-    diverted: bool  # it came from another hub than the one that its object prefers
+    diverted: bool  # the source is a parent or the origin, but not the hub that the object prefers
 
 
 class DirectorIdentity(NamedTuple):
-    """Whose account it is, and the names of the zones and request classes that its indices stand for."""
+    """The director that an account belongs to, and the names of zones and request classes by index."""
 
     name: str
     zones: tuple[str, ...]
     request_classes: tuple[str, ...]
-    peer_index: int  # its place in the list of peers
+    peer_index: int  # index of this director in the list of peers
 
 
 class ClockReading(NamedTuple):
-    """Both clocks, read at the same moment."""
+    """A simultaneous reading of the monotonic clock and the system clock."""
 
-    now: int
-    unix_ms: int
+    now: int  # monotonic clock
+    unix_ms: int  # system clock
 
 
 class AttemptStarted(NamedTuple):
@@ -66,24 +66,24 @@
 
     request: RequestReceived
     endpoint_id: str
-    source_id: str  # where a miss is filled from; empty: no fill
-    admission_rank: int  # 0: no copy is stored
-    revalidates: bool  # a stale copy may answer while the fill renews it
+    source_id: str  # endpoint that a miss is filled from; empty: no fill
+    admission_rank: int  # 0: the endpoint does not store a copy
+    revalidates: bool  # a stale copy may be served while the fill revalidates it
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt came to its one end."""
+    """An attempt ended; reported once per attempt."""
 
     request_id: str
     result: AttemptResult
     cache_status: CacheStatus
-    body_size: int | None  # None: the answer held none of the bytes
+    body_size: int | None  # None: no body was received
     duration: int
-    request_closed: bool  # the client had disconnected or had been answered
+    request_closed: bool  # the client had disconnected or already had its answer
 
 
 class ClockTick(NamedTuple):
-    """Time has passed; `unix_ms` is what the system's clock reads."""
+    """A periodic event with the current reading of the system clock."""
 
     unix_ms: int
 
@@ -105,7 +105,7 @@
 
 
 class LogNotice(NamedTuple):
-    """Write an event with its fields to the log."""
+    """Write a log event with its fields."""
 
     event: str
     fields: Mapping[str, object]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -167,7 +167,7 @@
             totals.append(0)
     assert totals[1] == 2 * totals[0]
     assert totals[3] == totals[0]
-    assert "not written whole" in log
+    assert "checksum mismatch" in log
     assert "time_unaccounted duration_ms=" in log
 
 
@@ -225,5 +225,5 @@
     assert picture.stat().st_size > 1000
     assert "fills" in run("watch", kept, "--times", "1").stdout
     (tmp_path / "kept" / "x.traffic").write_bytes(b"no")
-    assert "passed over" in run("report", kept).stderr
+    assert "skipped" in run("report", kept).stderr
     assert run("report", str(tmp_path)).returncode == 1
--- a/tests/test_traffic_restarts.py
+++ b/tests/test_traffic_restarts.py
@@ -85,14 +85,14 @@
 def test_snapshots_are_complete_or_told_apart(packed):
     assert unpack(packed).sequence == 2
     for cut in range(0, len(packed), 7):
-        with pytest.raises(SnapshotError, match=r"no snapshot of this version|not written whole"):
+        with pytest.raises(SnapshotError, match=r"not a snapshot of this version|checksum mismatch"):
             unpack(packed[:cut])
-    with pytest.raises(SnapshotError, match="not written whole"):
+    with pytest.raises(SnapshotError, match="checksum mismatch"):
         unpack(packed[:-1] + bytes([packed[-1] ^ 1]))
 
 
 def test_snapshot_errors_are_errors_of_the_package():
-    with pytest.raises(TrafficError, match="no snapshot of this version"):
+    with pytest.raises(TrafficError, match="not a snapshot of this version"):
         unpack(b"something else")
 
 
