--- a/ironhinge/traffic/quota_exchange.py
+++ b/ironhinge/traffic/quota_exchange.py
@@ -5,7 +5,7 @@
 deposits only the increase of the sender's counter (see `quota_datagram`), so a message that is lost, late or
 duplicated never duplicates bytes. Grants that are in transit when either director restarts are lost, and
 nothing is granted to a peer that has been silent for `PEER_TIMEOUT`. The part of a silent peer is never taken
-over, because a stopped peer can't be told from one that is only unreachable.
+over, because a stopped peer can't be distinguished from an unreachable one.
 """
 
 from __future__ import annotations
