--- a/ironhinge/config/deployment_settings.py
+++ b/ironhinge/config/deployment_settings.py
@@ -181,7 +181,7 @@
 
 def load_report_in_order(report: Mapping[str, float], deployment: Deployment) -> tuple[float, ...] | None:
     """A load report told by name, in the order of the deployment; None where a value is missing."""
-    named = {LOAD_REPORT_FIELDS.get(name, name): value for name, value in report.items()}
-    if any(name not in named for name in deployment.load_report_fields):
+    values_by_field = {LOAD_REPORT_FIELDS.get(name, name): value for name, value in report.items()}
+    if any(name not in values_by_field for name in deployment.load_report_fields):
         return None
-    return tuple(named[name] for name in deployment.load_report_fields)
+    return tuple(values_by_field[name] for name in deployment.load_report_fields)
--- a/ironhinge/config/fields.py
+++ b/ironhinge/config/fields.py
@@ -18,7 +18,7 @@
 class Fields:
     """The fields of one message, read by name and shape.
 
-    Every reader raises `MalformedMessageError` where the field has another shape, or is absent and required.
+    Every reader raises `MalformedMessageError` where the field has another type, or is absent and required.
     """
 
     def __init__(self, context: str, values: Any):
@@ -31,13 +31,13 @@
         """Whether the field is there and not null."""
         return self.values.get(name) is not None
 
-    def _get(self, name: str, shapes: tuple[type, ...], expected: str, default: Any) -> Any:
+    def _get(self, name: str, json_types: tuple[type, ...], expected: str, default: Any) -> Any:
         value = self.values.get(name)
         if value is None:
             if default is REQUIRED:
                 raise MalformedMessageError(f"{self.context}: field '{name}' is missing")
             return default
-        if not isinstance(value, shapes) or (isinstance(value, bool) and bool not in shapes):
+        if not isinstance(value, json_types) or (isinstance(value, bool) and bool not in json_types):
             raise MalformedMessageError(f"{self.context}: field '{name}' is not {expected}")
         return value
 
@@ -70,14 +70,15 @@
         value: list[Any] = self._get(name, (list,), "an array", default)
         return value
 
-    def _array_of(self, name: str, shape: type, expected: str) -> tuple[Any, ...]:
-        shapes = (int, float) if shape is float else (shape,)
-        found = self.array(name)
+    def _array_of(self, name: str, element_type: type, expected: str) -> tuple[Any, ...]:
+        json_types = (int, float) if element_type is float else (element_type,)
+        elements = self.array(name)
         if any(
-            not isinstance(each, shapes) or isinstance(each, bool) is not (shape is bool) for each in found
+            not isinstance(element, json_types) or isinstance(element, bool) is not (element_type is bool)
+            for element in elements
         ):
             raise MalformedMessageError(f"{self.context}: field '{name}' is not an array of {expected}")
-        return tuple(found)
+        return tuple(elements)
 
     def texts(self, name: str) -> tuple[str, ...]:
         """An array of strings; empty where it is absent."""
--- a/ironhinge/settings/constraints.py
+++ b/ironhinge/settings/constraints.py
@@ -33,12 +33,12 @@
     """Returns whether a scalar meets a constraint."""
     if constraint.kind is not None and not _is_of_kind(value, constraint.kind):
         return False
-    figure = value
+    comparable = value
     if constraint.unit is not None:
-        figure = parse_quantity(constraint.unit, value) if isinstance(value, str) else None
-        if figure is None:
+        comparable = parse_quantity(constraint.unit, value) if isinstance(value, str) else None
+        if comparable is None:
             return False
-    return all(_meets_bound(value, figure, bound, constraint.unit) for bound in constraint.bounds)
+    return all(_meets_bound(value, comparable, bound, constraint.unit) for bound in constraint.bounds)
 
 
 def intersect(first: TypeConstraint, second: TypeConstraint, path: str) -> TypeConstraint | Conflict:
@@ -78,16 +78,16 @@
     return isinstance(value, _PYTHON_TYPES[kind]) and isinstance(value, bool) is (kind is Kind.BOOL)
 
 
-def _meets_bound(value: ScalarValue, figure: ScalarValue, bound: Bound, unit: str | None) -> bool:
-    """Returns whether a scalar meets a bound; `figure` is its quantity where it has a unit."""
+def _meets_bound(value: ScalarValue, comparable: ScalarValue, bound: Bound, unit: str | None) -> bool:
+    """Returns whether a scalar meets a bound; `comparable` is its quantity where it has a unit."""
     if bound.operator is BoundOperator.MATCHES:
         return isinstance(value, str) and re.search(str(bound.operand), value) is not None
     operand = bound.operand
     if unit and isinstance(operand, str):
         operand = parse_quantity(unit, operand)
-    if isinstance(figure, str) is not isinstance(operand, str) or isinstance(figure, bool):
+    if isinstance(comparable, str) is not isinstance(operand, str) or isinstance(comparable, bool):
         return bound.operator is BoundOperator.NOT_EQUAL
-    return _COMPARISONS[bound.operator](figure, operand)
+    return _COMPARISONS[bound.operator](comparable, operand)
 
 
 def _bound_order(bound: Bound) -> str:
--- a/ironhinge/settings/cycles.py
+++ b/ironhinge/settings/cycles.py
@@ -11,8 +11,8 @@
 
 MAX_DEPTH = 60  # records within one another, as for brackets; guards the stack
 
-_Sources = frozenset[int]
-_visited: ContextVar[tuple[_Sources, ...]] = ContextVar("_visited", default=())
+_SourceIds = frozenset[int]
+_visited: ContextVar[tuple[_SourceIds, ...]] = ContextVar("_visited", default=())
 
 
 @contextmanager
--- a/ironhinge/settings/disjunctions.py
+++ b/ironhinge/settings/disjunctions.py
@@ -50,9 +50,9 @@
 
 
 def _conflicts_in_struct(struct: Struct) -> list[Diagnostic]:
-    with visit(struct) as refusal:
-        if refusal is not None:
-            return [refusal]
+    with visit(struct) as problem:
+        if problem is not None:
+            return [problem]
         diagnostics = list(struct.diagnostics)
         for name in struct.fields:
             if struct.required[name] and not is_definition(name):
@@ -60,7 +60,7 @@
         return diagnostics
 
 
-def disjoin(alternatives: Sequence[Alternative], location: SourceLocation, path: str) -> Value:
+def make_disjunction(alternatives: Sequence[Alternative], location: SourceLocation, path: str) -> Value:
     """Returns the value that allows what any of the alternatives allows.
 
     Alternatives that are conflicts, equal to an earlier one, or included in a wider one are dropped. Where
@@ -102,7 +102,9 @@
     for value, is_default in alternatives:
         if conflicts_in(value):
             continue
-        index = next((at for at, (other, _) in enumerate(distinct) if is_same(value, other)), None)
+        index = next(
+            (position for position, (other, _) in enumerate(distinct) if is_same(value, other)), None
+        )
         if index is None:
             distinct.append(Alternative(value, is_default))
         else:
--- a/ironhinge/settings/errors.py
+++ b/ironhinge/settings/errors.py
@@ -40,7 +40,7 @@
     """Base class of all errors of this package."""
 
 
-class ConfigSyntaxError(SettingsError):
+class SettingsSyntaxError(SettingsError):
     """A text is not of the language.
 
     Attributes:
--- a/ironhinge/settings/evaluation.py
+++ b/ironhinge/settings/evaluation.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from .description import describe
-from .disjunctions import disjoin, resolve_default
+from .disjunctions import make_disjunction, resolve_default
 from .errors import Diagnostic, SourceLocation
 from .literals import format_scalar
 from .syntax import (
@@ -87,17 +87,17 @@
 
 def _evaluate_bound(expression: BoundExpr, scope: Scope, path: str) -> Value:
     operand = resolve_default(evaluate(expression.operand, scope, path))
-    if not isinstance(operand, Scalar) or not _is_bound(expression.operator, operand.value):
+    if not isinstance(operand, Scalar) or not _is_valid_operand(expression.operator, operand.value):
         return _conflict(expression, path, f"a bound of {describe(operand)}", "a number or a text")
     if expression.operator is BoundOperator.MATCHES:
-        problem = _pattern_problem(operand.value)
+        problem = _regex_problem(operand.value)
         if problem:
             return _conflict(expression, path, f"{format_scalar(operand.value)}: {problem}", "a pattern")
     bounds = (Bound(expression.operator, operand.value),)
     return TypeConstraint(_bounded_kind(expression.operator, operand), None, bounds, expression.location)
 
 
-def _is_bound(operator: BoundOperator, operand: ScalarValue) -> bool:
+def _is_valid_operand(operator: BoundOperator, operand: ScalarValue) -> bool:
     """Returns whether values can be compared with a scalar: null has no order."""
     if operand is None:
         return operator is BoundOperator.NOT_EQUAL
@@ -112,11 +112,11 @@
     return Kind.NUMBER
 
 
-def _pattern_problem(pattern: ScalarValue) -> str:
+def _regex_problem(regex: ScalarValue) -> str:
     """Returns why a scalar is no regular expression; empty where it is one."""
-    untyped_pattern: Any = pattern  # what is no string raises TypeError
+    untyped_regex: Any = regex  # what is no string raises TypeError
     try:
-        re.compile(untyped_pattern)
+        re.compile(untyped_regex)
     except (re.error, TypeError) as error:
         return str(error)
     return ""
@@ -130,7 +130,7 @@
             alternatives += _flatten(value, alternative.is_default)
         else:
             alternatives.append(Alternative(value, alternative.is_default))
-    return disjoin(alternatives, expression.location, path)
+    return make_disjunction(alternatives, expression.location, path)
 
 
 def _flatten(inner: Disjunction, is_default: bool) -> list[Alternative]:
--- a/ironhinge/settings/export.py
+++ b/ironhinge/settings/export.py
@@ -67,9 +67,9 @@
         return None
 
     def _export_struct(self, struct: Struct, path: str) -> dict[str, Any]:
-        with visit(struct) as refusal:
-            if refusal is not None:
-                self.exported.diagnostics.append(refusal._replace(path=path))
+        with visit(struct) as problem:
+            if problem is not None:
+                self.exported.diagnostics.append(problem._replace(path=path))
                 return {}
             return self._export_fields(struct, path)
 
--- a/ironhinge/settings/load.py
+++ b/ironhinge/settings/load.py
@@ -6,7 +6,7 @@
 from importlib import resources
 from typing import Any, NamedTuple
 
-from .errors import ConfigSyntaxError, Diagnostic, InvalidSettingsError, SourceLocation
+from .errors import Diagnostic, InvalidSettingsError, SettingsSyntaxError, SourceLocation
 from .evaluation import evaluate, root_scope
 from .export import ExportedValue, export
 from .parser import parse
@@ -78,7 +78,7 @@
     for file, text in texts:
         try:
             records.append(parse(text, file))
-        except ConfigSyntaxError as error:
+        except SettingsSyntaxError as error:
             diagnostics.append(Diagnostic(error.location, "", error.found, error.expected))
     _raise_if_any(diagnostics)
     return records
--- a/ironhinge/settings/parser.py
+++ b/ironhinge/settings/parser.py
@@ -8,7 +8,7 @@
 from lark import Token, Transformer, UnexpectedInput, v_args
 from lark.exceptions import VisitError
 
-from .errors import ConfigSyntaxError, SourceLocation
+from .errors import SettingsSyntaxError, SourceLocation
 from .grammar import TOKEN_DESCRIPTIONS, parser
 from .literals import unquote
 from .syntax import (
@@ -62,7 +62,7 @@
             child for child in children if child is not None and not isinstance(child, FieldDeclaration)
         ]
         if len(patterns) > 1:
-            raise ConfigSyntaxError(
+            raise SettingsSyntaxError(
                 patterns[1].location, "a second pattern", "at most one '[string]: ...' in a record"
             )
         pattern = patterns[0] if patterns else None
@@ -94,7 +94,7 @@
         """What all fields hold that are not named."""
         name, expression = children
         if name != PATTERN_NAME:
-            raise ConfigSyntaxError(self._location(meta), f"[{name}]", f"[{PATTERN_NAME}]")
+            raise SettingsSyntaxError(self._location(meta), f"[{name}]", f"[{PATTERN_NAME}]")
         result: Expression = expression
         return result
 
@@ -130,7 +130,7 @@
         """A number; it is a float where it is written with a point or an exponent."""
         text = str(children[0])
         if len(text) > MAX_NUMBER_LENGTH:
-            raise ConfigSyntaxError(
+            raise SettingsSyntaxError(
                 self._location(meta), f"a number of {len(text)} digits", f"at most {MAX_NUMBER_LENGTH}"
             )
         is_integer = not set(text) & set(".eE")
@@ -171,7 +171,7 @@
         file: Its file's name, for source locations.
 
     Raises:
-        ConfigSyntaxError: The text is not of the language.
+        SettingsSyntaxError: The text is not of the language.
     """
     _check_nesting(text, file)
     try:
@@ -186,8 +186,8 @@
         raise _syntax_error(error, text, file) from None
 
 
-def _depth_error(file: str) -> ConfigSyntaxError:
-    return ConfigSyntaxError(SourceLocation(file, 1, 1), "records nested too deep", "fewer in one another")
+def _depth_error(file: str) -> SettingsSyntaxError:
+    return SettingsSyntaxError(SourceLocation(file, 1, 1), "records nested too deep", "fewer in one another")
 
 
 def _check_nesting(text: str, file: str) -> None:
@@ -197,23 +197,23 @@
         depth -= _count(line, CLOSING_BRACKETS)
         if depth > MAX_OPEN_BRACKETS:
             location = SourceLocation(file, number, 1)
-            raise ConfigSyntaxError(location, f"more than {MAX_OPEN_BRACKETS} open braces", "fewer")
+            raise SettingsSyntaxError(location, f"more than {MAX_OPEN_BRACKETS} open braces", "fewer")
 
 
 def _count(line: str, brackets: str) -> int:
     return sum(map(line.count, brackets))
 
 
-def _syntax_error(error: UnexpectedInput, text: str, file: str) -> ConfigSyntaxError:
+def _syntax_error(error: UnexpectedInput, text: str, file: str) -> SettingsSyntaxError:
     expected = _describe_expected(error)
     token = getattr(error, "token", None)
     if token is not None and token.type == END_TOKEN:
         lines = text.rstrip("\n").split("\n")
         location = SourceLocation(file, len(lines), len(lines[-1]) + 1)
-        return ConfigSyntaxError(location, TOKEN_DESCRIPTIONS[END_TOKEN], expected)
+        return SettingsSyntaxError(location, TOKEN_DESCRIPTIONS[END_TOKEN], expected)
     found = repr(str(token)) if token is not None else repr(getattr(error, "char", "?"))
     location = SourceLocation(file, max(1, error.line), max(1, error.column))
-    return ConfigSyntaxError(location, found, expected or "something else")
+    return SettingsSyntaxError(location, found, expected or "something else")
 
 
 def _describe_expected(error: UnexpectedInput) -> str:
--- a/ironhinge/settings/unification.py
+++ b/ironhinge/settings/unification.py
@@ -7,7 +7,7 @@
 
 from .constraints import intersect, satisfies
 from .description import describe
-from .disjunctions import alternatives_of, disjoin, is_same
+from .disjunctions import alternatives_of, is_same, make_disjunction
 from .errors import Diagnostic
 from .literals import format_scalar
 from .syntax import ConjunctionExpr
@@ -75,7 +75,7 @@
         for first_part, first_default in alternatives_of(first)
         for second_part, second_default in alternatives_of(second)
     ]
-    result = disjoin(alternatives, first.location, path)
+    result = make_disjunction(alternatives, first.location, path)
     if isinstance(result, Conflict):
         # What was found is the scalar that does not fit; what was expected is all that would.
         for scalar, other in ((first, second), (second, first)):
--- a/ironhinge/settings/units.py
+++ b/ironhinge/settings/units.py
@@ -36,7 +36,7 @@
 
     Attributes:
         quantity_type: The type of its figures.
-        symbols: The figure of one of each symbol.
+        symbols: The amount of one of each symbol.
         suffix: What follows the symbol.
         example: A quantity as it is written in settings.
     """
@@ -63,24 +63,24 @@
     whole, _, fraction = match.group(1).partition(".")
     scale = unit.symbols[match.group(2)]
     # Integers throughout, as a float would lose digits.
-    fraction_figure = int(fraction) * scale // 10 ** len(fraction) if fraction else 0
-    return unit.quantity_type(int(whole) * scale + fraction_figure)
+    fraction_amount = int(fraction) * scale // 10 ** len(fraction) if fraction else 0
+    return unit.quantity_type(int(whole) * scale + fraction_amount)
 
 
-def format_quantity(unit_name: str, figure: int) -> str:
-    """Returns the shortest text that `parse_quantity` reads as that figure."""
+def format_quantity(unit_name: str, amount: int) -> str:
+    """Returns the shortest text that `parse_quantity` reads as that amount."""
     unit = UNITS[unit_name]
     divisors = [
-        (scale, symbol) for symbol, scale in unit.symbols.items() if figure % scale == 0 and figure >= scale
+        (scale, symbol) for symbol, scale in unit.symbols.items() if amount % scale == 0 and amount >= scale
     ]
     if divisors:
         scale, symbol = max(divisors, key=lambda divisor: divisor[0])
-        return f"{figure // scale}{symbol}{unit.suffix}"
+        return f"{amount // scale}{symbol}{unit.suffix}"
     # Zero, or a fraction of the smallest symbol, whose scale is a power of ten.
     symbol, scale = min(unit.symbols.items(), key=lambda item: item[1])
     digits = len(str(scale)) - 1
-    fraction = f".{figure % scale:0{digits}d}" if figure % scale else ""
-    return f"{figure // scale}{fraction}{symbol}{unit.suffix}"
+    fraction = f".{amount % scale:0{digits}d}" if amount % scale else ""
+    return f"{amount // scale}{fraction}{symbol}{unit.suffix}"
 
 
 def unit_name_of(quantity_type: type) -> str:
--- a/ironhinge/settings/values.py
+++ b/ironhinge/settings/values.py
@@ -16,7 +16,7 @@
 from .syntax import BoundOperator, Expression, RecordExpr, ScalarValue
 
 DEFINITION_PREFIX = "#"  # of names that are not part of the result
-SIMILARITY = 0.5  # from which a known name is suggested in place of an unknown one
+MIN_SIMILARITY = 0.5  # from which a known name is suggested in place of an unknown one
 
 
 class Kind(StrEnum):
@@ -269,5 +269,5 @@
 
 def closest_name(name: str, known_names: Iterable[str]) -> str | None:
     """Returns the known name that is most like an unknown one, in quotes, or None where none is."""
-    matches = difflib.get_close_matches(name, list(known_names), 1, SIMILARITY)
+    matches = difflib.get_close_matches(name, list(known_names), 1, MIN_SIMILARITY)
     return f"'{matches[0]}'" if matches else None
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,11 +11,11 @@
 
 from ironhinge.settings import units
 from ironhinge.settings.errors import (
-    ConfigSyntaxError,
     Diagnostic,
     InvalidSettingsError,
     IsolatedReadError,
     SettingsError,
+    SettingsSyntaxError,
     SourceLocation,
 )
 from ironhinge.settings.evaluation import root_scope
@@ -332,7 +332,7 @@
         load_isolated([invalid_file], "config.json")
 
 
-@pytest.mark.parametrize("error", [ConfigSyntaxError, InvalidSettingsError, IsolatedReadError])
+@pytest.mark.parametrize("error", [SettingsSyntaxError, InvalidSettingsError, IsolatedReadError])
 def test_all_errors_share_a_base_class(error):
     assert issubclass(error, SettingsError)
 
@@ -343,7 +343,7 @@
 
 
 def test_a_syntax_error_has_the_location_of_the_first_character():
-    with pytest.raises(ConfigSyntaxError, match=r"^f:2:5: found '2', expected ") as raised:
+    with pytest.raises(SettingsSyntaxError, match=r"^f:2:5: found '2', expected ") as raised:
         parse("a: 1\n  b 2", "f")
     assert raised.value.location == SourceLocation("f", 2, 5)
 
