--- a/ironhinge/config/__init__.py
+++ b/ironhinge/config/__init__.py
@@ -1,9 +1,10 @@
-"""Reads settings, endpoint lists and a director's configuration into types, once, for both fronts.
+"""Converts the platform's settings, endpoint lists and director configuration to types, for both hosts.
 
-The themed names of settings and configuration end here: further in, only the names of `ironhinge.interface`
-and of the records of this package are used. Settings count microseconds, the program tenths of a millisecond:
-deadlines and objectives are rounded down, durations that others need up, allowances down. An absent
-field means what the protocol says it means; unknown fields are skipped. Nothing is decided here.
+The names in these messages are mapped here to those of `ironhinge.interface` and of this package's records;
+no other module uses the outer names. Settings have microseconds, the program has ticks of a tenth of a
+millisecond: deadlines, latency targets and grace periods are rounded down, durations that other parties need
+(such as slow start) are rounded up. An absent field has the default that the protocol gives it; unknown
+fields are ignored. Nothing is decided here.
 """
 
 from .deployment_settings import load_report_in_order, read_deployment, read_endpoints
--- a/ironhinge/config/deployment_settings.py
+++ b/ironhinge/config/deployment_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment, from their names in the protocol to `ironhinge.interface.Deployment`."""
+"""Converts deployment settings and endpoint lists from the protocol's names to `ironhinge.interface`."""
 
 from __future__ import annotations
 
@@ -63,9 +63,10 @@
 
 
 def read_deployment(settings: Fields) -> Deployment:
-    """The deployment that a router's settings describe.
+    """Returns the deployment that a router's settings describe.
 
-    Raises `MalformedMessageError` where a setting is missing or has another shape.
+    Raises:
+        MalformedMessageError: A setting is missing or malformed.
     """
     extra, rules = settings.nested("extra", {}), settings.nested("rules", {})
     limits, report = settings.nested("policy-limits", {}), settings.nested("telemetry", {})
@@ -158,9 +159,10 @@
 
 
 def read_endpoints(event: Fields) -> tuple[Endpoint, ...]:
-    """The rows of an endpoint list on the simulator's wire.
+    """Returns the endpoints in the rows of the simulator's endpoint list.
 
-    Raises `MalformedMessageError` where a row is missing a field or has another shape.
+    Raises:
+        MalformedMessageError: A field of a row is missing or malformed.
     """
     endpoints = []
     for index, values in enumerate(event.array("rows")):
@@ -180,7 +182,11 @@
 
 
 def load_report_in_order(report: Mapping[str, float], deployment: Deployment) -> tuple[float, ...] | None:
-    """A load report told by name, in the order of the deployment; None where a value is missing."""
+    """Returns the values of a load report in the order of `Deployment.load_report_fields`.
+
+    Returns:
+        The values, or None if one of them is missing. Either name of a value is accepted.
+    """
     values_by_field = {LOAD_REPORT_FIELDS.get(name, name): value for name, value in report.items()}
     if any(name not in values_by_field for name in deployment.load_report_fields):
         return None
--- a/ironhinge/config/director_config.py
+++ b/ironhinge/config/director_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a real director, from the names of its JSON file to `DirectorConfig`."""
+"""Converts the JSON configuration of a director on real sockets to `DirectorConfig`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-CONFIG_KEYS = {  # fields of `DirectorConfig` whose key in the file has another name
+CONFIG_KEYS = {  # fields of `DirectorConfig`, and their keys in the file where these differ
     "gossip_listen": "peer_listen",
     "gossip_peers": "peers",
     "gossip_broadcast": "peers_all",
@@ -27,21 +27,21 @@
 
 
 class Address(NamedTuple):
-    """Where to connect to, or to listen on."""
+    """A host and port to connect to or to listen on."""
 
     host: str
     port: int
 
 
 class ResourceLimits(NamedTuple):
-    """What the platform allows; 0 where it is not told."""
+    """The resources that the platform allows a director; 0 if unknown."""
 
     memory_mb: int
     descriptors: int
 
 
 class SettingsNames(NamedTuple):
-    """What the protocol names by text or by index, in the order of the settings."""
+    """The names in the settings, in order. The protocol refers to them by name or by their index."""
 
     request_classes: tuple[str, ...]
     zones: tuple[str, ...]
@@ -49,34 +49,34 @@
 
 
 class TransportSettings(NamedTuple):
-    """What the settings say of connections to upstreams; spans in tenths of a millisecond."""
+    """The settings of connections to upstreams; times are in tenths of a millisecond."""
 
     connect_timeout: int
-    upstream_idle_timeout: int  # upstreams close idle connections after this
-    operations_per_connection: int  # attempts that one connection carries at a time
+    upstream_idle_timeout: int  # time after which upstreams close idle connections
+    operations_per_connection: int  # concurrent attempts per connection
 
 
 class EndpointRecord(NamedTuple):
-    """A record of the discovery service's list."""
+    """An entry of the discovery service's endpoint list."""
 
     endpoint: Endpoint
     address: Address
-    started_unix_ms: int  # 0 for long ago
+    started_unix_ms: int  # Unix time in milliseconds; 0: long ago
 
 
 class EndpointListUpdate(NamedTuple):
     """A discovery event: endpoints that were added, changed or removed."""
 
     event_index: int
-    is_full: bool  # the whole list: what it lacks is removed
+    is_full: bool  # the list is complete: endpoints that are not in it are removed
     records: tuple[EndpointRecord, ...]
 
 
 class PurgeUpdate(NamedTuple):
-    """A discovery event: copies made before that time must not be served."""
+    """A discovery event: copies that were produced before `unix_ms` must not be served."""
 
     event_index: int
-    object_id: int | None  # None: the whole group
+    object_id: int | None  # None: all objects of the group
     group: int
     unix_ms: int
 
@@ -85,7 +85,7 @@
 
 
 class DirectorConfig(NamedTuple):
-    """All that a real director is told at its start."""
+    """The configuration of a director on real sockets."""
 
     name: str
     listen: Address
@@ -98,15 +98,23 @@
     names: SettingsNames
     transport: TransportSettings
     deployment: Deployment
-    known_index: int  # of the last discovery event that the configuration holds
-    known: tuple[DiscoveryUpdate, ...]
+    known_index: int  # index of the last discovery event that `known` includes
+    known: tuple[DiscoveryUpdate, ...]  # discovery events up to `known_index`
 
 
 def parse_address(text: str, context: str) -> Address:
-    """An address and a port, as in `127.0.0.1:7001`; `MalformedMessageError` names the context."""
+    """Parses an address such as `127.0.0.1:7001`.
+
+    Args:
+        text: The host and the port.
+        context: Where the text comes from, for the error message.
+
+    Raises:
+        MalformedMessageError: The host or the port is missing or invalid.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise MalformedMessageError(f"{context}: '{text}' is not an address and a port")
+        raise MalformedMessageError(f"{context}: '{text}' is not a host and a port")
     return Address(host, int(port))
 
 
@@ -114,12 +122,12 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise MalformedMessageError(f"{context}: '{text}' is not hex digits") from None
+        raise MalformedMessageError(f"{context}: '{text}' is not a hexadecimal number") from None
 
 
 def _index_of(name: str, names: tuple[str, ...], context: str) -> int:
     if name not in names:
-        raise MalformedMessageError(f"{context}: the settings lack '{name}'")
+        raise MalformedMessageError(f"{context}: the settings do not define '{name}'")
     return names.index(name)
 
 
@@ -191,9 +199,10 @@
 
 
 def read_director_config(values: Any) -> DirectorConfig:
-    """A director's configuration from parsed JSON.
+    """Returns a director's configuration from parsed JSON.
 
-    Raises `MalformedMessageError` with the field at fault and what was expected of it.
+    Raises:
+        MalformedMessageError: A field is missing or malformed; the message names it and what was expected.
     """
     fields = Fields("configuration", values)
     settings, limits = fields.nested("settings"), fields.nested("limits", {})
--- a/ironhinge/settings/__init__.py
+++ b/ironhinge/settings/__init__.py
@@ -1,9 +1,11 @@
-"""Operators' settings: a small language of typed records after CUE, its schema, and the records it gives.
+"""Operators' settings: a small language of typed records modelled on CUE, its schema, and the loaded records.
 
 A text is parsed (`grammar`, `parser`) into a syntax tree (`syntax`), which is evaluated (`evaluation`) and
-unified (`unification`) with the schema (`schema.cue`) to values (`values`). `export` turns these into plain
-objects, `validation` checks what the schema can't, and `records` holds the result for other packages.
+unified (`unification`) with the schema (`schema.cue`). The result are values (`values`), which `export`
+converts to plain objects. `validation` makes the checks that the schema can't express, and `records` defines
+the records that other packages use.
 
-The package must never decide anything or act on a name: it reports what was written, where, and whether that
-is allowed. It does no I/O except in `load`, `isolated` and `cli`, which read the files that they are given.
+The package makes no routing decisions and gives no meaning to the names in the settings: it reports what was
+written, where, and whether it is allowed. Only `load`, `isolated` and `cli` do I/O; they read the files that
+they are given.
 """
--- a/ironhinge/settings/cli.py
+++ b/ironhinge/settings/cli.py
@@ -1,4 +1,4 @@
-"""The commands `ironhinge settings`. They change no file."""
+"""The commands of `ironhinge settings`. They only read files."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import click
 
-if TYPE_CHECKING:  # the parser is loaded only by commands that need it
+if TYPE_CHECKING:  # at run time only the commands that need the parser import it
     from .errors import Diagnostic
     from .load import LoadedSettings
 
@@ -18,25 +18,25 @@
 
 @click.group()
 def settings() -> None:
-    """Operators' settings: check them, show what they come to, print what may stand in them."""
+    """Check operators' settings, show them with all defaults, or print their schema."""
 
 
 files_argument = click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
 config_option = click.option(
     "--config",
     type=click.Path(dir_okay=False),
-    help="A director's configuration: zones and vhosts that it lacks are errors.",
+    help="A director's configuration file: zones and vhosts that are not in it are errors.",
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of text.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of text.")
 
 
 def load_or_exit(files: Sequence[str], as_json: bool = False, config: str | None = None) -> LoadedSettings:
-    """Loads settings, or prints all that is wrong with them and ends the program.
+    """Loads settings, or prints all diagnostics and exits with `EXIT_INVALID`.
 
     Args:
-        files: The files' names.
+        files: The names of the settings files.
         as_json: Whether diagnostics are printed as a JSON object.
-        config: The name of a director's configuration whose zones and vhosts are the ones allowed.
+        config: The name of a director's configuration file; only its zones and vhosts are valid names.
     """
     from .errors import InvalidSettingsError
     from .load import load
@@ -53,7 +53,7 @@
     return loaded_settings
 
 
-loaded = load_or_exit  # the earlier name, for the commands on traffic
+loaded = load_or_exit  # the earlier name, which `ironhinge.traffic.cli` imports
 
 
 @settings.command()
@@ -61,14 +61,14 @@
 @config_option
 @json_option
 def check(files: tuple[str, ...], config: str | None, as_json: bool) -> None:
-    """Say all that is wrong with FILES taken together; code 0 if nothing is."""
+    """Print all errors in FILES taken together; exit with code 0 if there are none."""
     traffic = load_or_exit(files, as_json, config).operations.traffic
     count = len(traffic.budgets) if traffic else 0
     if as_json:
         click.echo(json.dumps({"good": True, "traffic": traffic is not None, "budgets": count}))
     else:
-        summary = f"account of traffic, {count} budgets" if traffic else "nothing turned on"
-        click.echo(f"{', '.join(files)}: good; {summary}")
+        summary = f"traffic accounting with {count} budgets" if traffic else "traffic accounting is off"
+        click.echo(f"{', '.join(files)}: valid; {summary}")
 
 
 @settings.command()
@@ -76,7 +76,7 @@
 @config_option
 @json_option
 def show(files: tuple[str, ...], config: str | None, as_json: bool) -> None:
-    """Print what FILES come to, unified and with all defaults."""
+    """Print the settings that FILES define together, with all defaults."""
     from .printer import print_settings
 
     plain = load_or_exit(files, False, config).plain
@@ -85,7 +85,7 @@
 
 @settings.command()
 def schema() -> None:
-    """Print what may stand in settings."""
+    """Print the schema of settings."""
     from .load import schema_text
 
     click.echo(schema_text(), nl=False)
@@ -97,7 +97,7 @@
     from .validation import check_names
 
     try:
-        # A Path would normalise the name in the message of an error.
+        # A Path would normalise the file name in error messages.
         with open(config, encoding="utf-8") as file:  # noqa: PTH123 - see above
             names = read_director_config(json.load(file)).names
     except (ValueError, MalformedMessageError) as error:
--- a/ironhinge/settings/constraints.py
+++ b/ironhinge/settings/constraints.py
@@ -1,4 +1,4 @@
-"""Type constraints: which scalars meet one, and what two of them allow together."""
+"""Type constraints: which scalars satisfy a constraint, and how two constraints are combined or compared."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def satisfies(value: ScalarValue, constraint: TypeConstraint) -> bool:
-    """Returns whether a scalar meets a constraint."""
+    """Returns whether a scalar satisfies a constraint."""
     if constraint.kind is not None and not _is_of_kind(value, constraint.kind):
         return False
     comparable = value
@@ -42,7 +42,7 @@
 
 
 def intersect(first: TypeConstraint, second: TypeConstraint, path: str) -> TypeConstraint | Conflict:
-    """Returns the constraint that allows what both allow."""
+    """Returns the constraint that allows what both constraints allow, or a conflict of kinds or units."""
     kinds = {first.kind, second.kind} - {None}
     if kinds == {Kind.INT, Kind.NUMBER}:
         kinds = {Kind.INT}
@@ -53,7 +53,7 @@
 
 
 def is_narrower(constraint: TypeConstraint, wider: TypeConstraint) -> bool:
-    """Returns whether a constraint allows nothing that another, different one does not."""
+    """Returns whether a constraint allows nothing that `wider` does not, and is not the same."""
     if is_same_constraint(constraint, wider):
         return False
     return (
@@ -64,7 +64,7 @@
 
 
 def is_same_constraint(first: TypeConstraint, second: TypeConstraint) -> bool:
-    """Returns whether two constraints are the same, wherever they are written."""
+    """Returns whether two constraints are the same, regardless of their locations."""
     same_type = (first.kind, first.unit) == (second.kind, second.unit)
     return same_type and set(first.bounds) == set(second.bounds)
 
@@ -74,12 +74,19 @@
 
 
 def _is_of_kind(value: ScalarValue, kind: Kind) -> bool:
-    # A bool is an int in Python, but no number in the language.
+    # In Python a bool is an int; in the settings language it is not a number.
     return isinstance(value, _PYTHON_TYPES[kind]) and isinstance(value, bool) is (kind is Kind.BOOL)
 
 
 def _meets_bound(value: ScalarValue, comparable: ScalarValue, bound: Bound, unit: str | None) -> bool:
-    """Returns whether a scalar meets a bound; `comparable` is its quantity where it has a unit."""
+    """Returns whether a scalar satisfies a bound.
+
+    Args:
+        value: The scalar as written; patterns are matched against it.
+        comparable: The scalar, or its quantity if the constraint has a unit; it is compared with the operand.
+        bound: The bound.
+        unit: The name of the unit of the constraint, if it has one.
+    """
     if bound.operator is BoundOperator.MATCHES:
         return isinstance(value, str) and re.search(str(bound.operand), value) is not None
     operand = bound.operand
--- a/ironhinge/settings/cycles.py
+++ b/ironhinge/settings/cycles.py
@@ -1,4 +1,4 @@
-"""Records that contain themselves: every walk through the fields of records has to end."""
+"""Detection of records that contain themselves, so that every traversal of nested records terminates."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .errors import Diagnostic
 from .values import Struct
 
-MAX_DEPTH = 60  # records within one another, as for brackets; guards the stack
+MAX_DEPTH = 60  # nested records, as many as `parser.MAX_OPEN_BRACKETS`; prevents a stack overflow
 
 _SourceIds = frozenset[int]
 _visited: ContextVar[tuple[_SourceIds, ...]] = ContextVar("_visited", default=())
@@ -17,22 +17,25 @@
 
 @contextmanager
 def visit(struct: Struct) -> Iterator[Diagnostic | None]:
-    """Marks a record as being visited for the time of the context.
+    """Marks a record as being visited while the context is open.
 
-    Visits may be nested by evaluation, which looks for conflicts in the alternatives of a disjunction.
+    The records being visited are tracked in a context variable and not in an argument, as visiting a field
+    may evaluate it, and evaluation visits the alternatives of disjunctions to find conflicts.
 
     Yields:
-        Why the record must not be visited; None if it may be. A record is refused within another that
-        is made of the same expressions, as it would contain itself without end.
+        None if the record may be visited, else the reason why not: it is within a record made of the same
+        expressions, so that it would contain itself endlessly, or it is nested too deeply.
     """
     outer = _visited.get()
     sources = frozenset(id(source.expression) for source in struct.sources)
     if sources in outer:
-        yield Diagnostic(struct.location, struct.path, "a record within itself", "something that ends")
+        yield Diagnostic(
+            struct.location, struct.path, "a record within itself", "a record that does not contain itself"
+        )
         return
     if len(outer) >= MAX_DEPTH:
         yield Diagnostic(
-            struct.location, struct.path, f"more than {MAX_DEPTH} records", "fewer in one another"
+            struct.location, struct.path, f"more than {MAX_DEPTH} nested records", "fewer levels"
         )
         return
     token = _visited.set((*outer, sources))
--- a/ironhinge/settings/description.py
+++ b/ironhinge/settings/description.py
@@ -1,4 +1,4 @@
-"""Values in words, for diagnostics."""
+"""Descriptions of values for diagnostics."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def describe(value: Value) -> str:
-    """Returns what a value allows, in words."""
+    """Returns a description of what a value allows."""
     match value:
         case Scalar():
             return format_scalar(value.value)
--- a/ironhinge/settings/disjunctions.py
+++ b/ironhinge/settings/disjunctions.py
@@ -1,4 +1,4 @@
-"""Disjunctions: their defaults, and which of their alternatives are possible and different."""
+"""Disjunctions: their defaults, and the removal of alternatives that are impossible or redundant."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def alternatives_of(value: Value) -> list[Alternative]:
-    """Returns the alternatives of a value; where none is marked, all count as defaults."""
+    """Returns the alternatives of a value; if none is marked as a default, all of them are."""
     if not isinstance(value, Disjunction):
         return [Alternative(value, True)]
     has_default = any(is_default for _, is_default in value.alternatives)
@@ -38,7 +38,7 @@
 
 
 def conflicts_in(value: Value) -> list[Diagnostic]:
-    """Returns all conflicts within a value, however deep."""
+    """Returns the diagnostics of all conflicts within a value, at any depth."""
     match value:
         case Conflict():
             return [value.diagnostic]
@@ -63,12 +63,14 @@
 def make_disjunction(alternatives: Sequence[Alternative], location: SourceLocation, path: str) -> Value:
     """Returns the value that allows what any of the alternatives allows.
 
-    Alternatives that are conflicts, equal to an earlier one, or included in a wider one are dropped. Where
-    none remains, the result is the conflict of the first one, with what all of them expected.
+    Alternatives that are conflicts, equal to an earlier one, or included in a wider one are dropped. If none
+    remains, the result is the conflict of the first alternative, which lists what each of them expected.
+    Several alternatives of which one is a record are a conflict.
     """
     remaining = _without_included(_distinct(alternatives))
     if len(remaining) > 1 and any(isinstance(part, Struct) for part, _ in remaining):
-        # Which record is meant could only be guessed from its fields, and so could what is wrong with it.
+        # The intended record would have to be guessed from its fields, and an error in a field could not be
+        # told from another choice of record.
         expected = "one record with optional fields"
         return Conflict(Diagnostic(location, path, "a choice between records", expected))
     if not remaining:
@@ -77,7 +79,7 @@
 
 
 def is_same(first: Value, second: Value) -> bool:
-    """Returns whether two values are known to allow the same."""
+    """Returns whether two values are known to allow the same; records are only compared by identity."""
     match first, second:
         case Scalar(value=first_value), Scalar(value=second_value):
             return type(first_value) is type(second_value) and first_value == second_value
@@ -97,7 +99,7 @@
 
 
 def _distinct(alternatives: Sequence[Alternative]) -> list[Alternative]:
-    """Returns the alternatives without conflicts, equal ones as one."""
+    """Returns the alternatives that are not conflicts, with equal ones merged."""
     distinct: list[Alternative] = []
     for value, is_default in alternatives:
         if conflicts_in(value):
@@ -113,7 +115,7 @@
 
 
 def _without_included(alternatives: list[Alternative]) -> list[Alternative]:
-    """Drops alternatives that a wider one includes, unless only they are defaults."""
+    """Drops alternatives that a wider one includes, but not a default in favour of one that is none."""
     return [
         Alternative(value, is_default)
         for value, is_default in alternatives
--- a/ironhinge/settings/errors.py
+++ b/ironhinge/settings/errors.py
@@ -7,7 +7,7 @@
 
 
 class SourceLocation(NamedTuple):
-    """Where something is written; lines and columns count from 1."""
+    """A position in a file of settings; lines and columns count from 1."""
 
     file: str
     line: int
@@ -21,8 +21,8 @@
     """One problem in the settings.
 
     Attributes:
-        location: Where it is.
-        path: The field that it concerns, such as `traffic.budgets.a.rate`; empty for the whole file.
+        location: Where the problem is.
+        path: The field that has the problem, such as `traffic.budgets.a.rate`; empty for the whole file.
         found: What is written there.
         expected: What would be allowed.
     """
@@ -41,7 +41,7 @@
 
 
 class SettingsSyntaxError(SettingsError):
-    """A text is not of the language.
+    """A text violates the grammar of the settings language.
 
     Attributes:
         location: Where the first problem is.
@@ -57,10 +57,10 @@
 
 
 class InvalidSettingsError(SettingsError):
-    """Settings are not allowed.
+    """The settings violate the schema or other checks.
 
     Attributes:
-        diagnostics: All their problems.
+        diagnostics: All problems that were found.
     """
 
     def __init__(self, diagnostics: Sequence[Diagnostic]) -> None:
@@ -69,4 +69,4 @@
 
 
 class IsolatedReadError(SettingsError):
-    """The process that reads the settings failed; the message is what it printed."""
+    """The process that reads the settings failed; the message is its error output, if there is any."""
--- a/ironhinge/settings/evaluation.py
+++ b/ironhinge/settings/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluation: from expressions in their scopes to values. It knows no field by name."""
+"""Evaluation of expressions, in their scopes, to values. No field name of the schema has a meaning here."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def evaluate(expression: Expression, scope: Scope, path: str) -> Value:
-    """Returns the value of an expression at a path; names are looked up in `scope`."""
+    """Returns the value of an expression at a path; names are resolved in `scope`."""
     value: Value
     match expression:
         case LiteralExpr():
@@ -72,13 +72,13 @@
 
 
 def root_scope(closes_definitions: bool = False) -> Scope:
-    """Returns the scope around all records of a text."""
+    """Returns a scope outside all records of a file."""
     evaluator = Evaluator(evaluate, evaluate_conjuncts)
     return Scope(None, None, closes_definitions=closes_definitions, evaluator=evaluator)
 
 
 def evaluate_conjuncts(conjuncts: Sequence[Conjunct], path: str, location: SourceLocation) -> Value:
-    """Returns the value that allows what all conjuncts allow."""
+    """Returns the unification of all conjuncts, or `Top` at `location` if there are none."""
     value: Value = Top(location)
     for conjunct in conjuncts:
         value = unify(value, evaluate(conjunct.expression, conjunct.scope, path), path)
@@ -88,17 +88,19 @@
 def _evaluate_bound(expression: BoundExpr, scope: Scope, path: str) -> Value:
     operand = resolve_default(evaluate(expression.operand, scope, path))
     if not isinstance(operand, Scalar) or not _is_valid_operand(expression.operator, operand.value):
-        return _conflict(expression, path, f"a bound of {describe(operand)}", "a number or a text")
+        return _conflict(expression, path, f"a bound of {describe(operand)}", "a number or a string")
     if expression.operator is BoundOperator.MATCHES:
         problem = _regex_problem(operand.value)
         if problem:
-            return _conflict(expression, path, f"{format_scalar(operand.value)}: {problem}", "a pattern")
+            return _conflict(
+                expression, path, f"{format_scalar(operand.value)}: {problem}", "a regular expression"
+            )
     bounds = (Bound(expression.operator, operand.value),)
     return TypeConstraint(_bounded_kind(expression.operator, operand), None, bounds, expression.location)
 
 
 def _is_valid_operand(operator: BoundOperator, operand: ScalarValue) -> bool:
-    """Returns whether values can be compared with a scalar: null has no order."""
+    """Returns whether a scalar can be the operand of a bound: null has no order, booleans have no bounds."""
     if operand is None:
         return operator is BoundOperator.NOT_EQUAL
     return not isinstance(operand, bool)
@@ -106,15 +108,15 @@
 
 def _bounded_kind(operator: BoundOperator, operand: Scalar) -> Kind | None:
     if operator is BoundOperator.NOT_EQUAL:
-        return None  # whatever is of another kind is not equal either
+        return None  # scalars of other kinds are not equal to the operand either
     if operator is BoundOperator.MATCHES or isinstance(operand.value, str):
         return Kind.STRING
     return Kind.NUMBER
 
 
 def _regex_problem(regex: ScalarValue) -> str:
-    """Returns why a scalar is no regular expression; empty where it is one."""
-    untyped_regex: Any = regex  # what is no string raises TypeError
+    """Returns why a scalar is not a valid regular expression, or an empty string if it is one."""
+    untyped_regex: Any = regex  # other types than a string raise TypeError
     try:
         re.compile(untyped_regex)
     except (re.error, TypeError) as error:
@@ -134,7 +136,7 @@
 
 
 def _flatten(inner: Disjunction, is_default: bool) -> list[Alternative]:
-    """Returns the alternatives of a disjunction within one; its defaults hold where it is the default."""
+    """Returns the alternatives of a nested disjunction; its defaults count only if it is a default itself."""
     has_default = any(inner_default for _, inner_default in inner.alternatives)
     return [
         Alternative(value, is_default and (inner_default or not has_default))
@@ -156,7 +158,7 @@
     record = _find_record(name, scope)
     if record is None:
         return _evaluate_builtin(expression, scope, path)
-    if is_definition(name):  # evaluated anew, at the path that refers to it
+    if is_definition(name):  # evaluated for each reference, at the path of the reference
         value = _evaluate_definition(expression, record, name, path)
     else:
         value = record.value(name)
@@ -171,7 +173,7 @@
 
 
 def _find_record(name: str, scope: Scope) -> Struct | None:
-    """Returns the innermost record around that has a field of that name."""
+    """Returns the innermost enclosing record that has a field of that name, or None."""
     current: Scope | None = scope
     while current is not None:
         if current.record is not None and name in current.record.fields:
@@ -189,13 +191,13 @@
             return TypeConstraint(Kind(name), None, (), expression.location)
         if name in UNITS:
             return TypeConstraint(Kind.STRING, name, (), expression.location)
-    expected = closest_name(name, BUILTIN_NAMES + _visible_names(scope)) or "a name that is defined"
+    expected = closest_name(name, BUILTIN_NAMES + _visible_names(scope)) or "a defined name"
     return _conflict(expression, path, f"the unknown name '{name}'", expected)
 
 
 def _evaluate_definition(expression: ReferenceExpr, record: Struct, name: str, path: str) -> Value:
     if name in record.evaluating:
-        return _conflict(expression, path, "a reference to itself", "something that ends")
+        return _conflict(expression, path, "a reference to itself", "a value that does not depend on itself")
     record.evaluating.add(name)
     try:
         return evaluate_conjuncts(_definition_conjuncts(record, name), path, record.locations[name])
@@ -204,7 +206,7 @@
 
 
 def _definition_conjuncts(record: Struct, name: str) -> list[Conjunct]:
-    """Returns what a definition holds where it is referred to; a closing one allows no further fields."""
+    """Returns the conjuncts of a definition for a reference to it, closed if its scope closes definitions."""
     return [
         Conjunct(conjunct.expression, _definition_scope(conjunct.scope)) for conjunct in record.fields[name]
     ]
--- a/ironhinge/settings/export.py
+++ b/ironhinge/settings/export.py
@@ -1,4 +1,4 @@
-"""Export: from a value to plain objects, with defaults taken, and all diagnostics on the way."""
+"""Export of a value to plain objects, with defaults applied; collects the diagnostics of all problems."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True)
 class ExportedValue:
-    """A value as plain objects.
+    """The result of an export.
 
     Attributes:
-        plain: Dictionaries, lists and scalars; not to be used where there are diagnostics.
-        locations: Where each path is written.
-        diagnostics: All conflicts and missing values, by location.
+        plain: The value as dictionaries, lists and scalars; incomplete if there are diagnostics.
+        locations: For each path, where its value is written.
+        diagnostics: All conflicts and missing values, ordered by location.
     """
 
     plain: Any = None
@@ -28,7 +28,7 @@
 
 
 def export(value: Value) -> ExportedValue:
-    """Exports a value with all that is within it."""
+    """Exports a value, including all nested values."""
     exporter = _Exporter()
     exported = exporter.exported
     exported.plain = exporter.export(value, "", _location_of(value))
@@ -43,13 +43,19 @@
 
 
 class _Exporter:
-    """Collects what is exported along the way through a value."""
+    """Traverses a value and collects the locations and diagnostics."""
 
     def __init__(self) -> None:
         self.exported = ExportedValue()
 
     def export(self, value: Value, path: str, declared_at: SourceLocation) -> Any:
-        """Returns a value at a path as plain objects; it was declared at that location."""
+        """Returns a value as plain objects.
+
+        Args:
+            value: The value.
+            path: Its path.
+            declared_at: The location of its declaration, which is used if the value is a conflict.
+        """
         value = resolve_default(value)
         location = declared_at if isinstance(value, Conflict) else value.location
         self.exported.locations[path] = location
@@ -63,7 +69,7 @@
             case Conflict():
                 self.exported.diagnostics.append(value.diagnostic)
             case _:
-                self._report(location, path, describe(value), "one value")
+                self._report(location, path, describe(value), "a concrete value")
         return None
 
     def _export_struct(self, struct: Struct, path: str) -> dict[str, Any]:
@@ -99,5 +105,5 @@
 
 
 def _is_missing(value: Value) -> bool:
-    """Returns whether a value still allows several things, so that none was given."""
+    """Returns whether no concrete value was given and there is no default."""
     return not isinstance(resolve_default(value), Scalar | Struct | ListValue | Conflict)
--- a/ironhinge/settings/grammar.py
+++ b/ironhinge/settings/grammar.py
@@ -1,6 +1,7 @@
-"""The grammar of the settings language, and the names of its tokens in diagnostics.
+"""The grammar of the settings language, and the descriptions of its tokens in diagnostics.
 
-Commas and newlines between fields are optional: after a complete expression only `&` or `|` can continue it.
+Commas and newlines between fields are optional: after a complete expression only `&` or `|` can continue it,
+so any other token begins the next field.
 """
 
 from __future__ import annotations
@@ -43,9 +44,9 @@
 
 TOKEN_DESCRIPTIONS: dict[str, str] = {
     "NAME": "a name",
-    "STRING": "a text in quotes",
+    "STRING": "a quoted string",
     "NUMBER": "a number",
-    "OP": "a bound",
+    "OP": "a comparison operator",
     "COLON": "':'",
     "RBRACE": "'}'",
     "RSQB": "']'",
@@ -66,5 +67,5 @@
 
 @lru_cache(maxsize=1)
 def parser() -> Lark:
-    """Returns the parser of the language, made at the first call."""
+    """Returns the parser of the language, which is built at the first call and then reused."""
     return Lark(GRAMMAR, parser="lalr", propagate_positions=True, maybe_placeholders=False)
--- a/ironhinge/settings/isolated.py
+++ b/ironhinge/settings/isolated.py
@@ -1,6 +1,6 @@
-"""Loads settings in a process of its own, so that a director holds the records and not the language.
+"""Loads settings in a separate process, so that the parser takes no memory in the director.
 
-The parser costs more memory than all that it reads, so that process ends when it has read.
+The parser uses more memory than the records that it returns; the process exits once it has read the settings.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
     """Loads the settings of files for the deployment of a director's configuration.
 
     Args:
-        files: The files' names.
-        config: The name of the configuration's file.
+        files: The names of the settings files.
+        config: The name of the director's configuration file.
 
     Raises:
-        IsolatedReadError: The settings are not allowed, or the process failed.
+        IsolatedReadError: The settings are invalid, or the process failed.
     """
     command = [sys.executable, "-m", "ironhinge", "settings", "show", "--json", "--config", config, *files]
     try:
@@ -36,5 +36,7 @@
         raise IsolatedReadError(f"the settings can't be read: {error}") from None
     if process.returncode:
         message = process.stderr.decode(errors="replace").strip()
-        raise IsolatedReadError(message or f"it ended with {process.returncode}")
+        raise IsolatedReadError(
+            message or f"the process that reads the settings exited with status {process.returncode}"
+        )
     return to_operations(msgspec.json.decode(process.stdout))
--- a/ironhinge/settings/literals.py
+++ b/ironhinge/settings/literals.py
@@ -1,4 +1,4 @@
-"""Scalars as the language writes them."""
+"""Conversion between scalars and their text in the settings language."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def unquote(token: str) -> str:
-    """Returns the string that a quoted token stands for."""
+    """Returns the string that a quoted token represents."""
     text = token[1:-1]
     characters: list[str] = []
     position = 0
@@ -23,12 +23,12 @@
 
 
 def quote(text: str) -> str:
-    """Returns the quoted token that stands for a string."""
+    """Returns a string as a quoted token, with escapes."""
     return '"' + "".join(_ESCAPE_OF.get(character, character) for character in text) + '"'
 
 
 def format_scalar(value: ScalarValue) -> str:
-    """Returns the text that stands for a scalar in the language."""
+    """Returns the text of a scalar in the settings language."""
     if value is None or isinstance(value, bool):
         return _CONSTANT_TEXTS[value]
     if isinstance(value, str):
--- a/ironhinge/settings/load.py
+++ b/ironhinge/settings/load.py
@@ -21,12 +21,12 @@
 
 
 class LoadedSettings(NamedTuple):
-    """Settings that are allowed.
+    """Valid settings.
 
     Attributes:
-        operations: As records.
-        plain: As plain objects, with all defaults.
-        locations: Where each path is written.
+        operations: The settings as records.
+        plain: The settings as plain objects, with all defaults.
+        locations: For each path, where its value is written.
     """
 
     operations: Operations
@@ -40,20 +40,23 @@
 
 
 def load(files: Sequence[str]) -> LoadedSettings:
-    """Loads the settings that files hold together.
+    """Loads the settings that several files define together.
 
     Raises:
-        InvalidSettingsError: They are not allowed, or a file is no UTF-8.
+        InvalidSettingsError: The settings are invalid, or a file is not valid UTF-8.
         OSError: A file can't be read.
     """
     return load_texts([(file, _read_text(file)) for file in files])
 
 
 def load_texts(texts: Iterable[tuple[str, str]]) -> LoadedSettings:
-    """Loads the settings that texts, each behind its file's name, hold together.
+    """Loads the settings that several texts define together.
+
+    Args:
+        texts: Pairs of a file name, for source locations, and the text.
 
     Raises:
-        InvalidSettingsError: They are not allowed.
+        InvalidSettingsError: The settings are invalid.
     """
     exported = _unify_with_schema(_parse_all(texts))
     _raise_if_any(exported.diagnostics)
@@ -64,12 +67,14 @@
 
 def _read_text(file: str) -> str:
     try:
-        # A Path would normalise the name in the message of an error.
+        # A Path would normalise the file name in error messages.
         with open(file, encoding="utf-8") as text:  # noqa: PTH123 - see above
             return text.read()
     except UnicodeDecodeError:
         location = SourceLocation(file, 1, 1)
-        raise InvalidSettingsError([Diagnostic(location, "", "bytes that are no UTF-8", "text")]) from None
+        raise InvalidSettingsError(
+            [Diagnostic(location, "", "bytes that are not valid UTF-8", "UTF-8 text")]
+        ) from None
 
 
 def _parse_all(texts: Iterable[tuple[str, str]]) -> list[RecordExpr]:
--- a/ironhinge/settings/parser.py
+++ b/ironhinge/settings/parser.py
@@ -1,4 +1,4 @@
-"""Parses the text of settings to a syntax tree. It does not judge what it reads."""
+"""Parses the text of settings to a syntax tree. Only the syntax is checked here, not the values."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
     ReferenceExpr,
 )
 
-MAX_OPEN_BRACKETS = 60  # guards the stack against a file of nothing but opening brackets
+MAX_OPEN_BRACKETS = 60  # prevents a stack overflow by a file of nothing but opening brackets
 MAX_NUMBER_LENGTH = 40  # characters
-MAX_EXPECTED_TOKENS = 6  # named in one diagnostic
-END_TOKEN = "$END"  # the name of the end of the input
+MAX_EXPECTED_TOKENS = 6  # listed in one diagnostic
+END_TOKEN = "$END"  # the type of the token at the end of the input
 OPENING_BRACKETS, CLOSING_BRACKETS = "{[(", "}])"
 PATTERN_NAME = "string"
 
 
 class _Meta(Protocol):
-    """The position of a rule's match; both fields lack where it is empty."""
+    """The position of the text that a rule matched; it has neither attribute if that text is empty."""
 
     line: int
     column: int
@@ -42,7 +42,7 @@
 
 @v_args(meta=True)
 class TreeBuilder(Transformer[Token, RecordExpr]):
-    """Builds the syntax tree of one file; each method stands for the grammar's rule of its name."""
+    """Builds the syntax tree of one file; each public method handles the grammar rule of the same name."""
 
     def __init__(self, file: str) -> None:
         super().__init__()
@@ -52,11 +52,11 @@
         return SourceLocation(self._file, getattr(meta, "line", 1), getattr(meta, "column", 1))
 
     def start(self, _meta: _Meta, children: list[RecordExpr]) -> RecordExpr:
-        """The whole file."""
+        """Returns the record that the whole file declares."""
         return children[0]
 
     def body(self, meta: _Meta, children: list[FieldDeclaration | Expression | None]) -> RecordExpr:
-        """The declarations of a record; None stands for the mark that it is open."""
+        """Returns the record of a list of declarations; a child that is None is the open marker (`...`)."""
         fields = tuple(child for child in children if isinstance(child, FieldDeclaration))
         patterns = [
             child for child in children if child is not None and not isinstance(child, FieldDeclaration)
@@ -69,29 +69,29 @@
         return RecordExpr(fields, pattern, None in children, self._location(meta))
 
     def label(self, _meta: _Meta, children: list[Token]) -> tuple[str, SourceLocation]:
-        """The name of a field."""
+        """Returns the name of a field and its location."""
         token = children[0]
         name = unquote(token) if token.type == "STRING" else str(token)
         return name, SourceLocation(self._file, token.line or 1, token.column or 1)
 
     def field(self, _meta: _Meta, children: list[Any]) -> FieldDeclaration:
-        """A field that is required."""
+        """Returns a required field."""
         (name, location), expression = children
         return FieldDeclaration(name, False, expression, location)
 
     def optional_field(self, _meta: _Meta, children: list[Any]) -> FieldDeclaration:
-        """A field that may be missing."""
+        """Returns an optional field."""
         (name, location), expression = children
         return FieldDeclaration(name, True, expression, location)
 
     def nested_field(self, _meta: _Meta, children: list[Any]) -> FieldDeclaration:
-        """A field that holds a record of one field, written without braces."""
+        """Returns a field whose value is a record of one field, written without braces (`a: b: 1`)."""
         (name, location), inner = children
         record = RecordExpr((inner,), None, False, inner.location)
         return FieldDeclaration(name, False, record, location)
 
     def pattern(self, meta: _Meta, children: list[Any]) -> Expression:
-        """What all fields hold that are not named."""
+        """Returns the constraint on all fields that are not declared."""
         name, expression = children
         if name != PATTERN_NAME:
             raise SettingsSyntaxError(self._location(meta), f"[{name}]", f"[{PATTERN_NAME}]")
@@ -99,67 +99,67 @@
         return result
 
     def open_marker(self, _meta: _Meta, _children: list[Any]) -> None:
-        """The mark that a record allows further fields."""
+        """Returns None, which marks a record that allows undeclared fields."""
 
     def plain_alternative(self, _meta: _Meta, children: list[Expression]) -> AlternativeExpr:
-        """An alternative that is not the default."""
+        """Returns an alternative that is not a default."""
         return AlternativeExpr(children[0], False)
 
     def default_alternative(self, _meta: _Meta, children: list[Expression]) -> AlternativeExpr:
-        """An alternative that is marked as the default."""
+        """Returns an alternative that is marked as a default."""
         return AlternativeExpr(children[0], True)
 
     def disjunction(self, meta: _Meta, children: list[AlternativeExpr]) -> Expression:
-        """Alternatives; a single one without a mark stands for itself."""
+        """Returns a disjunction, or the expression itself if there is one alternative, not marked as default."""
         if len(children) == 1 and not children[0].is_default:
             return children[0].expression
         return DisjunctionExpr(tuple(children), self._location(meta))
 
     def conjunction(self, meta: _Meta, children: list[Expression]) -> Expression:
-        """Expressions that all hold; a single one stands for itself."""
+        """Returns a conjunction, or the expression itself if there is only one."""
         if len(children) == 1:
             return children[0]
         return ConjunctionExpr(tuple(children), self._location(meta))
 
     def bound(self, meta: _Meta, children: list[Any]) -> BoundExpr:
-        """An operator with its operand."""
+        """Returns a bound: an operator with its operand."""
         operator, operand = children
         return BoundExpr(BoundOperator(str(operator)), operand, self._location(meta))
 
     def number(self, meta: _Meta, children: list[Token]) -> LiteralExpr:
-        """A number; it is a float where it is written with a point or an exponent."""
+        """Returns a number, which is a float if it is written with a decimal point or an exponent."""
         text = str(children[0])
         if len(text) > MAX_NUMBER_LENGTH:
             raise SettingsSyntaxError(
-                self._location(meta), f"a number of {len(text)} digits", f"at most {MAX_NUMBER_LENGTH}"
+                self._location(meta), f"a number of {len(text)} characters", f"at most {MAX_NUMBER_LENGTH}"
             )
         is_integer = not set(text) & set(".eE")
         return LiteralExpr(int(text) if is_integer else float(text), self._location(meta))
 
     def string(self, meta: _Meta, children: list[Token]) -> LiteralExpr:
-        """A string in quotes."""
+        """Returns a string."""
         return LiteralExpr(unquote(children[0]), self._location(meta))
 
     def reference(self, meta: _Meta, children: list[Token]) -> ReferenceExpr:
-        """A name, with the names of fields behind it."""
+        """Returns a reference: a name, followed by the names of nested fields."""
         return ReferenceExpr(tuple(map(str, children)), self._location(meta))
 
     def record(self, meta: _Meta, children: list[RecordExpr]) -> RecordExpr:
-        """A record in braces."""
+        """Returns a record in braces, with the location of the opening brace."""
         body = children[0]
         return RecordExpr(body.fields, body.pattern, body.is_open, self._location(meta))
 
     def closed_list(self, meta: _Meta, children: list[Expression | None]) -> ListExpr:
-        """A list of its elements."""
+        """Returns a list with given elements."""
         elements = tuple(child for child in children if child is not None)
         return ListExpr(elements, None, self._location(meta))
 
     def open_list(self, meta: _Meta, children: list[Expression]) -> ListExpr:
-        """A list of any number of elements that are alike."""
+        """Returns a list of any length with a template for its elements."""
         return ListExpr((), children[0], self._location(meta))
 
     def group(self, _meta: _Meta, children: list[Expression]) -> Expression:
-        """An expression in parentheses."""
+        """Returns an expression in parentheses."""
         return children[0]
 
 
@@ -167,17 +167,17 @@
     """Parses a text of settings.
 
     Args:
-        text: The text.
-        file: Its file's name, for source locations.
+        text: The text to parse.
+        file: The name of its file, for source locations.
 
     Raises:
-        SettingsSyntaxError: The text is not of the language.
+        SettingsSyntaxError: The text violates the grammar or is nested too deeply.
     """
     _check_nesting(text, file)
     try:
         return TreeBuilder(file).transform(parser().parse(text))
     except VisitError as error:
-        if isinstance(error.orig_exc, RecursionError):  # names behind one another need no brackets
+        if isinstance(error.orig_exc, RecursionError):  # `a: b: c: ...` nests records without brackets
             raise _depth_error(file) from None
         raise error.orig_exc from None
     except RecursionError:
@@ -187,17 +187,23 @@
 
 
 def _depth_error(file: str) -> SettingsSyntaxError:
-    return SettingsSyntaxError(SourceLocation(file, 1, 1), "records nested too deep", "fewer in one another")
+    return SettingsSyntaxError(SourceLocation(file, 1, 1), "records nested too deeply", "fewer levels")
 
 
 def _check_nesting(text: str, file: str) -> None:
+    """Raises `SettingsSyntaxError` if too many brackets are open at the end of a line.
+
+    Brackets in strings and comments are counted as well, since the text is not tokenised here.
+    """
     depth = 0
     for number, line in enumerate(text.split("\n"), 1):
         depth += _count(line, OPENING_BRACKETS)
         depth -= _count(line, CLOSING_BRACKETS)
         if depth > MAX_OPEN_BRACKETS:
             location = SourceLocation(file, number, 1)
-            raise SettingsSyntaxError(location, f"more than {MAX_OPEN_BRACKETS} open braces", "fewer")
+            raise SettingsSyntaxError(
+                location, f"more than {MAX_OPEN_BRACKETS} open braces and brackets", "fewer"
+            )
 
 
 def _count(line: str, brackets: str) -> int:
@@ -217,7 +223,7 @@
 
 
 def _describe_expected(error: UnexpectedInput) -> str:
-    # The kinds of the parser's exceptions differ in the attribute that holds the tokens.
+    # Each class of the parser's exceptions has the expected tokens in another attribute.
     tokens: Iterable[str] = ()
     for attribute in ("accepts", "expected", "allowed"):
         tokens = tokens or getattr(error, attribute, None) or ()
--- a/ironhinge/settings/printer.py
+++ b/ironhinge/settings/printer.py
@@ -1,4 +1,4 @@
-"""Prints plain objects in the settings language."""
+"""Formats plain objects in the settings language."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def print_settings(plain: dict[str, Any]) -> str:
-    """Returns the text of settings that `load.load_texts` reads back as the same plain objects."""
+    """Returns plain objects as a text that `load.load_texts` loads to the same plain objects."""
     lines = _field_lines(plain, "")
     return "".join(f"{line}\n" for line in lines)
 
@@ -23,7 +23,7 @@
 
 
 def _format_value(value: Any, indent: str) -> str:
-    """Returns a field's value; a record has one line for each field, indented by `indent`."""
+    """Returns the text of a field's value; a record has one line per field, each indented by `indent`."""
     if isinstance(value, dict):
         if not value:
             return "{}"
--- a/ironhinge/settings/records.py
+++ b/ironhinge/settings/records.py
@@ -1,8 +1,8 @@
-"""The records of settings that other packages read.
+"""The records of loaded settings, which other packages read.
 
-Their fields are those of `schema.cue`, which has their bounds and defaults; where a field has another name
-than its key, the key stands beside it. They hold what an operator wrote or the schema gives. Sizes are bytes,
-rates bytes a second, spans ticks of a tenth of a millisecond.
+Their fields are those of `schema.cue`, which defines their bounds and defaults; `name=` gives the key of a
+field whose key differs from its name. The values are those of the operators' files or the schema's defaults.
+Sizes are in bytes, rates in bytes per second and durations (`Span`) in ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 
 
 class Emergency(msgspec.Struct, frozen=True):
-    """What forced transfers may draw besides, once a budget is spent."""
+    """The extra allowance of a budget for diverted fills, which is used once the budget is exhausted."""
 
     rate: Rate
-    remember: Span
+    remember: Span  # how long a parent that departed still counts as the one that its caches should use
     burst: Size | None = None
     sum: Size | None = None
 
 
 class Streams(msgspec.Struct, frozen=True):
-    """How streams of parts that were begun are preferred to all else."""
+    """How much of a budget is reserved for open streams of parts, ahead of all other fills."""
 
-    part: float
-    idle: Span
-    interval: Span
+    part: float  # share of the rate and burst that may be reserved
+    idle: Span  # a stream ends after this time without a request
+    interval: Span  # assumed time between two parts until it has been measured
 
 
 class Budget(msgspec.Struct, frozen=True):
-    """A budget of the fills that match all it names; it has a rate, a sum, or both."""
+    """A limit on the bytes of the fills that match all its criteria: a rate, a sum per period, or both."""
 
     routes: tuple[str, ...] = msgspec.field(name="ways")
-    scope: str
-    ahead: float
-    begin: str
+    scope: str  # "branch" or "all": the directors that share the budget
+    ahead: float  # share of the sum that may be spent ahead of an even pace over the period
+    begin: str  # "empty" or "full": the buckets of a director that starts without a snapshot
     destination_zone: str | None = msgspec.field(name="into", default=None)
     source_zone: str | None = msgspec.field(name="out_of", default=None)
     request_classes: tuple[str, ...] | None = msgspec.field(name="vhosts", default=None)
-    within: str | None = None
+    within: str | None = None  # name of an enclosing budget, which must have room as well
     rate: Rate | None = None
     burst: Size | None = None
     sum: Size | None = None
@@ -50,7 +50,7 @@
 
 
 class Price(msgspec.Struct, frozen=True):
-    """What a gigabyte of the fills costs that match all it names."""
+    """The price per gigabyte of the fills that match all its criteria."""
 
     routes: tuple[str, ...] = msgspec.field(name="ways")
     per_gb: float
@@ -59,30 +59,30 @@
 
 
 class Keep(msgspec.Struct, frozen=True):
-    """Where and how often the account of traffic is stored."""
+    """Where and how often snapshots of the traffic account are stored."""
 
     folder: str
     every: Span
 
 
 class Metrics(msgspec.Struct, frozen=True):
-    """Where the account of traffic is served to a metrics system."""
+    """The address on which the traffic account is exposed to a metrics system."""
 
     port: int
     host: str
 
 
 class Share(msgspec.Struct, frozen=True):
-    """How directors share budgets among them."""
+    """How directors exchange unused budget with each other."""
 
     every: Span
-    grant_ratio: float = msgspec.field(name="give")
+    grant_ratio: float = msgspec.field(name="give")  # share of a surplus that is granted to peers
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """The account of bytes that fills carry, and the budgets that they are held to."""
+    """Accounting of the bytes that fills transfer, and the budgets that limit them."""
 
-    period: Span
+    period: Span  # of billing
     max_streams: int = msgspec.field(name="most_streams")
     distributions: bool
     prices: tuple[Price, ...]
@@ -93,7 +93,7 @@
 
 
 class Disk(msgspec.Struct, frozen=True):
-    """The tier of copies on disk."""
+    """The director's own cache tier on disk."""
 
     folder: str
     capacity: Size = msgspec.field(name="room")
@@ -107,14 +107,14 @@
 
 
 class Operations(msgspec.Struct, frozen=True):
-    """All that operators set; what is None is turned off."""
+    """All settings of the operators; a feature whose field is None is disabled."""
 
     traffic: Traffic | None = None
     disk: Disk | None = None
 
 
 def to_operations(plain: Any) -> Operations:
-    """Returns the records of plain objects that the schema allows."""
+    """Converts plain objects to records; the objects must satisfy the schema."""
     return msgspec.convert(plain, Operations, dec_hook=_decode_quantity)
 
 
--- a/ironhinge/settings/schema.cue
+++ b/ironhinge/settings/schema.cue
@@ -1,28 +1,28 @@
-// What an operations file may say. Every field has a default or may be left out, so an empty file is a good one.
+// The schema of operations files. Every field has a default or is optional, so an empty file is valid.
 
 #Operations: {
     traffic?: #Traffic
     disk?: #Disk
 }
 
-// A second tier of copies on a lasting disk.
+// The director's own cache tier, on a persistent disk.
 #Disk: {
     folder: string & !=""
     room: Size & >="1MB"
     segment: *"16MiB" | Size & >="512KiB" & <="256MiB"
-    entries: *65536 | int & >=1000 & <=16000000   // parts; each costs 59 to 118 bytes of memory
-    patience: *"50ms" | Span & >="1ms"       // past it a req goes on to the caches
-    object_share: *0.05 | number & >0 & <=1  // of the room, that parts of one object may take
-    class_share: *0.5 | number & >0 & <=1    // that parts of one size class may take
-    write?: Rate & >"0B/s"                   // what admission may write; a disk's life is its writes
-    background: *"8MB/s" | Rate & >"0B/s"    // what compaction, checkpoints and scrubs may move
+    entries: *65536 | int & >=1000 & <=16000000   // most parts in the index; 59 to 118 bytes of memory each
+    patience: *"50ms" | Span & >="1ms"       // read timeout, after which the request goes to the caches
+    object_share: *0.05 | number & >0 & <=1  // largest share of the room for parts of one object
+    class_share: *0.5 | number & >0 & <=1    // largest share of the room for parts of one size class
+    write?: Rate & >"0B/s"                   // limits admission to the disk, as writes wear it out
+    background: *"8MB/s" | Rate & >"0B/s"    // bytes read and written by compaction, checkpoints and scrubs
 }
 
-// The account of bytes that fills carry, and the budgets that they are held to.
+// Accounting of the bytes that fills transfer, and the budgets that limit them.
 #Traffic: {
-    period: *"30d" | Span & >="1s"           // of billing
+    period: *"30d" | Span & >="1s"           // billing period
     most_streams: *10000 | int & >=0 & <=1000000
-    distributions: *false | bool             // of sizes and times, in histograms
+    distributions: *false | bool             // histograms of sizes and times
     budgets: {[string]: #Budget}
     prices: *[] | [...#Price]
     keep?: #Keep
@@ -32,36 +32,36 @@
 
 #Way: "own-hub" | "other-hub" | "origin" | "neighbour"
 
-// A budget holds for the fills that match all it names. It needs a rate, a sum, or both.
+// A budget limits the fills that match all its criteria. It needs a rate, a sum, or both.
 #Budget: {
     ways: *["other-hub"] | [...#Way]
-    into?: string                            // the zone of the cache
-    out_of?: string                          // the zone of the source
+    into?: string                            // zone of the cache that is filled
+    out_of?: string                          // zone of the source of the fill
     vhosts?: [...string]
-    within?: string                          // a budget that has to have room as well
-    scope: *"branch" | "all"                 // whose directors share it
+    within?: string                          // an enclosing budget, which must have room as well
+    scope: *"branch" | "all"                 // which directors share it: those of one location, or all
     rate?: Rate & >"0B/s"
-    burst?: Size & >"0B"                     // default: what the rate gives in a second
-    sum?: Size & >"0B"                       // of a period, paced over what is left of it
-    ahead: *0.02 | number & >0 & <=1         // part of the sum that may be spent ahead of that pace
-    begin: *"empty" | "full"                 // a director that comes up knowing nothing
+    burst?: Size & >"0B"                     // default: one second at the rate
+    sum?: Size & >"0B"                       // per period, paced evenly over the rest of the period
+    ahead: *0.02 | number & >0 & <=1         // share of the sum that may be spent ahead of that pace
+    begin: *"empty" | "full"                 // state at the start of a director without a snapshot
     emergency?: #Emergency
     streams?: #Streams
 }
 
-// What forced crossings may draw besides, once the budget is spent.
+// The extra allowance for diverted fills, which is used once the budget is exhausted.
 #Emergency: {
     rate: Rate & >"0B/s"
     burst?: Size & >"0B"
     sum?: Size & >"0B"
-    remember: *"10m" | Span & >"0s"          // for how long a hub that went still counts as the one that should serve
+    remember: *"10m" | Span & >"0s"          // how long a hub that departed still counts as the regular source
 }
 
-// Streams of parts that were begun go before all else.
+// Reservations for open streams of parts, which take precedence over all other fills.
 #Streams: {
-    part: *0.7 | number & >0 & <=1           // of the rate that streams may be promised
-    idle: *"3s" | Span & >"0s"               // a stream that asks nothing for that long has stopped
-    interval: *"600ms" | Span & >"0s"        // between two parts, until streams were seen
+    part: *0.7 | number & >0 & <=1           // largest share of the rate that streams may reserve
+    idle: *"3s" | Span & >"0s"               // a stream ends after this time without a request
+    interval: *"600ms" | Span & >"0s"        // assumed time between two parts until it has been measured
 }
 
 #Price: {
@@ -76,14 +76,14 @@
     every: *"10s" | Span & >="100ms"
 }
 
-// A listener for scrapes; loopback unless the operator says otherwise.
+// The listener for scrapes by a metrics system; on loopback by default.
 #Metrics: {
     port: int & >0 & <65536
     host: *"127.0.0.1" | string
 }
 
-// Directors that may talk to their peers hand what they don't need to those that do.
+// Directors grant unused budget to peers that need it, where the platform allows messages between peers.
 #Share: {
     every: *"100ms" | Span & >="20ms"
-    give: *0.5 | number & >0 & <=1           // part of what lies above half of a full bucket that is given away
+    give: *0.5 | number & >0 & <=1           // share that is granted of what a bucket has above half of its capacity
 }
--- a/ironhinge/settings/syntax.py
+++ b/ironhinge/settings/syntax.py
@@ -1,4 +1,4 @@
-"""The syntax tree of settings: what was written, with its source locations."""
+"""The syntax tree of the settings language. Each node has the location where it was written."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from .errors import SourceLocation
 
 ScalarValue: TypeAlias = int | float | str | bool | None
-"""A value without parts."""
+"""The Python value of a scalar: a number, string, boolean or null."""
 
 
 class BoundOperator(StrEnum):
-    """The operators of bounds, as written."""
+    """The comparison operators of bounds, as spelt in the language."""
 
     LESS = "<"
     LESS_OR_EQUAL = "<="
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LiteralExpr:
-    """A number or a string."""
+    """A literal number or string."""
 
     value: int | float | str
     location: SourceLocation
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReferenceExpr:
-    """A name, with the names of fields behind it."""
+    """A reference to a name, followed by the names of nested fields (`a.b.c`)."""
 
     names: tuple[str, ...]
     location: SourceLocation
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundExpr:
-    """An operator and the expression that values are compared with."""
+    """A bound, such as `>= 1`: an operator and the operand that values are compared with."""
 
     operator: BoundOperator
     operand: Expression
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConjunctionExpr:
-    """Expressions that all hold (`a & b`)."""
+    """A conjunction (`a & b`): a value must satisfy all operands."""
 
     operands: tuple[Expression, ...]
     location: SourceLocation
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AlternativeExpr:
-    """One expression of a disjunction, and whether it is marked as the default."""
+    """An alternative of a disjunction, and whether it is marked as the default (`*`)."""
 
     expression: Expression
     is_default: bool
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisjunctionExpr:
-    """Expressions of which one holds (`*a | b`)."""
+    """A disjunction (`*a | b`): a value must satisfy one of the alternatives."""
 
     alternatives: tuple[AlternativeExpr, ...]
     location: SourceLocation
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldDeclaration:
-    """One field of a record (`name: expression` or `name?: expression`)."""
+    """A field of a record: required (`name: expression`) or optional (`name?: expression`)."""
 
     name: str
     optional: bool
@@ -84,13 +84,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordExpr:
-    """A record.
+    """A record: the declarations within a pair of braces or of a whole file.
 
     Attributes:
-        fields: Its fields, as written.
-        pattern: What all fields hold that it does not name (`[string]: expression`), if anything.
-        is_open: Whether it allows further fields (`...`).
-        location: Where it begins.
+        fields: The declared fields, in order.
+        pattern: The constraint on all fields that are not declared (`[string]: expression`), if there is one.
+        is_open: Whether undeclared fields are allowed (`...`).
+        location: Where the record begins.
     """
 
     fields: tuple[FieldDeclaration, ...]
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListExpr:
-    """A list: either its elements, or what each of any number of elements is (`[...expression]`)."""
+    """A list: either its elements, or a template for any number of elements (`[...expression]`)."""
 
     elements: tuple[Expression, ...]
     element_template: Expression | None
--- a/ironhinge/settings/unification.py
+++ b/ironhinge/settings/unification.py
@@ -1,6 +1,6 @@
-"""Unification: the value that allows what two values both allow.
+"""Unification: computes the value that allows what two values both allow.
 
-It is commutative and idempotent. What can't be unified is a `Conflict` with its diagnostic.
+Unification is commutative and idempotent. If two values have nothing in common, the result is a `Conflict`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def unify(first: Value, second: Value, path: str) -> Value:
-    """Returns the value that allows what both allow; `path` is for diagnostics."""
+    """Returns the value that allows what both values allow; `path` is used in diagnostics."""
     if isinstance(first, Conflict):
         return first
     if isinstance(first, Top) or isinstance(second, Conflict):
@@ -60,7 +60,7 @@
 
 
 def _mismatch(first: ProperValue, second: ProperValue, path: str) -> Conflict:
-    """Returns the conflict of two values of different sorts, with the less general one as found."""
+    """Returns the conflict of two values of different classes; a type constraint is reported as expected."""
     found, expected = (second, first) if isinstance(first, TypeConstraint) else (first, second)
     return _conflict(found, describe(found), describe(expected), path)
 
@@ -77,7 +77,7 @@
     ]
     result = make_disjunction(alternatives, first.location, path)
     if isinstance(result, Conflict):
-        # What was found is the scalar that does not fit; what was expected is all that would.
+        # The diagnostic has the scalar as found, and all alternatives of the other value as expected.
         for scalar, other in ((first, second), (second, first)):
             if isinstance(scalar, Scalar):
                 return _conflict(scalar, format_scalar(scalar.value), describe(other), path)
@@ -98,7 +98,7 @@
 def _unify_scalars(first: Scalar, second: Scalar, path: str) -> Scalar | Conflict:
     if is_same(first, second) or (_is_number(first) and _is_number(second) and first.value == second.value):
         return first if isinstance(first.value, int) else second
-    expected = f"{format_scalar(second.value)} as at {second.location}"
+    expected = f"{format_scalar(second.value)} as written at {second.location}"
     return _conflict(first, format_scalar(first.value), expected, path)
 
 
@@ -130,8 +130,8 @@
     path: str,
 ) -> Value:
     if len(first_elements) != len(second_elements):
-        expected = f"one of {len(second_elements)} as at {second.location}"
-        return _conflict(first, f"a list of {len(first_elements)}", expected, path)
+        expected = f"a list of {len(second_elements)} elements as written at {second.location}"
+        return _conflict(first, f"a list of {len(first_elements)} elements", expected, path)
     elements = tuple(
         unify(first_element, second_element, f"{path}[{index}]")
         for index, (first_element, second_element) in enumerate(
--- a/ironhinge/settings/units.py
+++ b/ironhinge/settings/units.py
@@ -1,7 +1,7 @@
-"""Quantities with units: sizes, rates, spans and money.
+"""Quantities with units: sizes, rates and durations (`Span`).
 
-Sizes are bytes (KB is 1,000, KiB 1,024), rates bytes a second, spans ticks of a tenth of a millisecond. A
-quantity is rounded down to whole ones of these.
+Sizes are in bytes (KB is 1,000 bytes, KiB is 1,024), rates in bytes per second and durations in ticks of a
+tenth of a millisecond. Quantities are rounded down to whole bytes, bytes per second or ticks.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 
 class Size(int):
-    """Bytes."""
+    """A size in bytes."""
 
 
 class Rate(int):
-    """Bytes a second."""
+    """A rate in bytes per second."""
 
 
 class Span(int):
-    """Ticks of a tenth of a millisecond."""
+    """A duration in ticks of a tenth of a millisecond."""
 
 
 Quantity: TypeAlias = Size | Rate | Span
 
 
 class Unit(NamedTuple):
-    """A kind of quantity.
+    """A kind of quantity, and how it is written.
 
     Attributes:
-        quantity_type: The type of its figures.
-        symbols: The amount of one of each symbol.
-        suffix: What follows the symbol.
-        example: A quantity as it is written in settings.
+        quantity_type: The type of its values.
+        symbols: For each unit symbol, how many bytes or ticks it is.
+        suffix: The text that follows the unit symbol.
+        example: An example in the syntax of settings, for diagnostics.
     """
 
     quantity_type: type[Quantity]
@@ -55,20 +55,20 @@
 
 
 def parse_quantity(unit_name: str, text: str) -> Quantity | None:
-    """Returns the quantity that a text stands for, or None where it is none of that unit."""
+    """Returns the quantity that a text represents, or None if the text is not a quantity of that unit."""
     unit = UNITS[unit_name]
     match = re.fullmatch(rf"({NUMBER_PATTERN})\s*([A-Za-z]+){unit.suffix}", text)
     if not match or match.group(2) not in unit.symbols or len(text) > MAX_QUANTITY_LENGTH:
         return None
     whole, _, fraction = match.group(1).partition(".")
     scale = unit.symbols[match.group(2)]
-    # Integers throughout, as a float would lose digits.
+    # Computed in integers, as a float would lose digits.
     fraction_amount = int(fraction) * scale // 10 ** len(fraction) if fraction else 0
     return unit.quantity_type(int(whole) * scale + fraction_amount)
 
 
 def format_quantity(unit_name: str, amount: int) -> str:
-    """Returns the shortest text that `parse_quantity` reads as that amount."""
+    """Returns the shortest text that `parse_quantity` converts back to the amount."""
     unit = UNITS[unit_name]
     divisors = [
         (scale, symbol) for symbol, scale in unit.symbols.items() if amount % scale == 0 and amount >= scale
@@ -76,7 +76,7 @@
     if divisors:
         scale, symbol = max(divisors, key=lambda divisor: divisor[0])
         return f"{amount // scale}{symbol}{unit.suffix}"
-    # Zero, or a fraction of the smallest symbol, whose scale is a power of ten.
+    # The amount is zero or not a multiple of the smallest symbol. That symbol's scale is a power of ten.
     symbol, scale = min(unit.symbols.items(), key=lambda item: item[1])
     digits = len(str(scale)) - 1
     fraction = f".{amount % scale:0{digits}d}" if amount % scale else ""
@@ -84,5 +84,5 @@
 
 
 def unit_name_of(quantity_type: type) -> str:
-    """Returns the name of the unit whose figures are of that type."""
+    """Returns the name of the unit whose values have that type."""
     return next(name for name, unit in UNITS.items() if unit.quantity_type is quantity_type)
--- a/ironhinge/settings/validation.py
+++ b/ironhinge/settings/validation.py
@@ -1,6 +1,6 @@
-"""Checks that the schema can't express: relations between records, and names of a deployment.
+"""Checks that the schema can't express: relations between fields, and names that the deployment must have.
 
-Diagnostics bear the source location of the field that they concern.
+Each diagnostic has the source location of the field that it concerns.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def check_relations(operations: Operations, locations: Locations) -> Iterator[Diagnostic]:
-    """Yields what is not allowed between the fields of budgets, and between budgets."""
+    """Yields a diagnostic for each invalid combination of fields of a budget, and of enclosing budgets."""
     traffic = operations.traffic
     if traffic is None:
         return
@@ -29,7 +29,7 @@
 def check_names(
     operations: Operations, locations: Locations, zones: Sequence[str], vhosts: Sequence[str]
 ) -> list[Diagnostic]:
-    """Returns the names that a deployment with these zones and vhosts lacks."""
+    """Returns a diagnostic for each zone or vhost in the settings that the deployment does not have."""
     if operations.traffic is None:
         return []
     return [
@@ -46,17 +46,17 @@
         yield Diagnostic(locations[path], path, "neither a rate nor a sum", "one of them, or both")
     if budget.burst is not None:
         burst_path = f"{path}.burst"
-        yield Diagnostic(locations[burst_path], burst_path, "a burst without a rate", "a rate beside it")
+        yield Diagnostic(locations[burst_path], burst_path, "a burst without a rate", "a rate as well")
     if budget.streams is not None:
         streams_path = f"{path}.streams"
-        expected = "a rate that they can be promised"
+        expected = "a rate, of which a share is reserved for streams"
         yield Diagnostic(locations[streams_path], streams_path, "streams without a rate", expected)
 
 
 def _check_enclosing_budgets(
     traffic: Traffic, name: str, path: str, locations: Locations
 ) -> Iterator[Diagnostic]:
-    """Follows the budgets that enclose one, to its end, an unknown name or a cycle."""
+    """Follows the chain of enclosing budgets; yields a diagnostic if it has an unknown name or a cycle."""
     visited = {name}
     enclosing = traffic.budgets[name].within
     while enclosing is not None:
@@ -65,7 +65,9 @@
             yield Diagnostic(locations[path], path, f'"{enclosing}"', f"one of {known_names}")
             return
         if enclosing in visited:
-            yield Diagnostic(locations[path], path, "a circle", "a budget further up")
+            yield Diagnostic(
+                locations[path], path, "a cycle", "a budget whose enclosing budgets form no cycle"
+            )
             return
         visited.add(enclosing)
         enclosing = traffic.budgets[enclosing].within
@@ -74,7 +76,7 @@
 def _names_in_use(
     traffic: Traffic, zones: Sequence[str], vhosts: Sequence[str]
 ) -> Iterator[tuple[str, str | None, Sequence[str]]]:
-    """Yields the path and the value of each field that holds a name, with the names that it may hold."""
+    """Yields the path and value of each field that refers to a zone or vhost, with the valid names."""
     for budget_name, budget in traffic.budgets.items():
         path = f"traffic.budgets.{budget_name}"
         yield f"{path}.into", budget.destination_zone, zones
--- a/ironhinge/settings/values.py
+++ b/ironhinge/settings/values.py
@@ -1,7 +1,8 @@
-"""The values of the language: what is still allowed in some place.
+"""The values of the language. A value is the set of data that is allowed at a path.
 
-A value that allows one thing is a scalar, a record or a list of such; `Top` allows everything and `Conflict`
-nothing. Records evaluate their fields when asked for them, so that references may point forward.
+A concrete value allows exactly one thing: it is a scalar, or a record or list of concrete values. `Top`
+allows everything, `Conflict` nothing. Records evaluate their fields on demand, so references may point
+forward.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from .errors import Diagnostic, SourceLocation
 from .syntax import BoundOperator, Expression, RecordExpr, ScalarValue
 
-DEFINITION_PREFIX = "#"  # of names that are not part of the result
-MIN_SIMILARITY = 0.5  # from which a known name is suggested in place of an unknown one
+DEFINITION_PREFIX = "#"  # of fields that are not part of the exported result
+MIN_SIMILARITY = 0.5  # least similarity (0 to 1) of a known name that is suggested in place of an unknown one
 
 
 class Kind(StrEnum):
-    """Kinds of scalars, by their names in the language."""
+    """The kinds of scalars, with their names in the language."""
 
     INT = "int"
     NUMBER = "number"
@@ -34,7 +35,7 @@
     """Nothing is allowed (bottom).
 
     Attributes:
-        diagnostic: Why.
+        diagnostic: The problem that caused the conflict.
     """
 
     diagnostic: Diagnostic
@@ -42,21 +43,21 @@
 
 @dataclass(slots=True)
 class Top:
-    """Everything is allowed."""
+    """Everything is allowed (top)."""
 
     location: SourceLocation
 
 
 @dataclass(slots=True)
 class Scalar:
-    """One scalar is allowed."""
+    """Exactly one scalar is allowed."""
 
     value: ScalarValue
     location: SourceLocation
 
 
 class Bound(NamedTuple):
-    """A comparison that a scalar has to meet."""
+    """A comparison that a scalar must satisfy."""
 
     operator: BoundOperator
     operand: ScalarValue
@@ -64,13 +65,13 @@
 
 @dataclass(slots=True)
 class TypeConstraint:
-    """Any scalar is allowed that is of a kind and a unit, and within bounds.
+    """Any scalar is allowed that has the kind and the unit and is within the bounds.
 
     Attributes:
-        kind: The kind; None for any.
-        unit: The name of the unit that a string has to be a quantity of; None for any string.
-        bounds: All of them have to be met.
-        location: Where it is written.
+        kind: The kind of the scalar; None for any kind.
+        unit: The name of the unit if the scalar must be a quantity; None for any string.
+        bounds: The bounds, all of which the scalar must satisfy.
+        location: Where the constraint is written.
     """
 
     kind: Kind | None
@@ -80,7 +81,7 @@
 
 
 class Alternative(NamedTuple):
-    """One value of a disjunction, and whether it is a default."""
+    """An alternative of a disjunction, and whether it is a default."""
 
     value: Value
     is_default: bool
@@ -88,18 +89,21 @@
 
 @dataclass(slots=True)
 class Disjunction:
-    """One of several values is allowed; its default is taken where nothing else decides."""
+    """One of several alternatives is allowed; the default applies if nothing else selects one."""
 
     alternatives: tuple[Alternative, ...]
     location: SourceLocation
 
 
 class Evaluator(NamedTuple):
-    """The functions that turn expressions to values; records and lists call them when a value is asked for.
+    """The functions that evaluate expressions; records and lists call them when a value is requested.
+
+    They are passed in, as `evaluation` imports this module.
 
     Attributes:
         evaluate: Returns the value of an expression in a scope, at a path.
-        evaluate_conjuncts: Returns what all conjuncts allow, at a path; they are declared at that location.
+        evaluate_conjuncts: Returns the value that all conjuncts together allow, given its path and the
+            location of its declaration.
     """
 
     evaluate: Callable[[Expression, Scope, str], Value]
@@ -108,15 +112,15 @@
 
 @dataclass(slots=True)
 class Scope:
-    """Where a name is looked up: a record, then those around it.
+    """Where names are resolved: a record, then the records that enclose it.
 
     Attributes:
-        record: The record; None outside all of them.
-        outer: The scope around it.
-        closed: Whether records written here allow no fields but those that they name.
-        closes_definitions: Whether definitions written here close what they hold: the schema's do, an
-            operator's do not.
-        evaluator: Evaluates what is written here; that of the outer scope where there is one.
+        record: The innermost record; None for the scope outside all records.
+        outer: The enclosing scope.
+        closed: Whether records written in this scope allow only the fields that they declare.
+        closes_definitions: Whether records in definitions of this scope become closed when a reference uses
+            the definition. This is so in the schema, not in operators' files.
+        evaluator: Evaluates the expressions of this scope; inherited from the outer scope if not given.
     """
 
     record: Struct | None
@@ -126,32 +130,32 @@
     evaluator: Evaluator | None = None
 
     def __post_init__(self) -> None:
-        """Takes over the evaluator of the outer scope."""
+        """Inherits the evaluator of the outer scope."""
         if self.evaluator is None and self.outer is not None:
             self.evaluator = self.outer.evaluator
 
 
 @dataclass(slots=True)
 class Conjunct:
-    """An expression that is evaluated when it is needed, and the scope of its names."""
+    """An unevaluated expression, and the scope in which its names are resolved."""
 
     expression: Expression
     scope: Scope
 
     def evaluate(self, path: str) -> Value:
-        """Returns the value of the expression at that path."""
+        """Returns the value of the expression at a path."""
         assert self.scope.evaluator is not None
         return self.scope.evaluator.evaluate(self.expression, self.scope, path)
 
 
 @dataclass(slots=True)
 class RecordSource:
-    """One record as written, in its scope.
+    """A record expression, in its scope.
 
     Attributes:
-        expression: The record.
-        scope: The scope around it.
-        closed: Whether it allows no fields but those that it names.
+        expression: The record expression.
+        scope: The scope that encloses it.
+        closed: Whether it allows only the fields that it declares.
     """
 
     expression: RecordExpr
@@ -160,17 +164,17 @@
 
 
 class Struct:
-    """A record: what all its sources together allow.
+    """A record: the unification of all its sources.
 
     Attributes:
-        sources: The records that were unified.
-        path: Where it is in the settings.
-        location: Where its first source begins.
-        fields: What its sources hold for each field.
-        required: Whether a field is part of the result, by name.
-        locations: Where a field is declared, by name; preferably not in the schema.
-        diagnostics: Its unknown fields.
-        evaluating: The fields and definitions whose values are being evaluated.
+        sources: The record expressions that were unified.
+        path: The path of the record in the settings.
+        location: Where the first source begins.
+        fields: For each field, the conjuncts that the sources contribute.
+        required: For each field, whether some source declares it as required; only these are exported.
+        locations: For each field, where it is declared; outside closed sources (the schema) if possible.
+        diagnostics: A diagnostic for each unknown field.
+        evaluating: The fields and definitions that are being evaluated, to detect cyclic references.
     """
 
     def __init__(self, sources: list[RecordSource], path: str) -> None:
@@ -192,12 +196,16 @@
             self._constrain_other_fields(source, scope)
 
     def value(self, name: str) -> Value:
-        """Returns the value of a field, evaluated at the first call."""
+        """Returns the value of a field, which is evaluated at the first call and then cached."""
         if name not in self._values:
             path = join_path(self.path, name)
             location = self.locations[name]
             if name in self.evaluating:
-                return Conflict(Diagnostic(location, path, "a reference to itself", "something that ends"))
+                return Conflict(
+                    Diagnostic(
+                        location, path, "a reference to itself", "a value that does not depend on itself"
+                    )
+                )
             self.evaluating.add(name)
             try:
                 evaluator = self.sources[0].scope.evaluator
@@ -216,7 +224,7 @@
                 self.locations[name] = field.location
 
     def _constrain_other_fields(self, source: RecordSource, scope: Scope) -> None:
-        """Applies a source's pattern to the fields that it does not name, or reports them as unknown."""
+        """Applies a source's pattern to the fields that it does not declare, or reports them as unknown."""
         record = source.expression
         known_names = {field.name for field in record.fields}
         for name in self.fields:
@@ -238,12 +246,12 @@
 
 @dataclass(slots=True)
 class ListValue:
-    """A list: either of these elements, or of any number that are alike.
+    """A list: either with given elements, or of any length with a template for each element.
 
     Attributes:
-        elements: The elements; None for any number.
-        element_template: What each of any number of elements is.
-        location: Where it is written.
+        elements: The elements; None for a list of any length.
+        element_template: What each element of a list of any length must satisfy.
+        location: Where the list is written.
     """
 
     elements: tuple[Value, ...] | None
@@ -252,7 +260,7 @@
 
 
 ProperValue: TypeAlias = Scalar | TypeConstraint | Disjunction | Struct | ListValue
-"""What allows something, but not everything."""
+"""A value that is neither top nor a conflict."""
 
 Value: TypeAlias = Top | Conflict | ProperValue
 
@@ -263,11 +271,11 @@
 
 
 def is_definition(name: str) -> bool:
-    """Returns whether a field is a definition: others refer to it, but it is not part of the result."""
+    """Returns whether a field is a definition: references may use it, but it is not exported."""
     return name.startswith(DEFINITION_PREFIX)
 
 
 def closest_name(name: str, known_names: Iterable[str]) -> str | None:
-    """Returns the known name that is most like an unknown one, in quotes, or None where none is."""
+    """Returns the known name that is most similar to an unknown one, in quotes; None if none is similar."""
     matches = difflib.get_close_matches(name, list(known_names), 1, MIN_SIMILARITY)
     return f"'{matches[0]}'" if matches else None
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -108,7 +108,7 @@
         ('traffic: budgets: a: {sum: "1TB", burst: "1MB"}', "a burst without a rate"),
         ('traffic: budgets: a: {sum: "1TB", streams: {}}', "streams without a rate"),
         ('traffic: budgets: a: {sum: "1TB", within: "b"}', 'found "b"'),
-        ('traffic: budgets: {a: {sum: "1TB", within: "b"}, b: {sum: "1TB", within: "a"}}', "a circle"),
+        ('traffic: budgets: {a: {sum: "1TB", within: "b"}, b: {sum: "1TB", within: "a"}}', "a cycle"),
         ("traffic: period: traffic.period2", "a record with a field 'period2'"),
         ("traffic: period: Spam", "expected 'Span'"),
         ('traffic: {period: "1h" & "2h"}', 'found "1h", expected "2h"'),
