--- a/ironhinge/config/__init__.py
+++ b/ironhinge/config/__init__.py
@@ -1,10 +1,11 @@
-"""Converts the platform's settings, endpoint lists and director configuration to types, for both hosts.
+"""Reads the platform's settings, endpoint lists and director configuration into typed records.
 
-The names in these messages are mapped here to those of `ironhinge.interface` and of this package's records;
-no other module uses the outer names. Settings have microseconds, the program has ticks of a tenth of a
-millisecond: deadlines, latency targets and grace periods are rounded down, durations that other parties need
-(such as slow start) are rounded up. An absent field has the default that the protocol gives it; unknown
-fields are ignored. Nothing is decided here.
+Both hosts use this package, so each message is read in one place only. The names of settings and
+configuration are mapped here; all other code uses the names of `ironhinge.interface` and of the records of
+this package. Times are microseconds in the settings and ticks of a tenth of a millisecond in the program:
+deadlines, latency targets and allowances (such as grace periods) are rounded down, durations that others need
+(such as slow start) are rounded up. An absent field has the default that the protocol defines, and unknown
+fields are ignored. No decisions are made here.
 """
 
 from .deployment_settings import load_report_in_order, read_deployment, read_endpoints
--- a/ironhinge/config/deployment_settings.py
+++ b/ironhinge/config/deployment_settings.py
@@ -40,7 +40,7 @@
     "live": WeightKind.LIVE,
 }
 WATCH_REQUIRED = {"automatic": False, "subscribe": True}
-LOAD_REPORT_FIELDS = {
+LOAD_REPORT_FIELDS = {  # names of the values in load reports; most values have several
     "rif": "in_flight",
     "inflight": "in_flight",
     "q": "queued",
@@ -184,8 +184,10 @@
 def load_report_in_order(report: Mapping[str, float], deployment: Deployment) -> tuple[float, ...] | None:
     """Returns the values of a load report in the order of `Deployment.load_report_fields`.
 
+    The report may use any of the names in `LOAD_REPORT_FIELDS`.
+
     Returns:
-        The values, or None if one of them is missing. Either name of a value is accepted.
+        The values, or None if one of them is missing.
     """
     values_by_field = {LOAD_REPORT_FIELDS.get(name, name): value for name, value in report.items()}
     if any(name not in values_by_field for name in deployment.load_report_fields):
--- a/ironhinge/config/director_config.py
+++ b/ironhinge/config/director_config.py
@@ -10,7 +10,7 @@
 
 MAX_PORT = 65_535
 
-RECORD_STATES = {
+RECORD_STATES = {  # statuses in the discovery service's endpoint list
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
@@ -148,6 +148,7 @@
 def _read_endpoint_list(
     update: Fields, event_index: int, is_first: bool, names: SettingsNames
 ) -> EndpointListUpdate:
+    """Returns an update of the endpoint list; the first one is always the complete list."""
     change = update.nested("endpoints")
     records = tuple(
         _read_record(row, f"{update.context} endpoints[{index}]", names)
--- a/ironhinge/settings/__init__.py
+++ b/ironhinge/settings/__init__.py
@@ -1,7 +1,7 @@
 """Operators' settings: a small language of typed records modelled on CUE, its schema, and the loaded records.
 
 A text is parsed (`grammar`, `parser`) into a syntax tree (`syntax`), which is evaluated (`evaluation`) and
-unified (`unification`) with the schema (`schema.cue`). The result are values (`values`), which `export`
+unified (`unification`) with the schema (`schema.cue`). The result is a value (`values`), which `export`
 converts to plain objects. `validation` makes the checks that the schema can't express, and `records` defines
 the records that other packages use.
 
--- a/ironhinge/settings/constraints.py
+++ b/ironhinge/settings/constraints.py
@@ -53,7 +53,7 @@
 
 
 def is_narrower(constraint: TypeConstraint, wider: TypeConstraint) -> bool:
-    """Returns whether a constraint allows nothing that `wider` does not, and is not the same."""
+    """Returns whether a constraint allows less than `wider`, as far as their kinds, units and bounds show."""
     if is_same_constraint(constraint, wider):
         return False
     return (
@@ -82,7 +82,7 @@
     """Returns whether a scalar satisfies a bound.
 
     Args:
-        value: The scalar as written; patterns are matched against it.
+        value: The scalar as written; regular expressions are matched against it.
         comparable: The scalar, or its quantity if the constraint has a unit; it is compared with the operand.
         bound: The bound.
         unit: The name of the unit of the constraint, if it has one.
--- a/ironhinge/settings/cycles.py
+++ b/ironhinge/settings/cycles.py
@@ -12,6 +12,7 @@
 MAX_DEPTH = 60  # nested records, as many as `parser.MAX_OPEN_BRACKETS`; prevents a stack overflow
 
 _SourceIds = frozenset[int]
+# The sources of the records that are being visited, outermost first.
 _visited: ContextVar[tuple[_SourceIds, ...]] = ContextVar("_visited", default=())
 
 
--- a/ironhinge/settings/disjunctions.py
+++ b/ironhinge/settings/disjunctions.py
@@ -69,8 +69,8 @@
     """
     remaining = _without_included(_distinct(alternatives))
     if len(remaining) > 1 and any(isinstance(part, Struct) for part, _ in remaining):
-        # The intended record would have to be guessed from its fields, and an error in a field could not be
-        # told from another choice of record.
+        # The intended record would have to be guessed from its fields, so errors in its fields could not be
+        # reported reliably.
         expected = "one record with optional fields"
         return Conflict(Diagnostic(location, path, "a choice between records", expected))
     if not remaining:
@@ -115,7 +115,7 @@
 
 
 def _without_included(alternatives: list[Alternative]) -> list[Alternative]:
-    """Drops alternatives that a wider one includes, but not a default in favour of one that is none."""
+    """Drops alternatives that a wider one includes; a default is dropped only for a wider default."""
     return [
         Alternative(value, is_default)
         for value, is_default in alternatives
--- a/ironhinge/settings/parser.py
+++ b/ironhinge/settings/parser.py
@@ -30,7 +30,7 @@
 MAX_EXPECTED_TOKENS = 6  # listed in one diagnostic
 END_TOKEN = "$END"  # the type of the token at the end of the input
 OPENING_BRACKETS, CLOSING_BRACKETS = "{[(", "}])"
-PATTERN_NAME = "string"
+PATTERN_NAME = "string"  # the only name that the brackets of a pattern (`[string]: ...`) may have
 
 
 class _Meta(Protocol):
@@ -110,7 +110,7 @@
         return AlternativeExpr(children[0], True)
 
     def disjunction(self, meta: _Meta, children: list[AlternativeExpr]) -> Expression:
-        """Returns a disjunction, or the expression itself if there is one alternative, not marked as default."""
+        """Returns a disjunction, or the expression itself if it is the only one and not marked as default."""
         if len(children) == 1 and not children[0].is_default:
             return children[0].expression
         return DisjunctionExpr(tuple(children), self._location(meta))
--- a/ironhinge/settings/records.py
+++ b/ironhinge/settings/records.py
@@ -15,10 +15,13 @@
 
 
 class Emergency(msgspec.Struct, frozen=True):
-    """The extra allowance of a budget for diverted fills, which is used once the budget is exhausted."""
+    """The extra allowance of a budget for diverted fills, which is used once the budget is exhausted.
+
+    A fill is diverted if it comes from the origin or a hub, but not from the preferred hub of its object.
+    """
 
     rate: Rate
-    remember: Span  # how long a parent that departed still counts as the one that its caches should use
+    remember: Span  # how long a hub that left the endpoint list still counts as preferred
     burst: Size | None = None
     sum: Size | None = None
 
@@ -100,10 +103,10 @@
     segment_size: Size = msgspec.field(name="segment")
     max_entries: int = msgspec.field(name="entries")
     read_timeout: Span = msgspec.field(name="patience")
-    object_share: float
-    class_share: float
-    background: Rate
-    write: Rate | None = None
+    object_share: float  # largest share of the capacity for the parts of one object
+    class_share: float  # largest share of the capacity for parts of one size class
+    background: Rate  # bytes read and written by compaction, checkpoints and scrubs
+    write: Rate | None = None  # limits the admission of new copies, as writes wear out the disk
 
 
 class Operations(msgspec.Struct, frozen=True):
--- a/ironhinge/settings/schema.cue
+++ b/ironhinge/settings/schema.cue
@@ -49,12 +49,12 @@
     streams?: #Streams
 }
 
-// The extra allowance for diverted fills, which is used once the budget is exhausted.
+// Extra allowance for fills that bypass the preferred hub of their object, used once the budget is exhausted.
 #Emergency: {
     rate: Rate & >"0B/s"
     burst?: Size & >"0B"
     sum?: Size & >"0B"
-    remember: *"10m" | Span & >"0s"          // how long a hub that departed still counts as the regular source
+    remember: *"10m" | Span & >"0s"          // how long a departed hub still counts as preferred
 }
 
 // Reservations for open streams of parts, which take precedence over all other fills.
@@ -85,5 +85,5 @@
 // Directors grant unused budget to peers that need it, where the platform allows messages between peers.
 #Share: {
     every: *"100ms" | Span & >="20ms"
-    give: *0.5 | number & >0 & <=1           // share that is granted of what a bucket has above half of its capacity
+    give: *0.5 | number & >0 & <=1           // granted share of what a bucket has above half of its capacity
 }
--- a/ironhinge/settings/syntax.py
+++ b/ironhinge/settings/syntax.py
@@ -1,4 +1,4 @@
-"""The syntax tree of the settings language. Each node has the location where it was written."""
+"""The syntax tree of the settings language, with source locations."""
 
 from __future__ import annotations
 
--- a/ironhinge/settings/values.py
+++ b/ironhinge/settings/values.py
@@ -17,7 +17,7 @@
 from .syntax import BoundOperator, Expression, RecordExpr, ScalarValue
 
 DEFINITION_PREFIX = "#"  # of fields that are not part of the exported result
-MIN_SIMILARITY = 0.5  # least similarity (0 to 1) of a known name that is suggested in place of an unknown one
+MIN_SIMILARITY = 0.5  # minimum similarity (0 to 1) of a known name that is suggested for an unknown one
 
 
 class Kind(StrEnum):
@@ -117,7 +117,7 @@
     Attributes:
         record: The innermost record; None for the scope outside all records.
         outer: The enclosing scope.
-        closed: Whether records written in this scope allow only the fields that they declare.
+        closed: Whether records written in this scope are closed (see `RecordSource`).
         closes_definitions: Whether records in definitions of this scope become closed when a reference uses
             the definition. This is so in the schema, not in operators' files.
         evaluator: Evaluates the expressions of this scope; inherited from the outer scope if not given.
@@ -155,7 +155,7 @@
     Attributes:
         expression: The record expression.
         scope: The scope that encloses it.
-        closed: Whether it allows only the fields that it declares.
+        closed: Whether undeclared fields are errors, unless the record is open or has a pattern.
     """
 
     expression: RecordExpr
