--- a/ironhinge/config/__init__.py
+++ b/ironhinge/config/__init__.py
@@ -1,9 +1,11 @@
-"""Reads settings, endpoint lists and a director's configuration into types, once, for both fronts.
+"""Reads the platform's settings, endpoint lists and director configuration into typed records.
 
-The themed names of settings and configuration end here: further in, only the names of `ironhinge.interface`
-and of the records of this package are used. Settings count microseconds, the program tenths of a millisecond:
-deadlines and objectives are rounded down, durations that others need up, allowances down. An absent
-field means what the protocol says it means; unknown fields are skipped. Nothing is decided here.
+Both hosts use this package, so each message is read in one place only. The names of settings and
+configuration are mapped here; all other code uses the names of `ironhinge.interface` and of the records of
+this package. Times are microseconds in the settings and ticks of a tenth of a millisecond in the program:
+deadlines, latency targets and allowances (such as grace periods) are rounded down, durations that others need
+(such as slow start) are rounded up. An absent field has the default that the protocol defines, and unknown
+fields are ignored. No decisions are made here.
 """
 
 from .deployment_settings import load_report_in_order, read_deployment, read_endpoints
