--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -31,7 +31,7 @@
 COMMAND_PACKAGES = ("disk", "jobs", "lab", "settings", "traffic")  # packages that bring commands of their own
 
 EXIT_FAILED = 1
-EXIT_WRONG_CALL = 2
+EXIT_INVALID_CONFIG = 2
 
 CommandFunction = TypeVar("CommandFunction", bound=Callable[..., Any])
 
@@ -87,10 +87,10 @@
             return self.read()
         except (OSError, ValueError, MalformedMessageError) as error:
             click.echo(f"ironhinge: {self.path}: {error}", err=True)
-            sys.exit(EXIT_WRONG_CALL)
+            sys.exit(EXIT_INVALID_CONFIG)
 
 
-class LazyCommands(click.Group):
+class LazyGroup(click.Group):
     """Imports a package's commands when they are called: `serve` starts with nothing that is not on."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -105,7 +105,7 @@
         return super().get_command(ctx, cmd_name)
 
 
-@click.group(cls=LazyCommands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
     """A router before tiers of caches with one origin behind them."""
 
@@ -129,7 +129,7 @@
         return read_operations(config, operations)
     except OperationsError as error:
         click.echo(str(error), err=True)
-        sys.exit(EXIT_WRONG_CALL)
+        sys.exit(EXIT_INVALID_CONFIG)
 
 
 def open_runner(operations: Any, clock: Clock) -> Any:
@@ -176,17 +176,17 @@
 
 
 def open_extensions(
-    config: DirectorConfig, config_path: str, files: tuple[str, ...], clock: Clock
+    config: DirectorConfig, config_path: str, operations_paths: tuple[str, ...], clock: Clock
 ) -> Extensions:
     """What the operators' files turn on beside the director."""
     from .net.service import Extensions
 
-    operations = read_operations_or_exit(config_path, files)
+    operations = read_operations_or_exit(config_path, operations_paths)
     runner = open_runner(operations, clock)
     account = open_traffic_account(config, operations, runner, clock)
     store = open_local_store(config, operations, runner, clock)
     if account is not None:
-        account.read_settings = lambda: read_operations(config_path, files)
+        account.read_settings = lambda: read_operations(config_path, operations_paths)
     return Extensions(account, store, runner)
 
 
@@ -228,14 +228,14 @@
     """Say what is wrong with a configuration and its operations files, or what they would start."""
     director_config = ConfigSource(config, name, listen).read_or_exit()
     read_operations_or_exit(config, operations)
-    lists = [update for update in director_config.known if isinstance(update, EndpointListUpdate)]
-    nodes = {record.endpoint.id for update in lists for record in update.records}
+    endpoint_lists = [update for update in director_config.known if isinstance(update, EndpointListUpdate)]
+    endpoint_ids = {record.endpoint.id for update in endpoint_lists for record in update.records}
     host, port = director_config.listen
     limits = director_config.limits
     click.echo(
         f"{director_config.name or 'a director'} on {host}:{port}: "
         f"{len(director_config.names.request_classes)} vhosts, "
-        f"{len(nodes)} node{'s' * (len(nodes) != 1)} known, "
+        f"{len(endpoint_ids)} node{'s' * (len(endpoint_ids) != 1)} known, "
         f"{limits.descriptors} descriptors, {limits.memory_mb} MB"
     )
 
--- a/ironhinge/fleet/desired_state.py
+++ b/ironhinge/fleet/desired_state.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PendingCommand:
+class CommandReceived:
     """Event: a command arrived.
 
     Attributes:
@@ -126,7 +126,7 @@
     entry: Entry
 
 
-Event: TypeAlias = PendingCommand | EntryPersisted | EntryWriteFailed
+Event: TypeAlias = CommandReceived | EntryPersisted | EntryWriteFailed
 Action: TypeAlias = AppendEntry | ActivateGeneration | CommandResult
 
 INITIAL_ENTRY = Entry(0, "", "nobody", "the beginning", 0, ())
@@ -151,7 +151,7 @@
         self.history: deque[Entry] = deque([INITIAL_ENTRY], MAX_HISTORY)
         self._results: OrderedDict[str, CommandResult] = OrderedDict()
         self._unpersisted: Entry | None = None
-        self._queue: deque[PendingCommand] = deque()
+        self._queue: deque[CommandReceived] = deque()
         for entry in entries:
             expected = self.current.generation + 1
             if entry.generation != expected:
@@ -166,14 +166,14 @@
     def handle(self, event: Event) -> list[Action]:
         """Applies an event and returns what is to be done for it, in order."""
         actions: list[Action] = []
-        if isinstance(event, PendingCommand):
+        if isinstance(event, CommandReceived):
             self._queue.append(event)
         elif self._unpersisted is None or event.generation != self._unpersisted.generation:
             return actions  # a late report on an entry that is settled
         else:
-            actions += self._settle(self._unpersisted, event)
+            actions += self._on_write_finished(self._unpersisted, event)
         while self._queue and self._unpersisted is None:
-            actions.append(self._decide(self._queue.popleft()))
+            actions.append(self._process_command(self._queue.popleft()))
         return actions
 
     def entry_before(self, generation: int) -> Entry | None:
@@ -183,15 +183,15 @@
                 return older
         return None
 
-    def _settle(self, entry: Entry, event: EntryPersisted | EntryWriteFailed) -> list[Action]:
+    def _on_write_finished(self, entry: Entry, event: EntryPersisted | EntryWriteFailed) -> list[Action]:
         self._unpersisted = None
         if isinstance(event, EntryPersisted):
             return [ActivateGeneration(entry), self._activate(entry)]
         # Not remembered, so that the command may succeed when it is repeated.
         return [CommandResult(entry.command_id, False, self.current, f"{WRITE_FAILURE}: {event.reason}")]
 
-    def _decide(self, pending: PendingCommand) -> AppendEntry | CommandResult:
-        command = pending.command
+    def _process_command(self, received: CommandReceived) -> AppendEntry | CommandResult:
+        command = received.command
         known_result = self._results.get(command.command_id)
         if known_result is not None:
             return known_result
@@ -206,7 +206,7 @@
             command_id=command.command_id,
             author=command.author,
             reason=command.reason,
-            created_at_ms=pending.received_at_ms,
+            created_at_ms=received.received_at_ms,
             spec=tuple(sorted(command.spec)),
         )
         return AppendEntry(self._unpersisted)
--- a/ironhinge/fleet/rollout.py
+++ b/ironhinge/fleet/rollout.py
@@ -149,7 +149,7 @@
         self._plan = plan
         self._members = {member.name: member for member in plan.members}
         self._waves = plan_waves(plan.members, plan.max_unavailable)
-        self._unsettled_until = now  # the latest instant at which the current wave was not settled
+        self._soak_started_at = now  # the latest instant at which the current wave was not settled
         self._last_sent: dict[str, int] = {}  # by command id
         self._last_contact = dict.fromkeys(self._members, now)
         self._latest_status: dict[str, MemberStatus] = {}
@@ -199,7 +199,7 @@
     def _advance(self, now: int) -> list[Action]:
         if self.state is RolloutState.ROLLING_BACK:
             return self._roll_back(now)
-        self._update_hold(now)
+        self._update_hold_state(now)
         failure = self._gate_failure()
         if failure:
             self._begin_rollback(failure)
@@ -208,7 +208,7 @@
             return []
         return self._roll_forward(now)
 
-    def _update_hold(self, now: int) -> None:
+    def _update_hold_state(self, now: int) -> None:
         unreachable = [name for name in self._started_members() if self._is_unreachable(now, name)]
         if unreachable:
             self.status = f"no word from {unreachable[0]}"
@@ -223,13 +223,13 @@
         started = self._started_members()
         soak_time = SOAK_TIME if started else 0
         if not all(self._is_updated(name) for name in started):
-            self._unsettled_until = now
-        elif now >= self._unsettled_until + soak_time:
+            self._soak_started_at = now
+        elif now >= self._soak_started_at + soak_time:
             if self.current_wave + 1 == len(self._waves):
                 summary = f"{len(started)} members in {len(self._waves)} waves"
                 return self._finish(RolloutOutcome.COMPLETED, summary)
             self.current_wave += 1
-            self._unsettled_until = now
+            self._soak_started_at = now
         actions: list[Action] = []
         for name in self._started_members():
             if not self._runs(name, Revision.NEW):
--- a/ironhinge/fleet/supervisor.py
+++ b/ironhinge/fleet/supervisor.py
@@ -94,8 +94,8 @@
     FAILED = "broken"
 
 
-_WITHOUT_PROCESS = (ChildState.DOWN, ChildState.BACKOFF, ChildState.FAILED)
-_WITH_CURRENT_PROCESS = (ChildState.STARTING, ChildState.RUNNING)
+_STATES_WITHOUT_PROCESS = (ChildState.DOWN, ChildState.BACKOFF, ChildState.FAILED)
+_DRAINABLE_STATES = (ChildState.STARTING, ChildState.RUNNING)
 
 
 @dataclass(slots=True)
@@ -158,15 +158,15 @@
         """Applies an event at the instant `now` and returns what is to be done for it, in order."""
         match event:
             case GenerationActivated(entry=entry):
-                self._on_generation(entry)
+                self._on_generation_activated(entry)
             case ChildStarted(name=name):
-                self._on_started(now, name)
+                self._on_child_started(now, name)
             case ChildExited(name=name) if name in self.children:
                 self.children[name].record_exit(now)
         actions: list[Action] = []
         for name, child in list(self.children.items()):
             actions += self._advance(now, name, child)
-            if child.desired_config is None and child.state in _WITHOUT_PROCESS:
+            if child.desired_config is None and child.state in _STATES_WITHOUT_PROCESS:
                 del self.children[name]
         return actions
 
@@ -174,7 +174,7 @@
         """Returns the state of each director by name, for people."""
         return {name: child.state.value for name, child in sorted(self.children.items())}
 
-    def _on_generation(self, entry: Entry) -> None:
+    def _on_generation_activated(self, entry: Entry) -> None:
         if entry.generation <= self.generation:
             return  # a delayed event of an earlier generation
         self.generation = entry.generation
@@ -188,7 +188,7 @@
             if name not in configs:
                 child.desired_config = None
 
-    def _on_started(self, now: int, name: str) -> None:
+    def _on_child_started(self, now: int, name: str) -> None:
         child = self.children.get(name)
         if child is not None and child.state is ChildState.STARTING:
             child.state = ChildState.RUNNING
@@ -202,7 +202,7 @@
             child.state_since = now
             child.running_config = child.desired_config
             return [StartChild(name, child.desired_config)]
-        if child.state in _WITH_CURRENT_PROCESS and child.running_config != child.desired_config:
+        if child.state in _DRAINABLE_STATES and child.running_config != child.desired_config:
             child.state = ChildState.DRAINING
             child.deadline = now + DRAIN_TIMEOUT
             return [DrainChild(name)]
--- a/ironhinge/fleet/waves.py
+++ b/ironhinge/fleet/waves.py
@@ -64,13 +64,13 @@
 ) -> list[str]:
     """Takes the members of one wave out of `remaining`, one of each branch at a time."""
     wave: list[str] = []
-    taken = dict.fromkeys(remaining, 0)
+    branch_counts = dict.fromkeys(remaining, 0)
     progressed = True
     while progressed and len(wave) < size_limit:
         progressed = False
         for branch, names in sorted(remaining.items()):
-            if names and taken[branch] < branch_limits[branch] and len(wave) < size_limit:
+            if names and branch_counts[branch] < branch_limits[branch] and len(wave) < size_limit:
                 wave.append(names.pop(0))
-                taken[branch] += 1
+                branch_counts[branch] += 1
                 progressed = True
     return wave
--- a/ironhinge/jobs/runner.py
+++ b/ironhinge/jobs/runner.py
@@ -33,7 +33,7 @@
 )
 from .scheduler import JobScheduler
 
-Work: TypeAlias = Callable[[], Iterator[int]]
+JobFunction: TypeAlias = Callable[[], Iterator[int]]
 """Begins a job; the iterator runs one slice at each step and yields the bytes of disk that it moved."""
 
 MAX_IDLE_SECONDS = 1.0  # between two looks at the budgets where no timer is due sooner
@@ -73,15 +73,15 @@
         self.scheduler = JobScheduler(budgets, clock())
         self._clock = clock
         self._iterators: dict[str, Iterator[int]] = {}
-        self._ready: deque[RunSlice] = deque()
-        self._ready_added = anyio.Event()
+        self._ready_slices: deque[RunSlice] = deque()
+        self._slice_added = anyio.Event()
         self._timer_at = 0
         self._thread_limiter = anyio.CapacityLimiter(max(1, budgets.max_concurrent_slices))
 
-    def submit(self, job: Job, work: Work) -> None:
+    def submit(self, job: Job, job_function: JobFunction) -> None:
         """Has a job run, unless one of its name has not ended yet."""
         if job.name not in self.scheduler.jobs:
-            self._iterators[job.name] = work()
+            self._iterators[job.name] = job_function()
             self._handle(JobSubmitted(job))
 
     def cancel(self, name: str) -> None:
@@ -98,20 +98,20 @@
             while True:
                 self._start_ready_slices(tasks)
                 wait_seconds = self._idle_seconds()
-                self._ready_added = anyio.Event()
+                self._slice_added = anyio.Event()
                 with anyio.move_on_after(wait_seconds):
-                    await self._ready_added.wait()
+                    await self._slice_added.wait()
                 self._handle(TimePassed())
 
     def _handle(self, event: Event) -> None:
         for command in self.scheduler.handle(self._clock(), event):
-            self._perform(command)
+            self._execute(command)
 
-    def _perform(self, command: Command) -> None:
+    def _execute(self, command: Command) -> None:
         match command:
             case RunSlice():
-                self._ready.append(command)
-                self._ready_added.set()
+                self._ready_slices.append(command)
+                self._slice_added.set()
             case DiscardJob(name=name):
                 self._iterators.pop(name, None)
             case SetTimer(at=at):
@@ -122,20 +122,20 @@
         return min(MAX_IDLE_SECONDS, until_timer or MAX_IDLE_SECONDS)
 
     def _start_ready_slices(self, tasks: TaskGroup) -> None:
-        while self._ready:
-            tasks.start_soon(self._run_slice, self._ready.popleft().name)
+        while self._ready_slices:
+            tasks.start_soon(self._run_slice, self._ready_slices.popleft().name)
 
     async def _run_slice(self, name: str) -> None:
         iterator = self._iterators.get(name)
         if iterator is None:
             self._handle(SliceFinished(name, 0, 0, exhausted=True))
             return
-        timed = _TimedSlice(iterator)
+        timed_slice = _TimedSlice(iterator)
         disk_bytes = EXHAUSTED
         error = ""
         try:
             disk_bytes = await anyio.to_thread.run_sync(
-                timed.run, limiter=self._thread_limiter, abandon_on_cancel=True
+                timed_slice.run, limiter=self._thread_limiter, abandon_on_cancel=True
             )
         except Exception as exception:  # noqa: BLE001 - whatever a job raises ends that job alone
             logger.exception("job_failed name={}", name)
@@ -144,5 +144,5 @@
         if exhausted:
             self._iterators.pop(name, None)
         # A slice always costs some CPU time, also one below the clock's resolution.
-        cpu_ticks = int(timed.cpu_seconds * TICKS_PER_SECOND) + 1
+        cpu_ticks = int(timed_slice.cpu_seconds * TICKS_PER_SECOND) + 1
         self._handle(SliceFinished(name, max(0, disk_bytes), cpu_ticks, exhausted, error))
--- a/ironhinge/jobs/scheduler.py
+++ b/ironhinge/jobs/scheduler.py
@@ -248,6 +248,6 @@
     def _sort_key(self, now: int, scheduled: ScheduledJob) -> tuple[bool, int, float, str]:
         """Returns a key by which the job that goes first is the least."""
         job = scheduled.job
-        late = job.deadline != NO_DEADLINE and now >= job.deadline
-        aged_classes = (now - scheduled.waiting_since) // AGING_INTERVAL
-        return (not late, -(job.priority + aged_classes), scheduled.virtual_time, job.name)
+        overdue = job.deadline != NO_DEADLINE and now >= job.deadline
+        priority_boost = (now - scheduled.waiting_since) // AGING_INTERVAL
+        return (not overdue, -(job.priority + priority_boost), scheduled.virtual_time, job.name)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,12 +8,12 @@
     ActivateGeneration,
     AppendEntry,
     Command,
+    CommandReceived,
     CommandResult,
     DesiredState,
     Entry,
     EntryPersisted,
     EntryWriteFailed,
-    PendingCommand,
 )
 from ironhinge.fleet.errors import CorruptJournalError, FleetError, GenerationOrderError
 from ironhinge.fleet.journal import decode_journal, encode_entry
@@ -56,7 +56,7 @@
 
 
 def accept(agent, command_id, expected_generation, **other):
-    (action,) = agent.handle(PendingCommand(command(command_id, expected_generation, **other), 5))
+    (action,) = agent.handle(CommandReceived(command(command_id, expected_generation, **other), 5))
     assert type(action) is AppendEntry
     return agent.handle(EntryPersisted(action.entry.generation))
 
@@ -72,8 +72,8 @@
 
 
 def test_one_of_two_conflicting_commands_is_accepted_and_the_other_learns_of_it(agent):
-    (append,) = agent.handle(PendingCommand(command("a", 0), 5))
-    assert agent.handle(PendingCommand(command("b", 0, "bob"), 6)) == [], "not before the first is settled"
+    (append,) = agent.handle(CommandReceived(command("a", 0), 5))
+    assert agent.handle(CommandReceived(command("b", 0, "bob"), 6)) == [], "not before the first is settled"
     activate, accepted, rejected = agent.handle(EntryPersisted(1))
     assert activate == ActivateGeneration(append.entry)
     assert accepted == CommandResult("a", True, append.entry)
@@ -84,15 +84,15 @@
 
 def test_a_repeated_command_has_no_effect_also_after_a_restart(agent):
     accept(agent, "a", 0)
-    assert agent.handle(PendingCommand(command("a", 0), 9)) == [CommandResult("a", True, agent.current)]
+    assert agent.handle(CommandReceived(command("a", 0), 9)) == [CommandResult("a", True, agent.current)]
     restarted = DesiredState(journal_entries(agent))
-    assert restarted.handle(PendingCommand(command("a", 0), 9)) == [CommandResult("a", True, agent.current)]
-    (delayed,) = restarted.handle(PendingCommand(command("old", 0), 9))
+    assert restarted.handle(CommandReceived(command("a", 0), 9)) == [CommandResult("a", True, agent.current)]
+    (delayed,) = restarted.handle(CommandReceived(command("old", 0), 9))
     assert not delayed.accepted, "a delayed command of an earlier generation"
 
 
 def test_an_entry_that_could_not_be_written_is_not_in_force_and_its_command_may_be_repeated(agent):
-    agent.handle(PendingCommand(command("a", 0), 5))
+    agent.handle(CommandReceived(command("a", 0), 5))
     (result,) = agent.handle(EntryWriteFailed(1, "no space left"))
     assert not result.accepted
     assert result.is_write_failure
@@ -167,7 +167,7 @@
             one = self.in_transit.pop(self.random.randrange(len(self.in_transit)))
             if self.random.random() < 0.2:
                 self.in_transit.append(one)  # doubled
-            return self.agent.handle(PendingCommand(one, self.seed))
+            return self.agent.handle(CommandReceived(one, self.seed))
         return []
 
     def crash(self):
@@ -345,7 +345,7 @@
         elif self.is_delivered(action.name):
             assert type(action) is SendCommand
             agent = self.agents[action.name]
-            results = agent.handle(PendingCommand(action.command, now))
+            results = agent.handle(CommandReceived(action.command, now))
             if results and type(results[0]) is AppendEntry:
                 results = agent.handle(EntryPersisted(results[0].entry.generation))
             if self.is_delivered(action.name):
@@ -444,7 +444,7 @@
     (sent,) = [each for each in rollout.handle(now, RolloutTimePassed()) if type(each) is SendCommand]
     agent = fleet.agents[sent.name]
     accept(agent, "of bob", 3, spec=(("n", "his"),))
-    result = agent.handle(PendingCommand(sent.command, now))[-1]
+    result = agent.handle(CommandReceived(sent.command, now))[-1]
     (end,) = rollout.handle(now, CommandAnswered(sent.name, result))
     assert end.outcome is RolloutOutcome.CONFLICT
     assert rollout.state is RolloutState.FINISHED
--- a/tests/test_fleet_stored_form.py
+++ b/tests/test_fleet_stored_form.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ironhinge.fleet.desired_state import Command, CommandResult, DesiredState, Entry, PendingCommand
+from ironhinge.fleet.desired_state import Command, CommandReceived, CommandResult, DesiredState, Entry
 from ironhinge.fleet.journal import decode_journal, encode_entry
 
 STORED = Path(__file__).parent / "data" / "fleet_journal.bin"
@@ -59,4 +59,4 @@
     assert agent.entry_before(3) == ENTRIES[1]
     for entry in ENTRIES:
         again = Command(entry.command_id, entry.generation - 1, entry.author, entry.reason, entry.spec)
-        assert agent.handle(PendingCommand(again, 1)) == [CommandResult(entry.command_id, True, entry)]
+        assert agent.handle(CommandReceived(again, 1)) == [CommandResult(entry.command_id, True, entry)]
