--- a/ironhinge/fleet/__init__.py
+++ b/ironhinge/fleet/__init__.py
@@ -1,9 +1,10 @@
-"""What many instances are to run, and how a change of it is rolled out.
+"""The desired state of a fleet of directors, and the rollout of a change to it.
 
-The package holds each agent's desired state by generation (`desired_state`), the bytes of its journal
-(`journal`), the supervision of its directors (`supervisor`) and the rollout of a change through a fleet in
-waves (`waves`, `rollout`).
+An agent supervises a group of directors. The package contains each agent's desired state by generation
+(`desired_state`), the stored form of its journal (`journal`), the supervision of its directors (`supervisor`)
+and the rollout of a change to a fleet in waves (`waves`, `rollout`).
 
-It must never touch a request, and never hold two generations in force at one agent. Every module is a pure
-state machine: events in, actions out. The agent's processes and its listener come next (docs/ROADMAP.md).
+The package must never handle requests, and an agent must never have two active generations. All modules are
+free of I/O; the state machines take events and return actions. The process that runs an agent and its
+listener do not exist yet (docs/ROADMAP.md).
 """
--- a/ironhinge/fleet/desired_state.py
+++ b/ironhinge/fleet/desired_state.py
@@ -1,10 +1,11 @@
-"""One agent's desired state: which generation is in force, who set it, and the results of commands.
+"""The desired state of one agent: the active generation, who set it, and the results of commands.
 
-A change is compare-and-set: it names the generation that it was decided on, and is accepted whole or rejected
-with the entry that is current instead. It is in force, and answered, once its entry is durable.
+A command is a compare-and-set: it names the generation that it replaces. It is accepted as a whole, or
+rejected with the entry that is active instead. An accepted command takes effect, and is answered, once its
+entry is durable.
 
-A command that is repeated, also after the agent has restarted, gets the same result and has no further
-effect; a delayed one names an old generation and is rejected for that. So generations are the fencing tokens.
+A repeated command gets the same result and has no further effect, also after the agent has restarted. A
+delayed command names an old generation and is therefore rejected: generations serve as fencing tokens.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 
 from .errors import GenerationOrderError
 
-MAX_REMEMBERED_RESULTS = 1024  # commands; older ones are rejected by their generation
-MAX_HISTORY = 64  # entries that can be rolled back to
-WRITE_FAILURE = "could not be written"
+MAX_REMEMBERED_RESULTS = 1024  # by command; a repeat of an older command is rejected by its generation
+MAX_HISTORY = 64  # entries that a rollback can return to
+WRITE_FAILURE = "could not be written"  # `CommandResult.is_write_failure` matches this text
 
 DirectorSpec: TypeAlias = tuple[tuple[str, str], ...]
-"""Directors by name, each with the digest of its configuration."""
+"""Pairs of a director's name and the digest of its configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """An operator's change of one agent's directors.
+    """An operator's command that replaces the directors of one agent.
 
     Attributes:
-        command_id: Identifies the command; a repeated one is recognised by it.
-        expected_generation: The generation that the operator saw.
-        author: Who wants the change.
-        reason: Why, for people.
-        spec: All directors of this agent.
+        command_id: Identifies the command; a repeated command has the same id.
+        expected_generation: The generation that was active when the operator requested the change.
+        author: The operator who requested the change.
+        reason: The reason for the change, as free text.
+        spec: All directors that the agent is to run.
     """
 
     command_id: str
@@ -47,7 +48,7 @@
 class Entry(NamedTuple):
     """One generation, as the journal stores it.
 
-    The order of the fields is the stored form; see `journal`.
+    The stored form depends on the order of the fields; see `journal`.
     """
 
     generation: int
@@ -64,13 +65,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """The answer to one command.
+    """The answer to a command.
 
     Attributes:
         command_id: The command that is answered.
-        accepted: Whether its change is in force.
-        current: The entry in force.
-        reason: Why it was rejected; empty if it was accepted.
+        accepted: Whether the command took effect.
+        current: The entry that was active after the command was first processed.
+        reason: Why the command was rejected; empty if it was accepted.
     """
 
     command_id: str
@@ -80,7 +81,7 @@
 
     @property
     def is_write_failure(self) -> bool:
-        """Whether the command was rejected because its entry could not be made durable."""
+        """Whether the command was rejected because its entry could not be written to the journal."""
         return WRITE_FAILURE in self.reason
 
 
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryWriteFailed:
-    """Event: the entry of this generation is not durable and will not be."""
+    """Event: the entry of this generation is not durable and will not become durable."""
 
     generation: int
     reason: str
@@ -114,14 +115,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntry:
-    """Action: make the entry durable, then report `EntryPersisted` or `EntryWriteFailed`."""
+    """Action: append the entry to the journal durably, then report `EntryPersisted` or `EntryWriteFailed`."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class ActivateGeneration:
-    """Action: the entry is in force, so have the supervisor run it."""
+    """Action: the entry is active; pass it to the supervisor."""
 
     entry: Entry
 
@@ -129,14 +130,14 @@
 Event: TypeAlias = CommandReceived | EntryPersisted | EntryWriteFailed
 Action: TypeAlias = AppendEntry | ActivateGeneration | CommandResult
 
-INITIAL_ENTRY = Entry(0, "", "nobody", "the beginning", 0, ())
+INITIAL_ENTRY = Entry(0, "", "nobody", "initial state", 0, ())
 
 
 class DesiredState:
     """The desired state of one agent, as a pure state machine with `handle` as its entry point.
 
     Attributes:
-        history: The latest entries, oldest first; the last one is in force.
+        history: The latest entries, oldest first; the last one is active.
     """
 
     def __init__(self, entries: Sequence[Entry] = ()) -> None:
@@ -149,8 +150,8 @@
             GenerationOrderError: The generations are not consecutive from 1.
         """
         self.history: deque[Entry] = deque([INITIAL_ENTRY], MAX_HISTORY)
-        self._results: OrderedDict[str, CommandResult] = OrderedDict()
-        self._unpersisted: Entry | None = None
+        self._results: OrderedDict[str, CommandResult] = OrderedDict()  # by command id, oldest first
+        self._unpersisted: Entry | None = None  # the entry that is being written
         self._queue: deque[CommandReceived] = deque()
         for entry in entries:
             expected = self.current.generation + 1
@@ -160,16 +161,19 @@
 
     @property
     def current(self) -> Entry:
-        """The entry in force."""
+        """The active entry."""
         return self.history[-1]
 
     def handle(self, event: Event) -> list[Action]:
-        """Applies an event and returns what is to be done for it, in order."""
+        """Applies an event and returns the actions for it, in order.
+
+        A command that arrives while an entry is being written waits until that write has finished.
+        """
         actions: list[Action] = []
         if isinstance(event, CommandReceived):
             self._queue.append(event)
         elif self._unpersisted is None or event.generation != self._unpersisted.generation:
-            return actions  # a late report on an entry that is settled
+            return actions  # a delayed report on an entry whose write has already finished
         else:
             actions += self._on_write_finished(self._unpersisted, event)
         while self._queue and self._unpersisted is None:
@@ -177,7 +181,7 @@
         return actions
 
     def entry_before(self, generation: int) -> Entry | None:
-        """Returns the entry that a generation replaced, or None where that is no longer remembered."""
+        """Returns the entry that a generation replaced, or None if it is no longer in the history."""
         for older, newer in pairwise(self.history):
             if newer.generation == generation:
                 return older
@@ -187,7 +191,7 @@
         self._unpersisted = None
         if isinstance(event, EntryPersisted):
             return [ActivateGeneration(entry), self._activate(entry)]
-        # Not remembered, so that the command may succeed when it is repeated.
+        # The result is not remembered, so that a repeat of the command can succeed.
         return [CommandResult(entry.command_id, False, self.current, f"{WRITE_FAILURE}: {event.reason}")]
 
     def _process_command(self, received: CommandReceived) -> AppendEntry | CommandResult:
@@ -196,11 +200,11 @@
         if known_result is not None:
             return known_result
         if command.expected_generation != self.current.generation:
-            reason = f"generation {self.current.generation} stands, not {command.expected_generation}"
+            reason = f"generation {self.current.generation} is active, not {command.expected_generation}"
             return self._reject(command, reason)
         names = [name for name, _ in command.spec]
         if len(set(names)) != len(names):
-            return self._reject(command, "a director stands twice in it")
+            return self._reject(command, "the specification names a director twice")
         self._unpersisted = Entry(
             generation=self.current.generation + 1,
             command_id=command.command_id,
--- a/ironhinge/fleet/errors.py
+++ b/ironhinge/fleet/errors.py
@@ -8,10 +8,10 @@
 
 
 class CorruptJournalError(FleetError):
-    """A journal is damaged before its last line, so none of it may be trusted.
+    """A journal is corrupt other than by an incomplete last line, so none of it can be trusted.
 
     Attributes:
-        offset: Where the damaged line begins, in bytes from the start of the journal.
+        offset: Start of the corrupt line, in bytes from the start of the journal.
     """
 
     def __init__(self, offset: int, problem: str) -> None:
@@ -20,7 +20,12 @@
 
 
 class GenerationOrderError(FleetError, ValueError):
-    """Journal entries do not have consecutive generations, so they are not one agent's history."""
+    """The generations of journal entries are not consecutive, so they are not the history of one agent.
+
+    Attributes:
+        found: The generation of the first entry that is out of order.
+        expected: The generation that it should have.
+    """
 
     def __init__(self, found: int, expected: int) -> None:
         super().__init__(f"journal entries out of order: found generation {found}, expected {expected}")
--- a/ironhinge/fleet/journal.py
+++ b/ironhinge/fleet/journal.py
@@ -1,4 +1,4 @@
-"""The stored form of an agent's journal: one line for each entry, with its checksum.
+"""The stored form of an agent's journal: one line per entry, with a checksum.
 
 A line is the xxHash64 of the body in hexadecimal, a space, the body and a newline. The body is the entry as a
 JSON array, so the names of the entry's fields are not part of the stored form. The module does no I/O.
@@ -19,9 +19,9 @@
 
 
 class JournalContents(NamedTuple):
-    """The entries of a journal and the number of its bytes that hold them.
+    """The entries of a journal and the length in bytes of the lines that hold them.
 
-    What follows `valid_length` was never written whole and is to be cut off.
+    Bytes after `valid_length` belong to an incomplete line and must be truncated before the next append.
     """
 
     entries: list[Entry]
@@ -35,12 +35,14 @@
 
 
 def decode_journal(data: bytes) -> JournalContents:
-    """Reads a journal up to its last whole line.
+    """Decodes a journal up to its last complete line.
 
-    Only the last line can be incomplete. Its command was never answered, so it can be dropped.
+    Only the last line can be incomplete, after a crash during its write. Its command was not answered yet, so
+    the line can be dropped.
 
     Raises:
-        CorruptJournalError: A line before the last one is damaged, or a whole line holds no entry.
+        CorruptJournalError: A line before the last one has a wrong checksum, or a line with a correct
+            checksum is not an entry.
     """
     entries: list[Entry] = []
     offset = 0
@@ -52,7 +54,7 @@
         checksum, _, body = data[offset:line_end].partition(CHECKSUM_SEPARATOR)
         if _checksum(body) != checksum:
             if next_offset < len(data):
-                raise CorruptJournalError(offset, "checksum mismatch, expected only in the last line")
+                raise CorruptJournalError(offset, "checksum mismatch, allowed only in the last line")
             break
         entries.append(_decode_body(body, offset))
         offset = next_offset
@@ -63,7 +65,7 @@
     try:
         return msgspec.json.decode(body, type=Entry)
     except msgspec.DecodeError as error:
-        raise CorruptJournalError(offset, f"expected an entry: {error}") from None
+        raise CorruptJournalError(offset, f"not a journal entry: {error}") from None
 
 
 def _checksum(body: bytes) -> bytes:
--- a/ironhinge/fleet/rollout.py
+++ b/ironhinge/fleet/rollout.py
@@ -1,12 +1,12 @@
-"""A rollout: how a change goes through a fleet in waves, and back when a gate fails.
+"""A rollout: changes the members of a fleet in waves, and rolls them all back when a gate fails.
 
-Each wave is gated on how the changed members fare against the others. The rollout holds nothing that a member
-could not report: whoever has the plan and asks the members for their status goes on where another tool
-stopped. What is sent are commands with ids made of the rollout and the member, so that a second tool that
-sends them too has no further effect.
+The gate compares the changed members with those of later waves. A rollout needs no state that the members
+can't report, so a tool that has the plan and collects the members' status continues where another tool
+stopped. Command ids are built from the names of the rollout and the member, so a second tool that sends the
+same commands has no further effect.
 
-The module talks to no agent itself: `Rollout.handle` returns what is to be sent. Instants and spans are in
-ticks of a tenth of a millisecond.
+The module does no I/O: `Rollout.handle` returns the commands to send. Instants and durations are in ticks of
+a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from .desired_state import Command, CommandResult
 from .waves import Member, plan_waves
 
-SOAK_TIME = 100_000  # for which a settled wave is observed before the next
-RESEND_INTERVAL = SOAK_TIME // 10  # between two sendings of a command that has no effect yet
-CONTACT_TIMEOUT = 150_000  # without contact for longer, a member counts as unreachable
-MAX_ON_TARGET_DROP = 0.02  # of the ratio, against the members that still run the previous specification
+SOAK_TIME = 100_000  # how long an updated wave is observed before the next one starts
+RESEND_INTERVAL = SOAK_TIME // 10  # between two sends of a command that has had no effect yet
+CONTACT_TIMEOUT = 150_000  # a member without contact for longer counts as unreachable
+MAX_ON_TARGET_DROP = 0.02  # of the mean ratio, compared with the members that run the previous specification
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """Event: a member reports its generation and how its directors fare.
+    """Event: a member reports its generation and the health of its directors.
 
     Attributes:
         name: The member.
-        generation: The generation in force there.
-        command_id: The command that set it.
-        author: Who sent that command.
-        ready: Whether all its directors are ready.
-        on_target_ratio: The part of requests that met their latency objective, 0 to 1.
-        crash_count: How often its directors have crashed.
+        generation: The member's active generation.
+        command_id: The command that set the generation.
+        author: The author of that command.
+        ready: Whether all directors of the member are ready.
+        on_target_ratio: Share of requests that met their latency target, 0 to 1.
+        crash_count: Number of crashes of the member's directors.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Event: nothing happened, but timeouts may be due."""
+    """Event: time has passed, so that timeouts may have expired."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutFinished:
-    """Action: tell the operator that the rollout has ended, how and why."""
+    """Action: report to the operator how the rollout ended and why."""
 
     outcome: RolloutOutcome
     reason: str
@@ -99,7 +99,11 @@
 
 
 class RolloutState(StrEnum):
-    """States of a rollout; it is held while paused or while a changed member is unreachable."""
+    """States of a rollout.
+
+    While it is paused, or a member of a started wave is unreachable, it is `HOLDING`: it sends nothing, but a
+    gate that fails still starts a rollback.
+    """
 
     ROLLING = "rolling"
     HOLDING = "holding"
@@ -108,7 +112,7 @@
 
 
 class Revision(StrEnum):
-    """Which specification a command sets; the values stand in stored command ids."""
+    """Which specification a command sets; the values are part of stored command ids."""
 
     NEW = "new"
     PREVIOUS = "old"
@@ -116,14 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutPlan:
-    """What a rollout changes; whoever has it can carry the rollout on.
+    """What a rollout changes; any tool that has the plan can continue the rollout.
 
     Attributes:
-        name: Names the rollout in the ids of its commands.
-        author: Who wants the change.
-        reason: Why, for people.
-        members: The members that are changed.
-        max_unavailable: How many members of a branch may change at once; see `plan_waves`.
+        name: The rollout's name, which is part of its command ids.
+        author: The operator who requested the change.
+        reason: The reason for the change, as free text.
+        members: The members to change.
+        max_unavailable: Maximum number of members per branch that change at once; see `plan_waves`.
     """
 
     name: str
@@ -137,9 +141,9 @@
     """One rollout, as a pure state machine with `handle` as its entry point.
 
     Attributes:
-        state: Its state.
-        status: Why it is held or rolled back, for people; empty while it is rolling.
-        current_wave: Index of the latest wave that has begun; -1 before the first.
+        state: The rollout's state.
+        status: Why it is on hold or rolled back, as text for operators; empty while it is rolling.
+        current_wave: Index of the latest wave that has started; -1 before the first.
     """
 
     def __init__(self, plan: RolloutPlan, now: int) -> None:
@@ -149,8 +153,8 @@
         self._plan = plan
         self._members = {member.name: member for member in plan.members}
         self._waves = plan_waves(plan.members, plan.max_unavailable)
-        self._soak_started_at = now  # the latest instant at which the current wave was not settled
-        self._last_sent: dict[str, int] = {}  # by command id
+        self._soak_started_at = now  # reset while a member of a started wave is not updated
+        self._last_sent: dict[str, int] = {}  # instant of the latest send, by command id
         self._last_contact = dict.fromkeys(self._members, now)
         self._latest_status: dict[str, MemberStatus] = {}
         self._initial_crash_count: dict[str, int] = {}
@@ -158,7 +162,10 @@
         self._paused = False
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Applies an event at the instant `now` and returns what is to be done for it, in order."""
+        """Applies an event at the instant `now` and returns the actions for it, in order.
+
+        A conflict with another operator's change ends the rollout at once.
+        """
         if self.state is RolloutState.FINISHED:
             return []
         match event:
@@ -168,7 +175,7 @@
                 self._record_status(now, event)
                 if self._is_foreign_change(event):
                     return self._finish_in_conflict(
-                        f"{name} stands at generation {event.generation} of {event.author}"
+                        f"{name} is at generation {event.generation}, set by {event.author}"
                     )
             case CommandAnswered(name=name) if name in self._members:
                 conflict = self._on_command_answered(now, event)
@@ -182,18 +189,18 @@
         self._initial_crash_count.setdefault(status.name, status.crash_count)
 
     def _on_command_answered(self, now: int, event: CommandAnswered) -> list[Action]:
-        """Takes in an answer; returns the end of the rollout where it tells of a conflict."""
+        """Processes an answer; returns the action that ends the rollout if the answer shows a conflict."""
         self._last_contact[event.name] = now
         if event.result.accepted:
             return []
         current = event.result.current
         if self._is_from_this_rollout(event.name, current.command_id):
-            return []  # sent by this tool or by another with the same plan
+            return []  # already set by a command of this rollout, from this tool or another one
         if event.result.is_write_failure:
             self._begin_rollback(f"{event.name}: {event.result.reason}")
             return []
         return self._finish_in_conflict(
-            f"{event.name} stands at generation {current.generation} of {current.author}: {current.reason}"
+            f"{event.name} is at generation {current.generation}, set by {current.author}: {current.reason}"
         )
 
     def _advance(self, now: int) -> list[Action]:
@@ -211,7 +218,7 @@
     def _update_hold_state(self, now: int) -> None:
         unreachable = [name for name in self._started_members() if self._is_unreachable(now, name)]
         if unreachable:
-            self.status = f"no word from {unreachable[0]}"
+            self.status = f"no contact with {unreachable[0]}"
         elif self._paused:
             self.status = "paused"
         else:
@@ -219,7 +226,10 @@
         self.state = RolloutState.HOLDING if self.status else RolloutState.ROLLING
 
     def _roll_forward(self, now: int) -> list[Action]:
-        """Begins the next wave once the current one has settled and soaked, and sends what is not done."""
+        """Starts the next wave once the current one is updated and soaked, and sends outstanding commands.
+
+        After the last wave it finishes the rollout.
+        """
         started = self._started_members()
         soak_time = SOAK_TIME if started else 0
         if not all(self._is_updated(name) for name in started):
@@ -237,7 +247,11 @@
         return actions
 
     def _gate_failure(self) -> str:
-        """Returns what is wrong with the changed members against the others; empty if nothing is."""
+        """Returns why the gate fails, or an empty text.
+
+        It fails if a director of a changed member has crashed, or if the mean on-target ratio of the changed
+        members is too far below that of the members of later waves.
+        """
         started = self._started_members()
         changed = [name for name in started if self._runs(name, Revision.NEW)]
         for name in changed:
@@ -266,13 +280,16 @@
         ]
 
     def _roll_back(self, now: int) -> list[Action]:
-        """Sends all changed members back at once, as the previous specification is known to be good."""
+        """Rolls all changed members back at once, as the previous specification is known to be good.
+
+        The rollback finishes when each member has reported the previous specification or is unreachable.
+        """
         self._rollback_pending = [
             name for name in self._rollback_pending if not self._runs(name, Revision.PREVIOUS)
         ]
         pending = self._rollback_pending
         if all(self._is_unreachable(now, name) for name in pending):
-            unreachable = f"; no word from {', '.join(pending)}" if pending else ""
+            unreachable = f"; no contact with {', '.join(pending)}" if pending else ""
             return self._finish(RolloutOutcome.ROLLED_BACK, self.status + unreachable)
         return [action for name in pending for action in self._send(now, name, Revision.PREVIOUS)]
 
@@ -299,7 +316,9 @@
     def _rollback_command(self, name: str) -> Command:
         """Returns the command that sets the previous specification.
 
-        It is sent also to a member that does not run the new one: it fences off a command on its way there.
+        It is also sent to a member that does not run the new specification: it moves the member
+        past the generation that the command for the new one expects, so that this command is rejected if it
+        is still in transit.
         """
         member = self._members[name]
         expected_generation = member.generation + self._runs(name, Revision.NEW)
@@ -316,11 +335,11 @@
         return [RolloutFinished(outcome, reason)]
 
     def _finish_in_conflict(self, reason: str) -> list[Action]:
-        """Ends the rollout where another operator's change is in force, and leaves that untouched."""
+        """Ends the rollout because another operator's change is active on a member, and keeps that change."""
         return self._finish(RolloutOutcome.CONFLICT, reason)
 
     def _started_members(self) -> list[str]:
-        """Returns the members of all waves that have begun."""
+        """Returns the members of all waves that have started."""
         return [name for wave in self._waves[: self.current_wave + 1] for name in wave]
 
     def _is_unreachable(self, now: int, name: str) -> bool:
@@ -340,9 +359,10 @@
         return f"{self._command_id_prefix(name)}{revision.value}"
 
     def _runs(self, name: str, revision: Revision) -> bool:
-        """Returns whether a member last reported that it runs the specification of that revision."""
+        """Returns whether the member's latest status shows the specification of that revision."""
         status = self._latest_status.get(name)
         return status is not None and status.command_id.startswith(self._command_id(name, revision))
 
     def _is_updated(self, name: str) -> bool:
+        """Returns whether the member runs the new specification and all its directors are ready."""
         return self._runs(name, Revision.NEW) and self._latest_status[name].ready
--- a/ironhinge/fleet/supervisor.py
+++ b/ironhinge/fleet/supervisor.py
@@ -1,11 +1,13 @@
-"""Supervision of an agent's directors: start, drain, restart with backoff, and give up on crash loops.
+"""Supervision of an agent's directors: start, drain, restart with backoff, and stop in a crash loop.
 
-A director whose configuration changes is drained and started anew once it has exited; one that does not exit
-in its time is killed. One that exits by itself is restarted after a backoff that doubles; after `MAX_CRASHES`
-exits within `CRASH_WINDOW` it has failed, and stays down until another generation is in force.
+A director whose configuration changes is drained and started again once it has exited; if it does not exit
+within `DRAIN_TIMEOUT` it is killed. A director that is not ready within `READY_TIMEOUT` is killed as well.
+Every exit that was not a drain is a crash: the director is restarted after a backoff, which doubles with each
+crash and is reset once the director has run for `CRASH_WINDOW`. After `MAX_CRASHES` crashes within
+`CRASH_WINDOW` it has failed and stays down until another generation is activated.
 
-The module starts no process itself: `Supervisor.handle` returns what is to be done. Instants and spans are in
-ticks of a tenth of a millisecond.
+The module does no I/O: `Supervisor.handle` returns the actions for the processes. Instants and durations are
+in ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -21,14 +23,14 @@
 MAX_BACKOFF = 30 * TICKS_PER_SECOND
 MAX_CRASHES = 5
 CRASH_WINDOW = 60 * TICKS_PER_SECOND
-# The platform promises that all admitted requests are answered within 3.7 s of SIGTERM.
+# The platform guarantees that all admitted requests are answered within 3.7 s after SIGTERM.
 DRAIN_TIMEOUT = 4 * TICKS_PER_SECOND + TICKS_PER_SECOND // 2
 READY_TIMEOUT = 10 * TICKS_PER_SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class GenerationActivated:
-    """Event: a generation is in force."""
+    """Event: a generation was activated."""
 
     entry: Entry
 
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Event: nothing happened, but timeouts may be due."""
+    """Event: time has passed, so that timeouts may have expired."""
 
 
 Event: TypeAlias = GenerationActivated | ChildStarted | ChildExited | TimePassed
@@ -75,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KillChild:
-    """Action: end a director's process by force."""
+    """Action: kill a director's process."""
 
     name: str
 
@@ -84,7 +86,7 @@
 
 
 class ChildState(StrEnum):
-    """States of a director; the values are those that `Supervisor.states` shows."""
+    """States of a director; `Supervisor.states` returns the values."""
 
     DOWN = "down"
     STARTING = "starting"
@@ -100,16 +102,16 @@
 
 @dataclass(slots=True)
 class Child:
-    """What the supervisor knows of one director.
+    """The state of one director.
 
     Attributes:
-        desired_config: Digest of the configuration that it is to run; None if it is to be down.
-        running_config: Digest of the configuration that its process was started with.
-        state: Its state.
-        state_since: When it was started, or became ready, or was last killed while starting.
-        deadline: When its drain or its backoff ends.
-        crash_times: Its latest exits that nobody asked for.
-        backoff: How long the next backoff lasts.
+        desired_config: Digest of the configuration that the director should run; None if it should be down.
+        running_config: Digest of the configuration that its process was started with; None without a process.
+        state: The director's state.
+        state_since: When it was started, became ready or was last killed while starting.
+        deadline: When its drain times out or its backoff ends.
+        crash_times: Its crashes within `CRASH_WINDOW` of the latest one.
+        backoff: Duration of the next backoff.
     """
 
     desired_config: str | None
@@ -121,13 +123,13 @@
     backoff: int = INITIAL_BACKOFF
 
     def reset_crashes(self) -> None:
-        """Forgets earlier crashes, so that it is started at once."""
+        """Forgets earlier crashes, so that the director is started at once."""
         self.state = ChildState.DOWN
         self.crash_times = []
         self.backoff = INITIAL_BACKOFF
 
     def record_exit(self, now: int) -> None:
-        """Notes that its process has exited, and decides whether and when it is restarted."""
+        """Records that the process has exited, and sets whether and when it is restarted."""
         self.running_config = None
         if self.state is ChildState.DRAINING:
             self.state = ChildState.DOWN
@@ -146,8 +148,8 @@
     """The supervisor of one agent's directors, as a pure state machine with `handle` as its entry point.
 
     Attributes:
-        children: The directors that are to run, or whose processes still do, by name.
-        generation: The generation in force.
+        children: The directors that should run or whose processes still run, by name.
+        generation: The active generation.
     """
 
     def __init__(self) -> None:
@@ -155,7 +157,7 @@
         self.generation = 0
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Applies an event at the instant `now` and returns what is to be done for it, in order."""
+        """Applies an event at the instant `now` and returns the actions for it, in order."""
         match event:
             case GenerationActivated(entry=entry):
                 self._on_generation_activated(entry)
@@ -171,7 +173,7 @@
         return actions
 
     def states(self) -> dict[str, str]:
-        """Returns the state of each director by name, for people."""
+        """Returns the state of each director by name, to be shown to operators."""
         return {name: child.state.value for name, child in sorted(self.children.items())}
 
     def _on_generation_activated(self, entry: Entry) -> None:
@@ -210,7 +212,7 @@
 
     def _check_timeouts(self, now: int, name: str, child: Child) -> list[Action]:
         if child.state is ChildState.DRAINING and now >= child.deadline:
-            child.deadline = now + DRAIN_TIMEOUT  # kill it again should this be lost
+            child.deadline = now + DRAIN_TIMEOUT  # it is killed again if it has not exited by then
             return [KillChild(name)]
         if child.state is ChildState.STARTING and now >= child.state_since + READY_TIMEOUT:
             child.state_since = now
--- a/ironhinge/fleet/waves.py
+++ b/ironhinge/fleet/waves.py
@@ -7,20 +7,20 @@
 
 from .desired_state import DirectorSpec
 
-CANARY_SIZE = 1  # members in the first wave
-WAVE_GROWTH = 2  # a wave has at most this many times the members of all waves before it
-DEFAULT_MAX_UNAVAILABLE = 1  # members of a branch
+CANARY_SIZE = 1  # maximum number of members in the first wave
+WAVE_GROWTH = 2  # a wave has at most this many times the members of all earlier waves together
+DEFAULT_MAX_UNAVAILABLE = 1  # members per branch
 
 
 class Member(NamedTuple):
     """An agent that a rollout changes.
 
     Attributes:
-        name: The agent.
-        branch: The site that it serves.
-        generation: The generation in force there when the rollout was planned.
-        previous_spec: What it runs before the rollout.
-        new_spec: What it is to run after it.
+        name: The agent's name.
+        branch: The site that the agent serves.
+        generation: The generation that was active when the rollout was planned.
+        previous_spec: The directors that the agent runs before the rollout.
+        new_spec: The directors that it should run after the rollout.
     """
 
     name: str
@@ -31,14 +31,14 @@
 
 
 def plan_waves(members: Iterable[Member], max_unavailable: Mapping[str, int]) -> list[list[str]]:
-    """Divides members into a canary wave and growing waves after it.
+    """Divides the members into a canary wave and growing waves after it.
 
-    Branches alternate, so that a wave is not of one branch where that can be avoided.
+    Members are taken from the branches in turn, so that a wave spreads over as many branches as possible.
 
     Args:
         members: All members of the rollout.
-        max_unavailable: How many members of a branch a wave may hold, by branch;
-            `DEFAULT_MAX_UNAVAILABLE` for a branch that is missing.
+        max_unavailable: Maximum number of members of a branch in one wave, by branch;
+            `DEFAULT_MAX_UNAVAILABLE` for a branch without an entry. Values below 1 count as 1.
 
     Returns:
         The names of the members of each wave.
@@ -62,7 +62,7 @@
 def _next_wave(
     remaining: dict[str, list[str]], branch_limits: Mapping[str, int], size_limit: int
 ) -> list[str]:
-    """Takes the members of one wave out of `remaining`, one of each branch at a time."""
+    """Removes the members of one wave from `remaining`, one per branch in turn, and returns their names."""
     wave: list[str] = []
     branch_counts = dict.fromkeys(remaining, 0)
     progressed = True
