--- a/ironhinge/fleet/supervisor.py
+++ b/ironhinge/fleet/supervisor.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChildStarted:
+class ChildReady:
     """Event: a director reports that it is ready."""
 
     name: str
@@ -57,7 +57,7 @@
     """Event: time has passed, so that timeouts may have expired."""
 
 
-Event: TypeAlias = GenerationActivated | ChildStarted | ChildExited | TimePassed
+Event: TypeAlias = GenerationActivated | ChildReady | ChildExited | TimePassed
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,8 +161,8 @@
         match event:
             case GenerationActivated(entry=entry):
                 self._on_generation_activated(entry)
-            case ChildStarted(name=name):
-                self._on_child_started(now, name)
+            case ChildReady(name=name):
+                self._on_child_ready(now, name)
             case ChildExited(name=name) if name in self.children:
                 self.children[name].record_exit(now)
         actions: list[Action] = []
@@ -190,7 +190,7 @@
             if name not in configs:
                 child.desired_config = None
 
-    def _on_child_started(self, now: int, name: str) -> None:
+    def _on_child_ready(self, now: int, name: str) -> None:
         child = self.children.get(name)
         if child is not None and child.state is ChildState.STARTING:
             child.state = ChildState.RUNNING
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -38,7 +38,7 @@
     MAX_CRASHES,
     READY_TIMEOUT,
     ChildExited,
-    ChildStarted,
+    ChildReady,
     DrainChild,
     GenerationActivated,
     KillChild,
@@ -228,8 +228,8 @@
         StartChild("n0", "a"),
         StartChild("n1", "a"),
     ]
-    supervisor.handle(10, ChildStarted("n0", 7))
-    supervisor.handle(10, ChildStarted("n1", 8))
+    supervisor.handle(10, ChildReady("n0", 7))
+    supervisor.handle(10, ChildReady("n1", 8))
     assert supervisor.handle(20, GenerationActivated(entry(2, n0="b", n1="a"))) == [DrainChild("n0")]
     assert supervisor.handle(21, TimePassed()) == []
     assert supervisor.handle(30, ChildExited("n0", 7, 0)) == [StartChild("n0", "b")]
@@ -241,7 +241,7 @@
 
 def test_a_director_that_ignores_its_drain_is_killed(supervisor):
     supervisor.handle(0, GenerationActivated(entry(1, n0="a")))
-    supervisor.handle(1, ChildStarted("n0", 7))
+    supervisor.handle(1, ChildReady("n0", 7))
     assert supervisor.handle(2, GenerationActivated(entry(2))) == [DrainChild("n0")]
     assert supervisor.handle(2 + DRAIN_TIMEOUT - 1, TimePassed()) == []
     assert supervisor.handle(2 + DRAIN_TIMEOUT, TimePassed()) == [KillChild("n0")]
