--- a/ironhinge/__main__.py
+++ b/ironhinge/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ironhinge`: the command line."""
+"""Runs the command line as `python -m ironhinge`."""
 
 from .cli import main
 
--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -1,4 +1,4 @@
-"""The command line: reads a director's configuration and starts it. Nothing is decided here."""
+"""The command line: reads the configuration of a director and starts the director."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
-COMMAND_PACKAGES = ("disk", "jobs", "lab", "settings", "traffic")  # packages that bring commands of their own
+# Packages whose `cli` module defines a command of the package's name.
+COMMAND_PACKAGES = ("disk", "jobs", "lab", "settings", "traffic")
 
 EXIT_FAILED = 1
 EXIT_INVALID_CONFIG = 2
@@ -36,36 +37,42 @@
 CommandFunction = TypeVar("CommandFunction", bound=Callable[..., Any])
 
 config_option = click.option(
-    "--config", envvar="PROXY_CONFIG", required=True, help="The configuration, a JSON file [PROXY_CONFIG]."
+    "--config", envvar="PROXY_CONFIG", required=True, help="The configuration file, in JSON [PROXY_CONFIG]."
 )
 name_option = click.option(
-    "--name", envvar="PROXY_NAME", help="The director's name, instead of the configuration's [PROXY_NAME]."
+    "--name", envvar="PROXY_NAME", help="The director's name; overrides the configuration [PROXY_NAME]."
 )
 listen_option = click.option(
     "--listen",
     envvar="PROXY_LISTEN",
-    help="Where clients connect, address:port, instead of the configuration's [PROXY_LISTEN].",
+    help="The address:port to accept clients on; overrides the configuration [PROXY_LISTEN].",
 )
 operations_option = click.option(
     "--operations",
     multiple=True,
     type=click.Path(dir_okay=False),
-    help="An operations file, or several that are read as one; see 'ironhinge settings schema'.",
+    help="An operations file; may be repeated, the files are read as one. See 'ironhinge settings schema'.",
 )
 
 
 def config_options(command: CommandFunction) -> CommandFunction:
-    """Adds the options that name a director's configuration."""
+    """Adds the options for a director's configuration to a command."""
     return config_option(name_option(listen_option(command)))
 
 
 class OperationsError(ValueError):
-    """Operations files that can't be used; the text says what is wrong with them."""
+    """The operations files are unreadable or invalid; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigSource:
-    """Where a director's configuration comes from; options stand above the file."""
+    """The source of a director's configuration: a file and the options that override it.
+
+    Attributes:
+        path: The configuration file.
+        name: The director's name; None or empty: from the file.
+        listen: The address and port to listen on; None or empty: from the file.
+    """
 
     path: str
     name: str | None
@@ -74,7 +81,10 @@
     def read(self) -> DirectorConfig:
         """Reads the configuration.
 
-        Raises `OSError`, `ValueError` or `MalformedMessageError` where it can't be used.
+        Raises:
+            OSError: The file can't be read.
+            ValueError: The file is not valid JSON in UTF-8.
+            MalformedMessageError: The configuration or the option `--listen` is invalid.
         """
         config = read_director_config(json.loads(Path(self.path).read_text(encoding="utf-8")))
         if self.listen:
@@ -82,7 +92,7 @@
         return config._replace(name=self.name or config.name)
 
     def read_or_exit(self) -> DirectorConfig:
-        """Reads the configuration; what is wrong with it ends the program with one line and exit code 2."""
+        """Reads the configuration; an error is printed in one line and ends the program with exit code 2."""
         try:
             return self.read()
         except (OSError, ValueError, MalformedMessageError) as error:
@@ -91,14 +101,14 @@
 
 
 class LazyGroup(click.Group):
-    """Imports a package's commands when they are called: `serve` starts with nothing that is not on."""
+    """A command group that imports a package's command on use, so that `serve` loads no unused package."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands."""
+        """Returns the names of all commands."""
         return sorted([*super().list_commands(ctx), *COMMAND_PACKAGES])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of a name, None where there is none."""
+        """Returns the command of that name, or None if there is none."""
         if cmd_name in COMMAND_PACKAGES:
             command: click.Command = getattr(import_module(f".{cmd_name}.cli", __package__), cmd_name)
             return command
@@ -107,11 +117,22 @@
 
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A router before tiers of caches with one origin behind them."""
+    """A router in front of tiers of caches with one origin behind them."""
 
 
 def read_operations(config: str, operations: tuple[str, ...]) -> Any:
-    """The operators' records, None without files; `OperationsError` says what is wrong with them."""
+    """Reads the operations files.
+
+    Args:
+        config: Path of the configuration file.
+        operations: Paths of the operations files.
+
+    Returns:
+        The validated operations, or None if there are no files.
+
+    Raises:
+        OperationsError: The files are unreadable or invalid.
+    """
     if not operations:
         return None
     from .settings.errors import IsolatedReadError
@@ -124,7 +145,7 @@
 
 
 def read_operations_or_exit(config: str, operations: tuple[str, ...]) -> Any:
-    """The same; what is wrong ends the program with code 2."""
+    """Reads the operations files; an error is printed and ends the program with exit code 2."""
     try:
         return read_operations(config, operations)
     except OperationsError as error:
@@ -133,7 +154,7 @@
 
 
 def open_runner(operations: Any, clock: Clock) -> Any:
-    """What runs background work, where the operations bring any."""
+    """Returns the runner of background jobs, or None if the operations turn on no extension that has any."""
     if operations is None or (operations.traffic is None and operations.disk is None):
         return None
     from .jobs.messages import Budgets
@@ -144,7 +165,7 @@
 
 
 def open_traffic_account(config: DirectorConfig, operations: Any, runner: Any, clock: Clock) -> Any:
-    """The account of traffic between zones, where the operations turn it on."""
+    """Returns the account of traffic between zones, or None if the operations do not turn it on."""
     if operations is None or operations.traffic is None:
         return None
     from .traffic.service import AccountService, Clocks
@@ -158,9 +179,9 @@
 
 
 def open_local_store(config: DirectorConfig, operations: Any, runner: Any, clock: Clock) -> Any:
-    """The director's own copies on disk, where the operations turn them on.
+    """Opens the director's local store on disk, or returns None if the operations do not turn it on.
 
-    A folder that can't be had ends the program with code 1.
+    If the folder can't be opened, the error is printed and ends the program with exit code 1.
     """
     if operations is None or operations.disk is None:
         return None
@@ -178,7 +199,7 @@
 def open_extensions(
     config: DirectorConfig, config_path: str, operations_paths: tuple[str, ...], clock: Clock
 ) -> Extensions:
-    """What the operators' files turn on beside the director."""
+    """Creates the extensions of the director that the operations files turn on."""
     from .net.service import Extensions
 
     operations = read_operations_or_exit(config_path, operations_paths)
@@ -197,10 +218,10 @@
 def serve(
     config: str, name: str | None, listen: str | None, operations: tuple[str, ...], log_level: str
 ) -> None:
-    """Serve clients until SIGTERM, then answer what was taken and end with code 0.
+    """Serve clients until SIGTERM, then answer all accepted requests and exit with code 0.
 
-    At SIGHUP the configuration and the operations files are read again: the discovery service is followed to
-    its new address, and new settings take effect whole, or not at all where something is wrong with them.
+    On SIGHUP, the configuration and the operations files are read again: a new address of the discovery
+    service is used, and new settings are applied as a whole, or not at all if any of them is invalid.
     """
     from .net.clock import Clock
     from .net.service import Service, hold_signals, run
@@ -215,7 +236,7 @@
     extensions = open_extensions(director_config, config, operations, clock)
     try:
         run(Service(director_config, source.read, extensions, clock))
-    except* OSError as errors:  # the address is taken or not ours
+    except* OSError as errors:  # the address is in use or not local
         host, port = director_config.listen
         click.echo(f"ironhinge: {host}:{port}: {errors.exceptions[0]}", err=True)
         sys.exit(EXIT_FAILED)
@@ -225,7 +246,7 @@
 @config_options
 @operations_option
 def check(config: str, name: str | None, listen: str | None, operations: tuple[str, ...]) -> None:
-    """Say what is wrong with a configuration and its operations files, or what they would start."""
+    """Validate a configuration and its operations files; print the error or what they would start."""
     director_config = ConfigSource(config, name, listen).read_or_exit()
     read_operations_or_exit(config, operations)
     endpoint_lists = [update for update in director_config.known if isinstance(update, EndpointListUpdate)]
--- a/ironhinge/jobs/__init__.py
+++ b/ironhinge/jobs/__init__.py
@@ -1,5 +1,5 @@
-"""Background work: which job runs its next slice, and within which budgets of disk and CPU.
+"""Background jobs, run in slices within budgets for disk and CPU.
 
-`scheduler` decides and does no I/O, `messages` holds its events and commands, and `runner` carries the
-commands out. The package must never touch a request, nor run a slice of a job on the event loop.
+`scheduler` selects the job whose next slice runs and does no I/O, `messages` defines its events and commands,
+and `runner` executes the commands. The package must never handle requests, nor run a slice on the event loop.
 """
--- a/ironhinge/jobs/messages.py
+++ b/ironhinge/jobs/messages.py
@@ -1,6 +1,6 @@
 """Jobs and budgets, and the events and commands of the scheduler.
 
-Instants and spans are in ticks of a tenth of a millisecond.
+Instants and durations are in ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A piece of background work, cut into slices by whoever wrote it.
+    """A background job; its generator divides the work into slices, see `runner`.
 
     Attributes:
-        name: Identifies it; one job of a name runs at a time.
-        priority: Its priority class; a higher class goes first.
-        weight: Its part of what its class gets.
-        deadline: The instant from which it goes before all jobs that are not late; `NO_DEADLINE` for none.
+        name: Identifies the job; two jobs of the same name never run at the same time.
+        priority: The priority class; jobs of a higher class run first.
+        weight: The job's share of what its class gets, relative to the weights of the other jobs.
+        deadline: Instant from which the job is overdue and runs before all jobs that are not overdue;
+            `NO_DEADLINE`: it is never overdue.
     """
 
     name: str
@@ -32,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Budgets:
-    """What background work may use.
+    """The resources that all background jobs together may use.
 
     Attributes:
-        disk_bytes_per_second: Bytes read and written in a second.
-        cpu_cores: CPU time in cores.
-        max_concurrent_slices: Slices that may run at once.
+        disk_bytes_per_second: Bytes read and written per second.
+        cpu_cores: CPU time in cores, that is in CPU seconds per second.
+        max_concurrent_slices: Number of slices that may run at the same time.
     """
 
     disk_bytes_per_second: float = 8e6
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSubmitted:
-    """Event: a job is to be run."""
+    """Event: a job was submitted."""
 
     job: Job
 
@@ -59,9 +60,9 @@
     Attributes:
         name: The job.
         disk_bytes: Bytes that the slice read and wrote.
-        cpu_ticks: CPU time that it used.
-        exhausted: Whether it was the job's last slice.
-        error: Why the job failed; empty if it did not.
+        cpu_ticks: CPU time that the slice used.
+        exhausted: Whether the job has no further slice.
+        error: Why the job failed; empty if it did not fail.
     """
 
     name: str
@@ -73,21 +74,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRequested:
-    """Event: a job is to run no further slice."""
+    """Event: a job was cancelled and must run no further slice."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class LatencyReported:
-    """Event: a request was late, or was not."""
+    """Event: a request was late or in time."""
 
     late: bool
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Event: nothing happened, but budgets may allow a slice again."""
+    """Event: time has passed, so that the budgets may allow a slice again."""
 
 
 Event: TypeAlias = JobSubmitted | SliceFinished | CancelRequested | LatencyReported | TimePassed
@@ -102,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardJob:
-    """Command: drop a job that was cancelled; it runs no further slice."""
+    """Command: discard a cancelled job; it runs no further slice."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Command: report `TimePassed` at that instant, as no slice may run before."""
+    """Command: report `TimePassed` at this instant; the budgets allow no slice before it."""
 
     at: int
 
--- a/ironhinge/jobs/runner.py
+++ b/ironhinge/jobs/runner.py
@@ -1,7 +1,7 @@
-"""Runs background jobs in threads, slice by slice, as the scheduler decides.
+"""Runs background jobs in threads, slice by slice, in the scheduler's order.
 
-A job is a generator: each `next` runs a slice and yields the bytes of disk that it moved. An exception in one
-ends that job alone.
+A job is a generator: each `next` runs one slice and yields the number of bytes that the slice read from and
+wrote to disk. An exception in a slice ends that job only.
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
 from .scheduler import JobScheduler
 
 JobFunction: TypeAlias = Callable[[], Iterator[int]]
-"""Begins a job; the iterator runs one slice at each step and yields the bytes of disk that it moved."""
+"""Starts a job; each step of the iterator runs a slice and yields the disk bytes that it read and wrote."""
 
-MAX_IDLE_SECONDS = 1.0  # between two looks at the budgets where no timer is due sooner
-EXHAUSTED = -1  # in place of the bytes of a slice where the job has no further one
+MAX_IDLE_SECONDS = 1.0  # longest interval between two `TimePassed` events; a timer can shorten it
+EXHAUSTED = -1  # in place of the disk bytes: the job has no further slice
 
 
 @dataclass(slots=True)
 class _TimedSlice:
-    """One slice, and the CPU time that it used in its thread, also where it raised an exception."""
+    """One slice and the CPU time that it used in its thread, measured also if it raises an exception."""
 
     slices: Iterator[int]
     cpu_seconds: float = 0.0
 
     def run(self) -> int:
-        """Runs the slice and returns the bytes of disk that it moved, or `EXHAUSTED`."""
+        """Runs the slice and returns the disk bytes that it read and wrote, or `EXHAUSTED`."""
         started_at = time.thread_time()
         try:
             return next(self.slices, EXHAUSTED)
@@ -57,43 +57,43 @@
 
 
 class Runner:
-    """Runs the background work of a program; there is one, and all of it is submitted here.
+    """Runs the background jobs of the process; there is one runner per process.
 
     Attributes:
-        plan: The scheduler that decides which job runs.
+        scheduler: Selects the job that runs.
     """
 
     def __init__(self, budgets: Budgets, clock: Callable[[], int]) -> None:
-        """Makes a runner without jobs; `run` has to be started for any to run.
+        """Creates a runner without jobs; submitted jobs run only while `run` is running.
 
         Args:
-            budgets: What background work may use.
-            clock: Returns the present instant, in ticks of a tenth of a millisecond.
+            budgets: The resources that background jobs may use.
+            clock: Returns the current instant, in ticks of a tenth of a millisecond.
         """
         self.scheduler = JobScheduler(budgets, clock())
         self._clock = clock
         self._iterators: dict[str, Iterator[int]] = {}
         self._ready_slices: deque[RunSlice] = deque()
         self._slice_added = anyio.Event()
-        self._timer_at = 0
+        self._timer_at = 0  # instant of the latest `SetTimer`
         self._thread_limiter = anyio.CapacityLimiter(max(1, budgets.max_concurrent_slices))
 
     def submit(self, job: Job, job_function: JobFunction) -> None:
-        """Has a job run, unless one of its name has not ended yet."""
+        """Submits a job; ignored if a job of the same name has not ended yet."""
         if job.name not in self.scheduler.jobs:
             self._iterators[job.name] = job_function()
             self._handle(JobSubmitted(job))
 
     def cancel(self, name: str) -> None:
-        """Ends a job after the slice that is running, if any."""
+        """Cancels a job; a slice that is running finishes first."""
         self._handle(CancelRequested(name))
 
     def report_latency(self, late: bool) -> None:
-        """Reports whether a request was late; background work shrinks while requests are."""
+        """Reports whether a request was late; late requests shrink the budgets of background jobs."""
         self._handle(LatencyReported(late))
 
     async def run(self) -> None:
-        """Runs jobs until it is cancelled."""
+        """Runs jobs until it is cancelled; slices that still run in threads are abandoned then."""
         async with anyio.create_task_group() as tasks:
             while True:
                 self._start_ready_slices(tasks)
@@ -118,6 +118,7 @@
                 self._timer_at = at
 
     def _idle_seconds(self) -> float:
+        """Returns how long to wait: until the timer, or `MAX_IDLE_SECONDS` if it is later or has passed."""
         until_timer = max(0.0, (self._timer_at - self._clock()) / TICKS_PER_SECOND)
         return min(MAX_IDLE_SECONDS, until_timer or MAX_IDLE_SECONDS)
 
@@ -126,6 +127,10 @@
             tasks.start_soon(self._run_slice, self._ready_slices.popleft().name)
 
     async def _run_slice(self, name: str) -> None:
+        """Runs the next slice of a job in a thread and reports it to the scheduler as finished.
+
+        A job without an iterator has no further slice.
+        """
         iterator = self._iterators.get(name)
         if iterator is None:
             self._handle(SliceFinished(name, 0, 0, exhausted=True))
@@ -137,12 +142,12 @@
             disk_bytes = await anyio.to_thread.run_sync(
                 timed_slice.run, limiter=self._thread_limiter, abandon_on_cancel=True
             )
-        except Exception as exception:  # noqa: BLE001 - whatever a job raises ends that job alone
+        except Exception as exception:  # noqa: BLE001 - an exception in a job ends that job only
             logger.exception("job_failed name={}", name)
             error = str(exception) or type(exception).__name__
         exhausted = disk_bytes < 0
         if exhausted:
             self._iterators.pop(name, None)
-        # A slice always costs some CPU time, also one below the clock's resolution.
+        # Each slice is charged at least one tick, as its CPU time may be below the clock's resolution.
         cpu_ticks = int(timed_slice.cpu_seconds * TICKS_PER_SECOND) + 1
         self._handle(SliceFinished(name, max(0, disk_bytes), cpu_ticks, exhausted, error))
--- a/ironhinge/jobs/scheduler.py
+++ b/ironhinge/jobs/scheduler.py
@@ -1,11 +1,13 @@
-"""The scheduler of background jobs, as a pure state machine: events in, commands out.
+"""The scheduler of background jobs, as a pure state machine: it takes events and returns commands.
 
-A slice is charged with what it used after it has run, so a budget may go into debt by one slice and waits
-until that is repaid. A higher priority class goes first; within a class goes the job that used least for its
-weight. A job past its deadline goes before all that are not. While requests are late, all budgets shrink;
-they grow back slowly.
+The budgets for disk and CPU are token buckets. A slice is charged for what it used after it has run, so a
+budget can go into debt by one slice; no slice starts until the debt is repaid. Each late request shrinks the
+rate of both budgets, and each request in time raises it again by a smaller step.
 
-Instants and spans are in ticks of a tenth of a millisecond.
+Overdue jobs run first, then jobs of the highest priority class; a job rises by one class for each
+`AGING_INTERVAL` that it waits. Within a class, the job with the lowest use in relation to its weight runs.
+
+Instants and durations are in ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -30,16 +32,16 @@
     SliceFinished,
 )
 
-MIN_SHARE = 1 / 16  # of its budgets that background work always has
-SHARE_DECREASE_FACTOR = 0.5  # for each request that was late
-SHARE_INCREASE = 1 / 32  # for each request that was not
-AGING_INTERVAL = 30 * TICKS_PER_SECOND  # a waiting job rises by one class for each
-MIN_SLICE_COST = 1e-6  # seconds of a budget; a slice that used nothing still counts
+MIN_SHARE = 1 / 16  # of the budgets, also while all requests are late
+SHARE_DECREASE_FACTOR = 0.5  # per late request
+SHARE_INCREASE = 1 / 32  # per request that was not late
+AGING_INTERVAL = 30 * TICKS_PER_SECOND  # a waiting job rises by one priority class per interval
+MIN_SLICE_COST = 1e-6  # seconds of a budget; charged also for a slice that used nothing
 MAX_REMEMBERED_OUTCOMES = 64
 
 
 class JobStatus(StrEnum):
-    """What a job does or waits for; the values are shown to people and in JSON."""
+    """What a job does or waits for; the values are shown to operators and are part of the JSON status."""
 
     RUNNING = "running"
     WAITING_FOR_DISK_BUDGET = "waits for the disk budget"
@@ -48,7 +50,10 @@
 
 
 class JobOutcome(StrEnum):
-    """How a job ended; the values are shown to people and in JSON, `FAILED` with the error behind it."""
+    """How a job ended; the values are shown to operators and are part of the JSON status.
+
+    The status of a failed job is the value of `FAILED` followed by the error.
+    """
 
     COMPLETED = "done"
     CANCELLED = "cancelled"
@@ -57,17 +62,19 @@
 
 @dataclass(slots=True)
 class ScheduledJob:
-    """A job that has not ended, and what it used so far.
+    """A job that has not ended, and what it has used so far.
 
     Attributes:
         job: The job.
-        waiting_since: When it was submitted, or its latest slice finished.
-        virtual_time: What it used for its weight, in seconds of the budgets, on the scale of its class.
-        running: Whether a slice of it is running.
-        cancelled: Whether it ends after that slice.
-        slices: How many slices have run.
-        disk_bytes: Bytes that they read and wrote.
-        cpu_ticks: CPU time that they used.
+        waiting_since: When the job was submitted or its latest slice finished.
+        virtual_time: The cost of its slices divided by its weight, in seconds of the budgets. It starts at
+            the virtual time of the latest job that ran in its class, so that a new job does not run alone
+            until it has used as much as the others.
+        running: Whether a slice of the job is running.
+        cancelled: Whether the job ends after the running slice.
+        slices: Number of slices that have run.
+        disk_bytes: Bytes that the slices read and wrote.
+        cpu_ticks: CPU time that the slices used.
     """
 
     job: Job
@@ -81,11 +88,11 @@
 
 
 class JobScheduler:
-    """The order of background jobs; `handle` is the entry point.
+    """Schedules background jobs; `handle` is the entry point.
 
     Attributes:
-        budgets: What background work may use while no request is late.
-        share: The part of its budgets that it has now.
+        budgets: The budgets of background jobs while no request is late.
+        budget_share: The share of the budgets that background jobs get now, from `MIN_SHARE` to 1.
         jobs: All jobs that have not ended, by name.
         ended: How the latest jobs ended, by name, oldest first.
     """
@@ -95,14 +102,15 @@
         self.budget_share = 1.0
         self.jobs: dict[str, ScheduledJob] = {}
         self.ended: dict[str, str] = {}
-        # Both budgets begin with what they give in a second, which is also the most that they hold.
+        # Both token buckets start full; their capacity is the budget of one second.
         self._disk_tokens = budgets.disk_bytes_per_second
         self._cpu_tokens = budgets.cpu_cores * TICKS_PER_SECOND
         self._refilled_at = now
-        self._class_virtual_time: dict[int, float] = {}  # of the latest job that ran, by priority class
+        # By priority class: the virtual time of the latest job that ran.
+        self._class_virtual_time: dict[int, float] = {}
 
     def handle(self, now: int, event: Event) -> list[Command]:
-        """Applies an event at the instant `now` and returns what is to be done for it, in order."""
+        """Applies an event at the instant `now` and returns the commands for it, in order."""
         self._refill(now)
         commands: list[Command] = []
         match event:
@@ -117,7 +125,7 @@
         return commands + self._start_slices(now)
 
     def status_of(self, name: str) -> str | None:
-        """Returns what a job does or waits for, or how it ended; None for one that is not known."""
+        """Returns what a job does or waits for, or how it ended; None if the job is unknown."""
         scheduled = self.jobs.get(name)
         if scheduled is None:
             return self.ended.get(name)
@@ -130,7 +138,7 @@
         return JobStatus.QUEUED.value
 
     def status(self, now: int) -> dict[str, object]:
-        """Returns the scheduler's state as a JSON object, for people."""
+        """Returns the scheduler's state as a JSON object; its keys are part of the status file."""
         return {
             "share": round(self.budget_share, 3),
             "disk": int(self._disk_tokens),
@@ -150,6 +158,7 @@
         }
 
     def _refill(self, now: int) -> None:
+        """Adds the tokens for the time since the last refill, at the current share of the budgets."""
         elapsed = max(0, now - self._refilled_at)
         self._refilled_at = max(now, self._refilled_at)
         disk_rate = self.budgets.disk_bytes_per_second * self.budget_share
@@ -165,7 +174,7 @@
 
     def _on_submitted(self, now: int, job: Job) -> None:
         if job.name in self.jobs:
-            return  # the same work
+            return  # a job of this name has not ended yet
         virtual_time = self._class_virtual_time.get(job.priority, 0.0)
         self.jobs[job.name] = ScheduledJob(job, now, virtual_time)
 
@@ -187,6 +196,7 @@
         return []
 
     def _charge(self, scheduled: ScheduledJob, finished: SliceFinished) -> None:
+        """Adds what a slice used to the totals and the virtual time of its job."""
         scheduled.slices += 1
         scheduled.disk_bytes += finished.disk_bytes
         scheduled.cpu_ticks += finished.cpu_ticks
@@ -240,13 +250,13 @@
         return commands
 
     def _ticks_until_repaid(self) -> float:
-        """Returns how long it takes until no budget is in debt."""
+        """Returns the time until no budget is in debt."""
         disk_rate = self.budgets.disk_bytes_per_second * self.budget_share
         cpu_rate = self.budgets.cpu_cores * self.budget_share
         return max(-self._disk_tokens / disk_rate * TICKS_PER_SECOND, -self._cpu_tokens / cpu_rate)
 
     def _sort_key(self, now: int, scheduled: ScheduledJob) -> tuple[bool, int, float, str]:
-        """Returns a key by which the job that goes first is the least."""
+        """Returns the sort key of a job; the job with the lowest key runs first."""
         job = scheduled.job
         overdue = job.deadline != NO_DEADLINE and now >= job.deadline
         priority_boost = (now - scheduled.waiting_since) // AGING_INTERVAL
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -160,7 +160,7 @@
     assert json.loads(shown.output) == status
     table = CliRunner().invoke(jobs, [str(tmp_path)])
     assert table.output.splitlines() == [
-        "has 100% of its budgets; 7999900 bytes of disk to spend now",
+        "budget share 100%; 7999900 bytes of the disk budget available",
         "scrub          running                      class 0  0 slices, 0 bytes",
         "compact        done",
     ]
