--- a/ironhinge/fleet/desired_state.py
+++ b/ironhinge/fleet/desired_state.py
@@ -18,7 +18,7 @@
 
 from .errors import GenerationOrderError
 
-MAX_REMEMBERED_RESULTS = 1024  # by command; a repeat of an older command is rejected by its generation
+MAX_REMEMBERED_RESULTS = 1024  # one per command; a repeat of an older command is rejected by its generation
 MAX_HISTORY = 64  # entries that a rollback can return to
 WRITE_FAILURE = "could not be written"  # `CommandResult.is_write_failure` matches this text
 
