--- a/ironhinge/lab/cli.py
+++ b/ironhinge/lab/cli.py
@@ -53,33 +53,33 @@
         raise click.BadParameter(f"'{scenario}' is none of {', '.join(SCENARIOS)}", param_hint="--scenario")
     options = RunOptions(seed, seconds, directors, share=share)
     try:
-        figures = run_scenario(scaled_scenario(scenario, scale), options, _print_progress)
+        report = run_scenario(scaled_scenario(scenario, scale), options, _print_progress)
     except KeyboardInterrupt:
         click.echo("ended; nothing of it is left running", err=True)
         sys.exit(INTERRUPTED)
     except (OSError, RuntimeError, LabError) as error:
         click.echo(f"ironhinge: {error}", err=True)
         sys.exit(1)
-    click.echo(json.dumps(figures) if as_json else format_table(figures))
-    sys.exit(0 if all_rules_hold(figures) else 1)
+    click.echo(json.dumps(report) if as_json else format_table(report))
+    sys.exit(0 if all_rules_hold(report) else 1)
 
 
 def _print_progress(text: str) -> None:
     click.echo(text, err=True)
 
 
-def all_rules_hold(figures: dict[str, Any]) -> bool:
+def all_rules_hold(report: dict[str, Any]) -> bool:
     """Return whether a run shows what every run has to show, whatever its scenario."""
-    answered_once = figures["requests"] == figures["final_answers"] and not figures["doubled_answers"]
+    answered_once = report["requests"] == report["final_answers"] and not report["doubled_answers"]
     return (
         answered_once
-        and not figures["spoiled_answers"]
-        and figures.get("within_budget", True)
-        and figures.get("off_share", 0.0) <= MAX_ACCOUNT_ERROR
-        and not any(figures["director_exits"])
+        and not report["spoiled_answers"]
+        and report.get("within_budget", True)
+        and report.get("off_share", 0.0) <= MAX_ACCOUNT_ERROR
+        and not any(report["director_exits"])
     )
 
 
-def format_table(figures: dict[str, Any]) -> str:
-    """Return the figures, one a line."""
-    return "\n".join(f"{name:22} {value}" for name, value in figures.items())
+def format_table(report: dict[str, Any]) -> str:
+    """Return the report, one a line."""
+    return "\n".join(f"{name:22} {value}" for name, value in report.items())
--- a/ironhinge/lab/control_plane.py
+++ b/ironhinge/lab/control_plane.py
@@ -9,13 +9,13 @@
 
 from .stand_ins import StandIn
 
-RECORD = struct.Struct(">I4sHBBBHIQ")
+ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
 LOOPBACK = bytes([127, 0, 0, 1])
-WEIGHT_MILLIS = 20_000  # of every node
-ENDPOINTS_EVENT = 2
+NODE_WEIGHT_MILLIS = 20_000  # of every node
+LIST_CHANGES_EVENT = 2
 HEARTBEAT_EVENT = 0
 HEARTBEAT_INTERVAL = 0.5  # seconds
-FIRST_EVENT = 2  # the configuration has number 1
+FIRST_EVENT_NUMBER = 2  # the configuration has number 1
 
 
 class EndpointState(IntEnum):
@@ -23,7 +23,7 @@
 
     READY = 0
     DRAINING = 1
-    GONE = 2
+    REMOVED = 2
 
 
 class ControlPlane:
@@ -35,7 +35,7 @@
         self.kinds = kinds
         self.port = 0
         self._events: list[bytes] = []
-        self._changed = asyncio.Event()
+        self._published = asyncio.Event()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -50,13 +50,13 @@
 
     def publish(self, nodes: list[StandIn], state: EndpointState) -> None:
         """Publish that these nodes are in `state` from now on."""
-        number = len(self._events) + FIRST_EVENT
+        number = len(self._events) + FIRST_EVENT_NUMBER
         records = b"".join(self._record(node, state) for node in nodes)
-        self._events.append(_encode_event(number, ENDPOINTS_EVENT, records))
-        self._changed.set()
+        self._events.append(_encode_event(number, LIST_CHANGES_EVENT, records))
+        self._published.set()
 
     def _record(self, node: StandIn, state: EndpointState) -> bytes:
-        return RECORD.pack(
+        return ENDPOINT_RECORD.pack(
             int(node.name[2:], 16),
             LOOPBACK,
             node.port,
@@ -64,22 +64,22 @@
             self.zones.index(node.zone),
             self.kinds.index(node.kind),
             0,
-            WEIGHT_MILLIS,
+            NODE_WEIGHT_MILLIS,
             node.started_ms,
         )
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            known = int.from_bytes(await reader.readexactly(8), "big")
+            known_number = int.from_bytes(await reader.readexactly(8), "big")
             while not writer.is_closing():
-                for event in self._events[max(0, known - 1) :]:
+                for event in self._events[max(0, known_number - 1) :]:
                     writer.write(event)
-                known = max(known, len(self._events) + 1)
-                self._changed.clear()
+                known_number = max(known_number, len(self._events) + 1)
+                self._published.clear()
                 try:
-                    await asyncio.wait_for(self._changed.wait(), HEARTBEAT_INTERVAL)
+                    await asyncio.wait_for(self._published.wait(), HEARTBEAT_INTERVAL)
                 except TimeoutError:
-                    writer.write(_encode_event(known, HEARTBEAT_EVENT, b""))
+                    writer.write(_encode_event(known_number, HEARTBEAT_EVENT, b""))
         except (OSError, EOFError, asyncio.CancelledError):
             pass
         finally:
--- a/ironhinge/lab/copy_store.py
+++ b/ironhinge/lab/copy_store.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-RANKS = 4
+RANK_COUNT = 4
 
 CopyKey = tuple[str, str]  # object and part
 
@@ -14,7 +14,7 @@
     """A copy and when the origin issued it."""
 
     body: bytes
-    dated: int  # Unix milliseconds
+    issued_ms: int  # Unix milliseconds
 
 
 class CopyStore:
@@ -24,11 +24,13 @@
         """Create an empty store of `capacity` bytes."""
         self.capacity = capacity
         self.used = 0
-        self.ranks: list[OrderedDict[CopyKey, StoredCopy]] = [OrderedDict() for _ in range(RANKS)]
+        self.copies_by_rank: list[OrderedDict[CopyKey, StoredCopy]] = [
+            OrderedDict() for _ in range(RANK_COUNT)
+        ]
 
     def find(self, key: CopyKey) -> StoredCopy | None:
         """Return a copy and mark it as used, or None."""
-        for copies in self.ranks:
+        for copies in self.copies_by_rank:
             if key in copies:
                 copies.move_to_end(key)
                 return copies[key]
@@ -36,16 +38,16 @@
 
     def put(self, key: CopyKey, copy: StoredCopy, rank: int) -> None:
         """Store a copy in place of any older one, and evict what exceeds the capacity."""
-        for copies in self.ranks:
+        for copies in self.copies_by_rank:
             replaced = copies.pop(key, None)
             if replaced is not None:
                 self.used -= len(replaced.body)
-        self.ranks[rank][key] = copy
+        self.copies_by_rank[rank][key] = copy
         self.used += len(copy.body)
         self._evict()
 
     def _evict(self) -> None:
-        for copies in self.ranks:
+        for copies in self.copies_by_rank:
             while self.used > self.capacity and copies:
                 _, evicted = copies.popitem(last=False)
                 self.used -= len(evicted.body)
--- a/ironhinge/lab/director_process.py
+++ b/ironhinge/lab/director_process.py
@@ -17,8 +17,8 @@
 START_TIMEOUT = 15.0  # seconds
 START_POLL_INTERVAL = 0.03  # seconds
 STOP_TIMEOUT = 12.0  # seconds until a director that does not end is killed
-LOG_EXCERPT = 600  # characters of the log in an error message
-FORCED_EXIT = -1  # exit code reported for a director that had to be killed
+LOG_EXCERPT_LENGTH = 600  # characters of the log in an error message
+KILLED_EXIT_CODE = -1  # exit code reported for a director that had to be killed
 USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12  # of /proc/PID/stat, after the program's name
 
 
@@ -42,7 +42,7 @@
         self.cpu_seconds = 0.0
         self.memory_kb = 0
         self._process: asyncio.subprocess.Process | None = None
-        self._starts = 0
+        self._start_count = 0
 
     async def start(self) -> None:
         """Start, and wait until it serves.
@@ -53,7 +53,7 @@
         self._process = await self._spawn()
         if await self._wait_until_serving():
             return
-        raise DirectorStartError(f"{self.name} does not come up: {self.log()[-LOG_EXCERPT:]}")
+        raise DirectorStartError(f"{self.name} does not come up: {self.log()[-LOG_EXCERPT_LENGTH:]}")
 
     async def _spawn(self) -> asyncio.subprocess.Process:
         config_path = self.folder / f"{self.name}.json"
@@ -73,8 +73,8 @@
         deadline = time.monotonic() + START_TIMEOUT
         while time.monotonic() < deadline and self._is_running():
             # the director's own log line: whoever answers on that port may belong to another run
-            if self.log().count(f"listen=127.0.0.1:{self.port}") > self._starts:
-                self._starts += 1
+            if self.log().count(f"listen=127.0.0.1:{self.port}") > self._start_count:
+                self._start_count += 1
                 return True
             await asyncio.sleep(START_POLL_INTERVAL)
         return False
@@ -106,7 +106,7 @@
             pass  # the process has just exited, or there is no such /proc
 
     async def stop(self, signal_number: signal.Signals = signal.SIGTERM) -> int:
-        """End the process and return its exit code, `FORCED_EXIT` if it had to be killed."""
+        """End the process and return its exit code, `KILLED_EXIT_CODE` if it had to be killed."""
         process = self._process
         if process is None:
             return 0
@@ -119,4 +119,4 @@
         except TimeoutError:
             process.kill()
             await process.wait()
-            return FORCED_EXIT
+            return KILLED_EXIT_CODE
--- a/ironhinge/lab/director_settings.py
+++ b/ironhinge/lab/director_settings.py
@@ -10,8 +10,8 @@
 ZONES = ["hub-a", "hub-b", "branch"]
 KINDS = [NodeKind.CACHE.value, NodeKind.PARENT.value, NodeKind.ORIGIN.value]
 DIRECTOR_ZONE = 2  # index in ZONES
-LATENCY_OBJECTIVE = 400_000  # microseconds
-DEADLINE = 3_000_000  # microseconds
+LATENCY_TARGET = 400_000  # microseconds
+CLIENT_TIMEOUT = 3_000_000  # microseconds
 
 
 def platform_settings(scenario: Scenario, directors: int, gossip: bool = False) -> dict[str, Any]:
@@ -41,7 +41,7 @@
 
 
 def _request_class(name: str) -> dict[str, Any]:
-    return {"name": name, "aim": LATENCY_OBJECTIVE, "deadline": DEADLINE, "semantics": "repeatable"}
+    return {"name": name, "aim": LATENCY_TARGET, "deadline": CLIENT_TIMEOUT, "semantics": "repeatable"}
 
 
 def _extra_settings(scenario: Scenario, directors: int) -> dict[str, Any]:
--- a/ironhinge/lab/disks.py
+++ b/ironhinge/lab/disks.py
@@ -61,7 +61,7 @@
     discarded_until: int = 0  # a failed sync dropped what was not durable up to here, and calls it written
 
     @classmethod
-    def holding(cls, data: bytes | bytearray) -> MemoryFile:
+    def with_durable_data(cls, data: bytes | bytearray) -> MemoryFile:
         """Returns a file whose bytes are all durable."""
         return cls(bytearray(data), bytes(data))
 
@@ -81,7 +81,7 @@
     def after_power_cut(self) -> MemoryDirectory:
         """Returns what the next start finds: synced bytes, and any part of the others, in any order."""
         random = self.faults.random
-        found = MemoryDirectory(FaultPlan(random.getrandbits(_SEED_BITS)))
+        recovered = MemoryDirectory(FaultPlan(random.getrandbits(_SEED_BITS)))
         names = dict(self.durable_names)
         for name, file in self.files.items():  # a new name may have reached the disk, a removal may not
             if random.random() < _UNSYNCED_NAME_SURVIVES:
@@ -90,15 +90,17 @@
             if random.random() < _UNSYNCED_NAME_SURVIVES:
                 del names[name]
         for name, file in names.items():
-            found.files[name] = found.durable_names[name] = MemoryFile.holding(self._surviving_bytes(file))
-        return found
+            recovered.files[name] = recovered.durable_names[name] = MemoryFile.with_durable_data(
+                self._surviving_bytes(file)
+            )
+        return recovered
 
     def durable_copy(self) -> MemoryDirectory:
         """Returns what the next start finds when nothing survives but what was synced."""
-        found = MemoryDirectory(FaultPlan())
+        recovered = MemoryDirectory(FaultPlan())
         for name, file in self.durable_names.items():
-            found.files[name] = found.durable_names[name] = MemoryFile.holding(file.durable)
-        return found
+            recovered.files[name] = recovered.durable_names[name] = MemoryFile.with_durable_data(file.durable)
+        return recovered
 
     def flip_bit(self, name: str, offset: int) -> None:
         """Flips one bit of a stored byte."""
--- a/ironhinge/lab/load_generator.py
+++ b/ironhinge/lab/load_generator.py
@@ -15,21 +15,21 @@
 from typing import NamedTuple
 
 from ..net.client_wire import read_fields, write_fields
-from .node_protocol import body_of
+from .node_protocol import make_body
 from .scenarios import FILM, SOCKET_BYTES_PER_KB, ScenarioRequest
 
-PATIENCE = 3.0  # seconds that a client waits for a complete answer
+CLIENT_TIMEOUT = 3.0  # seconds that a client waits for a complete answer
 ANSWER_GRACE = 1.0  # seconds after which an overdue answer is counted as missing
 CARD_ATTEMPTS = 3
 PART_ATTEMPTS = 12  # for each part of a stream but the first, which is tried once
 DEFAULT_PART_INTERVAL = 0.5  # seconds
 IDLE_TIMEOUT = 3.0  # seconds after which a client closes an unused connection
 MAX_IDLE_CONNECTIONS = 64  # to one director
-CLOSE_CROSSING_WINDOW = 0.05  # seconds: a connection closed so soon has not read the request
+CLOSE_RACE_WINDOW = 0.05  # seconds: a connection closed so soon has not read the request
 DEFAULT_BACKOFF = 0.1  # seconds, if the answer has no pause
 CONNECT_ROUNDS = 4  # through all directors
-GROUPS = 256
-TRACE_BITS = 64
+PURGE_GROUP_COUNT = 256
+TRACE_ID_BITS = 64
 TRACE_SEED_MASK = 0x5EED  # keeps traces apart from the draws of the requests
 
 
@@ -50,7 +50,7 @@
     FAILED = "aborted"
     CANCELLED = "left"
     UNANSWERED = "unanswered"
-    CROSSED_CLOSE = "crossed"  # the connection was closed before it could be read
+    CLOSED_BEFORE_READ = "crossed"  # the connection was closed before it could be read
 
 
 ANSWER_CODES = {1: RequestResult.DONE, 2: RequestResult.REJECTED, 3: RequestResult.FAILED}
@@ -92,15 +92,15 @@
         """The object as the protocol names it."""
         return f"{self.object_id:016x}"
 
-    def fields(self, trace: str) -> dict[str, str]:
+    def fields(self, trace_id: str) -> dict[str, str]:
         """Return the fields of its frame."""
         fields = {
             "route": self.route,
-            "trace": trace,
-            "patience": str(int(PATIENCE * 1000)),
+            "trace": trace_id,
+            "patience": str(int(CLIENT_TIMEOUT * 1000)),
             "entity": self.object_name,
             "part": str(self.part),
-            "group": str(self.object_id % GROUPS),
+            "group": str(self.object_id % PURGE_GROUP_COUNT),
             "size": f"{self.body_bytes / SOCKET_BYTES_PER_KB:.1f}",
         }
         if self.is_retry:
@@ -116,7 +116,7 @@
     answers: int = 0
     duplicate_answers: int = 0
     corrupt_answers: int = 0
-    crossed_close: int = 0
+    closed_before_read: int = 0
     unanswered: int = 0
     cancelled: int = 0
     unconnected: int = 0
@@ -137,10 +137,10 @@
         self.statistics = statistics
         self.closing = False  # takes no new request: the director said so, or the connection has ended
         self._last_stream = 0
-        self._waiting: dict[int, asyncio.Future[Answer]] = {}
+        self._pending_answers: dict[int, asyncio.Future[Answer]] = {}
         self._abandoned: set[int] = set()  # streams whose answer may still arrive
         self._writer: asyncio.StreamWriter
-        self._reading: asyncio.Task[None]
+        self._reader_task: asyncio.Task[None]
 
     async def open(self, port: int) -> None:
         """Connect.
@@ -149,11 +149,11 @@
             OSError: Nobody listens on the port.
         """
         reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
-        self._reading = asyncio.ensure_future(self._read(reader))
+        self._reader_task = asyncio.ensure_future(self._read(reader))
 
     async def close(self) -> None:
         """Close the connection."""
-        self._reading.cancel()
+        self._reader_task.cancel()
         self._writer.close()
 
     def _write_frame(self, kind: FrameType, stream: int, payload: bytes = b"") -> None:
@@ -168,10 +168,10 @@
             pass
         finally:
             self.closing = True
-            for future in self._waiting.values():
+            for future in self._pending_answers.values():
                 if not future.done():
                     future.set_exception(ConnectionResetError())
-            self._waiting.clear()
+            self._pending_answers.clear()
 
     def _handle_frame(self, data: bytes) -> None:
         kind, stream = data[0], int.from_bytes(data[1:5], "big")
@@ -180,7 +180,7 @@
         if kind != FrameType.ANSWER:
             return
         fields, end = read_fields(data[6:])
-        future = self._waiting.pop(stream, None)
+        future = self._pending_answers.pop(stream, None)
         if future is None:
             if stream in self._abandoned:
                 self._abandoned.discard(stream)  # the answer crossed the cancellation
@@ -190,27 +190,27 @@
             result = ANSWER_CODES.get(data[5], RequestResult.FAILED)
             future.set_result(Answer(result, fields, data[6 + end :]))
 
-    async def send(self, request: ClientRequest, trace: str) -> RequestOutcome:
+    async def send(self, request: ClientRequest, trace_id: str) -> RequestOutcome:
         """Send one request and wait until it is answered, cancelled, overdue or lost."""
         loop = asyncio.get_running_loop()
         self._last_stream += 1
         stream = self._last_stream
-        future = self._waiting[stream] = loop.create_future()
-        began = loop.time()
+        future = self._pending_answers[stream] = loop.create_future()
+        started_at = loop.time()
         self.statistics.sent += 1
-        self._write_frame(FrameType.REQUEST, stream, write_fields(request.fields(trace)))
+        self._write_frame(FrameType.REQUEST, stream, write_fields(request.fields(trace_id)))
         try:
             if request.cancel_after:
                 await asyncio.wait_for(asyncio.shield(future), request.cancel_after)
-            answer = await asyncio.wait_for(future, PATIENCE + ANSWER_GRACE)
+            answer = await asyncio.wait_for(future, CLIENT_TIMEOUT + ANSWER_GRACE)
         except TimeoutError:
             return self._abandon(stream, request)
         except ConnectionResetError:
-            return self._connection_lost(loop.time() - began)
-        return self._record_answer(answer, request, loop.time() - began)
+            return self._record_connection_loss(loop.time() - started_at)
+        return self._record_answer(answer, request, loop.time() - started_at)
 
     def _abandon(self, stream: int, request: ClientRequest) -> RequestOutcome:
-        self._waiting.pop(stream, None)
+        self._pending_answers.pop(stream, None)
         self._abandoned.add(stream)
         if not request.cancel_after:
             self.statistics.unanswered += 1
@@ -219,11 +219,11 @@
         self._write_frame(FrameType.CANCEL, stream)
         return RequestOutcome(RequestResult.CANCELLED, {})
 
-    def _connection_lost(self, elapsed: float) -> RequestOutcome:
-        if elapsed <= CLOSE_CROSSING_WINDOW:
+    def _record_connection_loss(self, elapsed: float) -> RequestOutcome:
+        if elapsed <= CLOSE_RACE_WINDOW:
             self.statistics.sent -= 1  # the caller sends it again, once
-            self.statistics.crossed_close += 1
-            return RequestOutcome(RequestResult.CROSSED_CLOSE, {})
+            self.statistics.closed_before_read += 1
+            return RequestOutcome(RequestResult.CLOSED_BEFORE_READ, {})
         self.statistics.unanswered += 1
         return RequestOutcome(RequestResult.UNANSWERED, {})
 
@@ -232,7 +232,7 @@
         self.statistics.results[answer.result] += 1
         if answer.result is RequestResult.DONE:
             self.statistics.latencies.append(elapsed)
-            expected = body_of(request.object_name, str(request.part), request.body_bytes)
+            expected = make_body(request.object_name, str(request.part), request.body_bytes)
             if answer.body != expected:
                 self.statistics.corrupt_answers += 1
         return RequestOutcome(answer.result, answer.fields)
@@ -260,16 +260,16 @@
         else:
             await self._send_card(request)
 
-    def _trace(self) -> str:
-        return f"{self._rng.getrandbits(TRACE_BITS):016x}"
+    def _new_trace_id(self) -> str:
+        return f"{self._rng.getrandbits(TRACE_ID_BITS):016x}"
 
-    async def _connect(self, viewer: int) -> ClientConnection:
-        """Open a connection to the viewer's director, or to the next one while that is down."""
+    async def _connect(self, client_number: int) -> ClientConnection:
+        """Open a connection to the client's director, or to the next one while that is down."""
         count = len(self.ports)
         for attempt in range(CONNECT_ROUNDS * count):
             connection = ClientConnection(self.statistics)
             try:
-                await connection.open(self.ports[(viewer + attempt) % count])
+                await connection.open(self.ports[(client_number + attempt) % count])
             except ConnectionRefusedError:
                 if attempt % count == count - 1:
                     await asyncio.sleep(DEFAULT_BACKOFF)
@@ -280,25 +280,25 @@
     async def _idle_connection(self, director: int) -> ClientConnection:
         """Return an open idle connection to a director, or a new one."""
         idle = self._idle.setdefault(director, [])
-        oldest = asyncio.get_running_loop().time() - IDLE_TIMEOUT
-        while idle and (idle[0][0] < oldest or idle[0][1].closing):
+        earliest_idle_start = asyncio.get_running_loop().time() - IDLE_TIMEOUT
+        while idle and (idle[0][0] < earliest_idle_start or idle[0][1].closing):
             await idle.pop(0)[1].close()
         while idle and idle[-1][1].closing:
             await idle.pop()[1].close()
         return idle.pop()[1] if idle else await self._connect(director)
 
     async def _send_card(self, request: ScenarioRequest) -> None:
-        director = request.viewer % len(self.ports)
+        director = request.client_number % len(self.ports)
         connection = await self._idle_connection(director)
         for attempt in range(CARD_ATTEMPTS):
-            card = ClientRequest(
+            card_request = ClientRequest(
                 request.route, request.object_id, 0, request.body_bytes, attempt > 0, request.cancel_after
             )
-            trace = self._trace()
-            outcome = await connection.send(card, trace)
-            if outcome.result is RequestResult.CROSSED_CLOSE:
+            trace_id = self._new_trace_id()
+            outcome = await connection.send(card_request, trace_id)
+            if outcome.result is RequestResult.CLOSED_BEFORE_READ:
                 connection = await self._connect(director)
-                outcome = await connection.send(card, trace)
+                outcome = await connection.send(card_request, trace_id)
             if outcome.result is not RequestResult.REJECTED:
                 break
             await asyncio.sleep(outcome.retry_after or DEFAULT_BACKOFF)
@@ -309,22 +309,22 @@
             await connection.close()
 
     async def _send_stream(self, request: ScenarioRequest) -> None:
-        """Request the parts of a stream in turn; without its first part a viewer gives up."""
-        connection = await self._connect(request.viewer)
+        """Request the parts of a stream in turn; without its first part a client gives up."""
+        connection = await self._connect(request.client_number)
         self.statistics.streams += 1
         loop = asyncio.get_running_loop()
         interval = request.cancel_after or DEFAULT_PART_INTERVAL
         try:
             for part in range(request.part_count):
-                began = loop.time()
+                started_at = loop.time()
                 if connection.closing:
                     await connection.close()
-                    connection = await self._connect(request.viewer)
+                    connection = await self._connect(request.client_number)
                 result, connection = await self._send_part(request, part, connection)
                 if not self._record_part(part, result):
                     return
                 if part + 1 < request.part_count:
-                    await asyncio.sleep(max(0.0, interval - (loop.time() - began)))
+                    await asyncio.sleep(max(0.0, interval - (loop.time() - started_at)))
             self.statistics.streams_completed += 1
         finally:
             await connection.close()
@@ -334,13 +334,13 @@
     ) -> tuple[RequestResult, ClientConnection]:
         """Send one part until it is no longer rejected; return also the connection to go on with."""
         for attempt in range(PART_ATTEMPTS if part else 1):
-            piece = ClientRequest(
+            part_request = ClientRequest(
                 request.route, request.object_id, part, request.body_bytes, attempt > 0, 0.0
             )
-            outcome = await connection.send(piece, self._trace())
-            if outcome.result is RequestResult.CROSSED_CLOSE:
-                connection = await self._connect(request.viewer)
-                outcome = await connection.send(piece, self._trace())
+            outcome = await connection.send(part_request, self._new_trace_id())
+            if outcome.result is RequestResult.CLOSED_BEFORE_READ:
+                connection = await self._connect(request.client_number)
+                outcome = await connection.send(part_request, self._new_trace_id())
             if outcome.result is not RequestResult.REJECTED:
                 break
             await asyncio.sleep(max(DEFAULT_BACKOFF, outcome.retry_after))
--- a/ironhinge/lab/node_protocol.py
+++ b/ironhinge/lab/node_protocol.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 
-class WireNote(StrEnum):
+class CacheStatusCode(StrEnum):
     """The `res` field of an answer: where a copy came from, or who failed to provide one."""
 
     HIT = "h"
@@ -17,10 +17,10 @@
     FILLED_FROM_SOURCE = "f"
     FILLED_FROM_ORIGIN = "o"
     SOURCE_MISS = "l"
-    SOURCE_UNAVAILABLE = "r"
+    SOURCE_REJECTED = "r"
 
 
-def body_of(object_name: str, part: str, size: int) -> bytes:
+def make_body(object_name: str, part: str, size: int) -> bytes:
     """Return the `size` bytes of a part; they name it, so that a wrong body is recognized."""
     text = f"{object_name}/{part} ".encode()
     return (text * (size // len(text) + 1))[:size]
--- a/ironhinge/lab/ports.py
+++ b/ironhinge/lab/ports.py
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         """Create an allocator that has reserved nothing yet."""
-        self._reserving: list[socket.socket] = []
+        self._reserved_sockets: list[socket.socket] = []
 
     def allocate(self) -> int:
         """Return a port that nobody else gets until this allocator is closed.
@@ -31,15 +31,15 @@
         except OSError as error:
             sock.close()
             raise PortsExhaustedError(f"the system has no port left: {error.strerror}") from error
-        self._reserving.append(sock)
+        self._reserved_sockets.append(sock)
         port: int = sock.getsockname()[1]
         return port
 
     def close(self) -> None:
         """Release all ports."""
-        for sock in self._reserving:
+        for sock in self._reserved_sockets:
             sock.close()
-        self._reserving.clear()
+        self._reserved_sockets.clear()
 
 
 def free_datagram_ports(count: int) -> list[int]:
--- a/ironhinge/lab/run.py
+++ b/ironhinge/lab/run.py
@@ -28,7 +28,7 @@
 NODE_WEIGHT = 20
 DISCOVERY_DELAY = 0.3  # seconds until the control plane knows that a node was killed
 PROGRESS_INTERVAL = 200  # requests between two progress messages
-WITHOUT_ACCOUNT = "off"  # the scenario that is played without accounts
+SCENARIO_WITHOUT_ACCOUNTS = "off"  # the scenario that is played without accounts
 
 Progress = Callable[[str], None]
 
@@ -51,7 +51,7 @@
     def __init__(self, scenario: Scenario, options: RunOptions, progress: Progress) -> None:
         """Create a run; nothing is started yet, but its temporary folder exists."""
         self.scenario, self.options, self.progress = scenario, options, progress
-        self.account = options.account and scenario.name != WITHOUT_ACCOUNT
+        self.account = options.account and scenario.name != SCENARIO_WITHOUT_ACCOUNTS
         self.folder = Path(tempfile.mkdtemp(prefix="ironhinge-lab-"))
         self.account_folder = self.folder / "kept"
         self.network = StandInNetwork(scenario.link_rate)
@@ -71,7 +71,7 @@
         """
         try:
             await self._start()
-            return await self._play()
+            return await self._run_load()
         finally:
             await self._stop()
 
@@ -143,11 +143,11 @@
         if not self.account:
             return None
         path = self.folder / f"{name}.cue"
-        share = '    share: {every: "50ms"}\n' if self.options.share else ""
-        keep = f'    keep: {{folder: "{self.account_folder}", every: "5s"}}\n'
-        budgets = f"    budgets: {{\n{self.scenario.budget_settings}    }}\n"
-        traffic = f'traffic: {{\n    period: "1h"\n{keep}{share}{budgets}}}\n'
-        path.write_text(traffic + self._disk_settings(name))
+        share_section = '    share: {every: "50ms"}\n' if self.options.share else ""
+        keep_section = f'    keep: {{folder: "{self.account_folder}", every: "5s"}}\n'
+        budgets_section = f"    budgets: {{\n{self.scenario.budget_settings}    }}\n"
+        traffic_section = f'traffic: {{\n    period: "1h"\n{keep_section}{share_section}{budgets_section}}}\n'
+        path.write_text(traffic_section + self._disk_settings(name))
         return path
 
     def _disk_folder(self, name: str) -> Path:
@@ -172,7 +172,7 @@
 
     # Load and faults
 
-    async def _play(self) -> dict[str, Any]:
+    async def _run_load(self) -> dict[str, Any]:
         started_at = time.monotonic()
         self.load = LoadGenerator([director.port for director in self.directors], self.options.seed)
         requests = generate_requests(self.scenario, self.options.seed, self.options.seconds)
@@ -181,8 +181,8 @@
         faults = [asyncio.ensure_future(self._apply_fault(fault)) for fault in self.scenario.faults]
         self._tasks += faults
         cpu_before = self._total_cpu()
-        sending = await self._send_requests(requests, started_at)
-        await asyncio.gather(*sending, return_exceptions=True)
+        send_tasks = await self._send_requests(requests, started_at)
+        await asyncio.gather(*send_tasks, return_exceptions=True)
         await asyncio.gather(*faults, return_exceptions=True)
         elapsed = time.monotonic() - started_at
         self._total_cpu()
@@ -194,18 +194,18 @@
         self, requests: list[ScenarioRequest], started_at: float
     ) -> list[asyncio.Task[None]]:
         """Start to send each request at its time; return the tasks."""
-        sending: list[asyncio.Task[None]] = []
+        send_tasks: list[asyncio.Task[None]] = []
         for request in requests:
-            delay = started_at + request.at - time.monotonic()
+            delay = started_at + request.send_at - time.monotonic()
             if delay > 0:
                 await asyncio.sleep(delay)
             task = asyncio.ensure_future(self._send(request))
-            sending.append(task)
+            send_tasks.append(task)
             self._tasks = [running for running in self._tasks if not running.done()] + [task]
-            if len(sending) % PROGRESS_INTERVAL == 0:
+            if len(send_tasks) % PROGRESS_INTERVAL == 0:
                 elapsed, sent = time.monotonic() - started_at, self.load.statistics.sent
                 self.progress(f"{elapsed:.0f} of {self.options.seconds:.0f} s, {sent} reqs")
-        return sending
+        return send_tasks
 
     async def _send(self, request: ScenarioRequest) -> None:
         try:
@@ -241,7 +241,7 @@
         return {name: total - before[name] for name, total in traffic_totals(self.network).items()}
 
     async def _apply_fault(self, fault: Fault) -> None:
-        await asyncio.sleep(fault.at_share * self.options.seconds)
+        await asyncio.sleep(fault.start_share * self.options.seconds)
         if fault.action is FaultAction.RESTART_DIRECTOR:
             await self._restart_director(int(fault.target))
             return
@@ -262,7 +262,7 @@
     async def _kill_node(self, node: StandIn) -> None:
         await node.kill()
         await asyncio.sleep(DISCOVERY_DELAY)
-        self.control_plane.publish([node], EndpointState.GONE)
+        self.control_plane.publish([node], EndpointState.REMOVED)
 
     async def _restart_director(self, index: int) -> None:
         """Restart gracefully: SIGTERM, all admitted requests are answered, and up at the same address."""
--- a/ironhinge/lab/scenarios.py
+++ b/ironhinge/lab/scenarios.py
@@ -14,7 +14,7 @@
 SOCKET_BYTES_PER_KB = 100
 CARD, FILM = "card", "film"  # names of the two request classes
 POPULARITY_EXPONENT = 0.9  # of the Zipf distribution of cards
-SHORTEST_CANCEL, LONGEST_CANCEL = 0.005, 0.05  # seconds until an impatient client cancels
+MIN_CANCEL_DELAY, MAX_CANCEL_DELAY = 0.005, 0.05  # seconds until an impatient client cancels
 ID_BASE_BITS = 32
 ID_BASE_SHIFT = 24
 FILM_ID_OFFSET = 1 << 20  # keeps films apart from cards
@@ -23,8 +23,8 @@
 class ScenarioRequest(NamedTuple):
     """A request to be sent. The order of the fields is the order in which requests are sorted."""
 
-    at: float  # seconds since the scenario's start
-    viewer: int
+    send_at: float  # seconds since the scenario's start
+    client_number: int
     route: str  # name of the request class
     object_id: int
     part_count: int  # requested one after another; 1 for a single request
@@ -46,7 +46,7 @@
 class Fault(NamedTuple):
     """A fault at a fixed moment of a scenario."""
 
-    at_share: float  # of the scenario's duration
+    start_share: float  # of the scenario's duration
     action: FaultAction
     target: str  # letter of a hub, or index of a director
     transfer_rate: float = 0.0  # bytes a second, of SLOW_DOWN
@@ -89,7 +89,7 @@
 """
 AMPLE_BUDGET = """    other_hubs: {ways: ["other-hub"], rate: "600KB/s", burst: "600KB"}
 """
-LINK_BUDGET = """    link_in: {
+INGRESS_LINK_BUDGET = """    link_in: {
         ways: ["own-hub", "other-hub", "origin"]
         rate: "%s"
         burst: "%s"%s
@@ -107,7 +107,7 @@
     parts_per_stream=10,
     part_bytes=4_000,
     cancel_share=0.0,
-    budget_settings=LINK_BUDGET % ("240KB/s", "240KB", STREAM_RESERVATIONS),
+    budget_settings=INGRESS_LINK_BUDGET % ("240KB/s", "240KB", STREAM_RESERVATIONS),
     budget_rate=240_000,
     budget_burst=240_000,
     budget_routes=("own-hub", "other-hub", "origin"),
@@ -154,7 +154,7 @@
         _STREAM_BUDGET,
         name="stream-plain",
         description="the same without places held for streams: the baseline of stream-budget",
-        budget_settings=LINK_BUDGET % ("240KB/s", "240KB", ""),
+        budget_settings=INGRESS_LINK_BUDGET % ("240KB/s", "240KB", ""),
     ),
 )
 
@@ -179,22 +179,22 @@
     weights = [1 / (rank + 1) ** POPULARITY_EXPONENT for rank in range(scenario.card_count)]
     id_base = rng.getrandbits(ID_BASE_BITS) << ID_BASE_SHIFT
 
-    def card_request(at: float, viewer: int) -> ScenarioRequest:
+    def card_request(send_at: float, client_number: int) -> ScenarioRequest:
         """Draw a request for one card."""
         card = rng.choices(range(scenario.card_count), weights)[0]
         cancels = rng.random() < scenario.cancel_share
-        cancel_after = rng.uniform(SHORTEST_CANCEL, LONGEST_CANCEL) if cancels else 0.0
-        return ScenarioRequest(at, viewer, CARD, id_base + card, 1, sizes[card], cancel_after)
+        cancel_after = rng.uniform(MIN_CANCEL_DELAY, MAX_CANCEL_DELAY) if cancels else 0.0
+        return ScenarioRequest(send_at, client_number, CARD, id_base + card, 1, sizes[card], cancel_after)
 
     requests = _poisson_arrivals(rng, scenario.card_rate, seconds, card_request)
     cards = len(requests)
 
-    def film_request(at: float, stream: int) -> ScenarioRequest:
+    def film_request(send_at: float, stream: int) -> ScenarioRequest:
         """Draw a stream of the parts of one film."""
         film_index = stream if scenario.unique_films else rng.randrange(scenario.film_count)
         object_id = id_base + FILM_ID_OFFSET + film_index
         part_count, part_bytes = scenario.parts_per_stream, scenario.part_bytes
-        return ScenarioRequest(at, cards + stream, FILM, object_id, part_count, part_bytes, 0.0)
+        return ScenarioRequest(send_at, cards + stream, FILM, object_id, part_count, part_bytes, 0.0)
 
     # streams start early enough to end with the scenario, but during its first half at least
     last_start = max(seconds / 2, seconds - scenario.parts_per_stream * scenario.part_interval)
@@ -203,12 +203,12 @@
 
 
 def _poisson_arrivals(
-    rng: Random, rate: float, end: float, make: Callable[[float, int], ScenarioRequest]
+    rng: Random, rate: float, end: float, make_request: Callable[[float, int], ScenarioRequest]
 ) -> list[ScenarioRequest]:
-    """Make requests at exponentially distributed intervals; `make` gets the time and a number from 1."""
+    """Make requests at exponentially distributed intervals, numbered from 1."""
     requests: list[ScenarioRequest] = []
-    at = rng.expovariate(rate) if rate else end
-    while at < end:
-        requests.append(make(at, len(requests) + 1))
-        at += rng.expovariate(rate)
+    send_at = rng.expovariate(rate) if rate else end
+    while send_at < end:
+        requests.append(make_request(send_at, len(requests) + 1))
+        send_at += rng.expovariate(rate)
     return requests
--- a/ironhinge/lab/stand_ins.py
+++ b/ironhinge/lab/stand_ins.py
@@ -19,10 +19,10 @@
 
 from .copy_store import CopyKey, CopyStore, StoredCopy
 from .errors import FillError
-from .node_protocol import WireNote, body_of, bulk_string, encode_array, parse_fields, read_array
+from .node_protocol import CacheStatusCode, bulk_string, encode_array, make_body, parse_fields, read_array
 
 PIECE_BYTES = 500  # written at a time: what a cancelled fill had in flight is accounted to that
-SHORTEST_SLEEP = 0.001  # seconds: shorter waits of the link are skipped
+MIN_SLEEP = 0.001  # seconds: shorter waits of the link are skipped
 ORIGIN_LATENCY = 0.01  # seconds
 DEFAULT_BODY_BYTES = 1000  # of an object that the scenario does not name
 PARENT_RANK = 1  # at which parents store copies
@@ -54,7 +54,7 @@
     """A copy and where it came from."""
 
     copy: StoredCopy
-    note: WireNote
+    cache_status: CacheStatusCode
 
 
 class BandwidthLimiter:
@@ -69,7 +69,7 @@
         """Wait until the link has carried `count` more bytes."""
         now = time.monotonic()
         self.free_at = max(now, self.free_at) + count / self.rate
-        if self.free_at - now > SHORTEST_SLEEP:
+        if self.free_at - now > MIN_SLEEP:
             await asyncio.sleep(self.free_at - now)
 
 
@@ -92,12 +92,12 @@
         self.cancelled_fills = 0
         self._fill_ids = itertools.count(1)
         self._server: asyncio.Server | None = None
-        self._port_holder: socket.socket | None = None
+        self._reserved_socket: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
         self._idle_connections: dict[int, list[IdleConnection]] = {}  # by port
         self._fills: dict[CopyKey, asyncio.Task[FillResult]] = {}
-        self._waiters: dict[CopyKey, int] = {}
+        self._waiter_counts: dict[CopyKey, int] = {}
 
     # Start and stop
 
@@ -122,7 +122,7 @@
         self._fills.clear()
         self._reset_idle_connections()
         self._server = None
-        self._hold_port()
+        self._reserve_port()
 
     async def close(self) -> None:
         """End for good."""
@@ -136,19 +136,19 @@
                 writer.transport.abort()
         self._idle_connections.clear()
 
-    def _hold_port(self) -> None:
+    def _reserve_port(self) -> None:
         """Keep the port from other programs while connections to it are refused."""
-        self._port_holder = socket.socket()
-        self._port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._port_holder.bind(("127.0.0.1", self.port))
+        self._reserved_socket = socket.socket()
+        self._reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._reserved_socket.bind(("127.0.0.1", self.port))
 
     def _release_port(self) -> None:
-        if self._port_holder is not None:
-            self._port_holder.close()
-            self._port_holder = None
+        if self._reserved_socket is not None:
+            self._reserved_socket.close()
+            self._reserved_socket = None
 
-    def _spawn(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: Coroutine[object, object, None]) -> asyncio.Task[None]:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -198,7 +198,7 @@
         fields = parse_fields(items[2])
         key = fields["obj"], fields.get("seg", "0")
         try:
-            (body, dated), note = await self._find(key, fields)
+            (body, issued_ms), cache_status = await self._find_or_fill(key, fields)
         except LookupError as error:
             code = b"NOENT" if "parent" not in fields and self.kind != NodeKind.ORIGIN else b"EIO"
             _write_if_open(writer, encode_array(request_id, code, b"res=%b" % str(error.args[0]).encode()))
@@ -207,8 +207,8 @@
             _write_if_open(writer, encode_array(request_id, b"EIO", b"res=b"))
             return
         gauges = f"inflight:{self.request_count % 7};util:0.4"
-        text = f"digest=4b,dated={dated},res={note},gauges={gauges}".encode()
-        head = b"*4\r\n" + b"".join(bulk_string(item) for item in (request_id, b"ACK", text))
+        attributes = f"digest=4b,dated={issued_ms},res={cache_status},gauges={gauges}".encode()
+        head = b"*4\r\n" + b"".join(bulk_string(item) for item in (request_id, b"ACK", attributes))
         if self.kind == NodeKind.CACHE:
             _write_if_open(writer, head + bulk_string(body))
             return
@@ -234,35 +234,35 @@
 
     # Copies and fills
 
-    async def _find(self, key: CopyKey, fields: dict[str, str]) -> FillResult:
+    async def _find_or_fill(self, key: CopyKey, fields: dict[str, str]) -> FillResult:
         """Return a copy that is fresh enough, from the store or by a fill that others may join."""
         if self.kind == NodeKind.ORIGIN:
             await asyncio.sleep(ORIGIN_LATENCY)
             size = self.network.body_sizes.get(key[0], DEFAULT_BODY_BYTES)
-            return FillResult(StoredCopy(body_of(*key, size), int(time.time() * 1000)), WireNote.HIT)
+            return FillResult(StoredCopy(make_body(*key, size), int(time.time() * 1000)), CacheStatusCode.HIT)
         stored = self.store.find(key)
-        oldest = time.time() * 1000 - float(fields["accept"]) if fields.get("accept") else 0.0
-        if stored is not None and stored.dated >= oldest:
-            return FillResult(stored, WireNote.HIT)
-        only_stored = "held" in _hints(fields) and self.kind != NodeKind.CACHE
-        if only_stored or "parent" not in fields:
-            raise FillError(WireNote.SOURCE_MISS)
+        min_issued_ms = time.time() * 1000 - float(fields["accept"]) if fields.get("accept") else 0.0
+        if stored is not None and stored.issued_ms >= min_issued_ms:
+            return FillResult(stored, CacheStatusCode.HIT)
+        cached_only = "held" in _hints(fields) and self.kind != NodeKind.CACHE
+        if cached_only or "parent" not in fields:
+            raise FillError(CacheStatusCode.SOURCE_MISS)
         joined = key in self._fills
         if not joined:
             self._fills[key] = asyncio.ensure_future(self._fill(key, fields))
         result = await self._wait_for_fill(key)
-        return FillResult(result.copy, WireNote.JOINED_FILL) if joined else result
+        return FillResult(result.copy, CacheStatusCode.JOINED_FILL) if joined else result
 
     async def _wait_for_fill(self, key: CopyKey) -> FillResult:
         """Wait for the current fill of a copy; the last one to stop waiting cancels it."""
         fill = self._fills[key]
-        self._waiters[key] = self._waiters.get(key, 0) + 1
+        self._waiter_counts[key] = self._waiter_counts.get(key, 0) + 1
         try:
             return await asyncio.shield(fill)
         finally:
-            self._waiters[key] -= 1
-            if not self._waiters[key]:
-                del self._waiters[key]
+            self._waiter_counts[key] -= 1
+            if not self._waiter_counts[key]:
+                del self._waiter_counts[key]
                 if not fill.done():
                     self.cancelled_fills += 1
                     fill.cancel()
@@ -272,7 +272,7 @@
     async def _fill(self, key: CopyKey, fields: dict[str, str]) -> FillResult:
         source = self.network.nodes.get(fields["parent"])
         if source is None:
-            raise FillError(WireNote.SOURCE_UNAVAILABLE)
+            raise FillError(CacheStatusCode.SOURCE_REJECTED)
         command = f"kind={fields['kind']},obj={key[0]},seg={key[1]},ms={fields['ms']}"
         if source.kind == NodeKind.PARENT:
             command += f",parent={self.network.origin.name},shelf=2"
@@ -280,15 +280,20 @@
                 command += ",hints=held"
         items = await self._fetch(source.port, command)
         if items[1] != b"ACK":
-            missing = items[1] == b"NOENT"
-            raise FillError(WireNote.SOURCE_MISS if missing else WireNote.SOURCE_UNAVAILABLE)
+            is_miss = items[1] == b"NOENT"
+            raise FillError(CacheStatusCode.SOURCE_MISS if is_miss else CacheStatusCode.SOURCE_REJECTED)
         answer = parse_fields(items[2])
         rank = int(fields.get("shelf", "0"))
         copy = StoredCopy(items[3], int(answer["dated"]))
         if self.kind == NodeKind.PARENT or rank:
             self.store.put(key, copy, rank if self.kind == NodeKind.CACHE else PARENT_RANK)
-        at_origin = answer.get("res") in (WireNote.FILLED_FROM_SOURCE, WireNote.FILLED_FROM_ORIGIN)
-        return FillResult(copy, WireNote.FILLED_FROM_ORIGIN if at_origin else WireNote.FILLED_FROM_SOURCE)
+        from_origin = answer.get("res") in (
+            CacheStatusCode.FILLED_FROM_SOURCE,
+            CacheStatusCode.FILLED_FROM_ORIGIN,
+        )
+        return FillResult(
+            copy, CacheStatusCode.FILLED_FROM_ORIGIN if from_origin else CacheStatusCode.FILLED_FROM_SOURCE
+        )
 
     async def _fetch(self, port: int, command: str) -> list[bytes]:
         """Send one fill command on a connection of its own; cancelling it aborts the connection."""
