--- a/ironhinge/lab/__init__.py
+++ b/ironhinge/lab/__init__.py
@@ -1,5 +1,6 @@
-"""A laboratory on loopback: stand-ins for all that a director talks to, load, and faults.
+"""A test lab on loopback: stand-ins for everything that a director connects to, generated load, and faults.
 
-It starts directors as programs of their own, speaks the platform's protocol to them, and counts the bytes
-that cross. It must never be imported by a director, decide anything for one, or reach beyond this machine.
+It starts real directors as separate processes, speaks the platform's protocols to them, and counts the bytes
+that enter the branch zone. A director must not import this package. The lab must not make routing decisions
+for a director or use the network beyond loopback.
 """
--- a/ironhinge/lab/cli.py
+++ b/ironhinge/lab/cli.py
@@ -1,4 +1,4 @@
-"""The commands of the lab."""
+"""The subcommands of `ironhinge lab`."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from .errors import LabError
 
-MAX_ACCOUNT_ERROR = 0.01  # share by which the accounts may differ from what was carried
+MAX_ACCOUNT_ERROR = 0.01  # largest relative difference between accounted and carried bytes
 INTERRUPTED = 130  # exit code after Ctrl-C
 
 
 @click.group()
 def lab() -> None:
-    """Stand-ins, load and faults on this machine, to see directors at work."""
+    """Run directors on this machine against stand-ins, with generated load and faults."""
 
 
 @lab.command()
 def scenes() -> None:
-    """List what can be played."""
+    """List the scenarios."""
     from .scenarios import SCENARIOS
 
     for scenario in SCENARIOS.values():
@@ -29,33 +29,39 @@
 
 
 @lab.command()
-@click.option("--scenario", default="calm", show_default=True, help="See 'ironhinge lab scenes'.")
+@click.option("--scenario", default="calm", show_default=True, help="'ironhinge lab scenes' lists them.")
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1.0, 3600.0), default=8.0, show_default=True)
 @click.option("--directors", type=click.IntRange(1, 32), default=2, show_default=True)
 @click.option(
-    "--scale", type=click.FloatRange(0.05, 20.0), default=1.0, show_default=True, help="Of the load."
+    "--scale",
+    type=click.FloatRange(0.05, 20.0),
+    default=1.0,
+    show_default=True,
+    help="Multiplier of the load.",
 )
-@click.option("--share", is_flag=True, help="Directors may hand budget to one another.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
-def run(  # noqa: PLR0913 - one argument for each option
+@click.option("--share", is_flag=True, help="Let directors transfer budget to each other.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object as the last line.")
+def run(  # noqa: PLR0913 - one parameter per option
     scenario: str, seed: int, seconds: float, directors: int, scale: float, share: bool, as_json: bool
 ) -> None:
-    """Play a scenario and print what crossed and what clients were answered.
+    """Run a scenario and print how many bytes entered the branch and how requests ended.
 
-    Caches, hubs, an origin, a control plane and clients are stand-ins; DIRECTORS real directors are started.
-    Code 1 where a rule of the lab does not hold.
+    Caches, hubs, the origin, the control plane and clients are stand-ins; the directors are real processes.
+    The exit code is 1 if the run fails or its report breaks a rule that holds for every scenario.
     """
     from .run import RunOptions, run_scenario
     from .scenarios import SCENARIOS, scaled_scenario
 
     if scenario not in SCENARIOS:
-        raise click.BadParameter(f"'{scenario}' is none of {', '.join(SCENARIOS)}", param_hint="--scenario")
+        raise click.BadParameter(
+            f"'{scenario}' is not one of {', '.join(SCENARIOS)}", param_hint="--scenario"
+        )
     options = RunOptions(seed, seconds, directors, share=share)
     try:
         report = run_scenario(scaled_scenario(scenario, scale), options, _print_progress)
     except KeyboardInterrupt:
-        click.echo("ended; nothing of it is left running", err=True)
+        click.echo("interrupted; all processes of the run were stopped", err=True)
         sys.exit(INTERRUPTED)
     except (OSError, RuntimeError, LabError) as error:
         click.echo(f"ironhinge: {error}", err=True)
@@ -69,7 +75,11 @@
 
 
 def all_rules_hold(report: dict[str, Any]) -> bool:
-    """Return whether a run shows what every run has to show, whatever its scenario."""
+    """Return whether a report meets the rules for every scenario.
+
+    Each request has exactly one final answer, and all bodies are right. Traffic stays within the budget, the
+    accounts match the carried bytes, and all directors exit with code 0.
+    """
     answered_once = report["requests"] == report["final_answers"] and not report["doubled_answers"]
     return (
         answered_once
@@ -81,5 +91,5 @@
 
 
 def format_table(report: dict[str, Any]) -> str:
-    """Return the report, one a line."""
+    """Return the report with one key per line."""
     return "\n".join(f"{name:22} {value}" for name, value in report.items())
--- a/ironhinge/lab/control_plane.py
+++ b/ironhinge/lab/control_plane.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's control plane: it tells directors of changes of the endpoint list."""
+"""A stand-in for the platform's control plane, which sends changes of the endpoint list to directors."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 
 from .stand_ins import StandIn
 
+# number, IPv4 address, port, state, zone, kind, cell, weight in thousandths, start time in Unix milliseconds
 ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
 LOOPBACK = bytes([127, 0, 0, 1])
-NODE_WEIGHT_MILLIS = 20_000  # of every node
+NODE_WEIGHT_MILLIS = 20_000  # the same for all nodes
 LIST_CHANGES_EVENT = 2
 HEARTBEAT_EVENT = 0
 HEARTBEAT_INTERVAL = 0.5  # seconds
-FIRST_EVENT_NUMBER = 2  # the configuration has number 1
+FIRST_EVENT_NUMBER = 2  # number 1 is the endpoint list in the directors' configuration
 
 
 class EndpointState(IntEnum):
-    """State of a node in the endpoint list."""
+    """State of a node in the endpoint list, as encoded in a record."""
 
     READY = 0
     DRAINING = 1
@@ -30,7 +31,7 @@
     """Publishes changes of the endpoint list as numbered events."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
-        """Create one that does not listen yet; zones and kinds are sent as indices of these names."""
+        """Create a control plane that does not listen yet; records hold indices into `zones` and `kinds`."""
         self.zones = zones
         self.kinds = kinds
         self.port = 0
@@ -49,7 +50,7 @@
             self._server.close()
 
     def publish(self, nodes: list[StandIn], state: EndpointState) -> None:
-        """Publish that these nodes are in `state` from now on."""
+        """Publish an event that changes the state of these nodes to `state`."""
         number = len(self._events) + FIRST_EVENT_NUMBER
         records = b"".join(self._record(node, state) for node in nodes)
         self._events.append(_encode_event(number, LIST_CHANGES_EVENT, records))
@@ -69,6 +70,7 @@
         )
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send a director all events after the last one that it has, then new ones and heartbeats."""
         try:
             known_number = int.from_bytes(await reader.readexactly(8), "big")
             while not writer.is_closing():
--- a/ironhinge/lab/copy_store.py
+++ b/ironhinge/lab/copy_store.py
@@ -1,24 +1,24 @@
-"""The copies that a stand-in cache keeps, by rank. No I/O."""
+"""The copies that a stand-in cache stores, by admission rank. No I/O."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from typing import NamedTuple
 
-RANK_COUNT = 4
+RANK_COUNT = 4  # admission ranks 0 to 3
 
-CopyKey = tuple[str, str]  # object and part
+CopyKey = tuple[str, str]  # object name and part number
 
 
 class StoredCopy(NamedTuple):
-    """A copy and when the origin issued it."""
+    """The body of a copy and the time at which the origin sent it."""
 
     body: bytes
     issued_ms: int  # Unix milliseconds
 
 
 class CopyStore:
-    """Copies by rank: the lowest rank is evicted first, and within it the least recently used."""
+    """A cache that evicts the lowest rank first, and within a rank the least recently used copy."""
 
     def __init__(self, capacity: int) -> None:
         """Create an empty store of `capacity` bytes."""
@@ -29,7 +29,7 @@
         ]
 
     def find(self, key: CopyKey) -> StoredCopy | None:
-        """Return a copy and mark it as used, or None."""
+        """Return a copy and mark it as the most recently used of its rank, or return None."""
         for copies in self.copies_by_rank:
             if key in copies:
                 copies.move_to_end(key)
@@ -37,7 +37,7 @@
         return None
 
     def put(self, key: CopyKey, copy: StoredCopy, rank: int) -> None:
-        """Store a copy in place of any older one, and evict what exceeds the capacity."""
+        """Store a copy, replacing any earlier one, and evict copies until the capacity is not exceeded."""
         for copies in self.copies_by_rank:
             replaced = copies.pop(key, None)
             if replaced is not None:
--- a/ironhinge/lab/director_process.py
+++ b/ironhinge/lab/director_process.py
@@ -1,4 +1,4 @@
-"""A director that the lab starts as a program of its own."""
+"""A director that the lab runs as a separate process."""
 
 from __future__ import annotations
 
@@ -16,14 +16,17 @@
 
 START_TIMEOUT = 15.0  # seconds
 START_POLL_INTERVAL = 0.03  # seconds
-STOP_TIMEOUT = 12.0  # seconds until a director that does not end is killed
+STOP_TIMEOUT = 12.0  # seconds after which a director that has not exited is killed
 LOG_EXCERPT_LENGTH = 600  # characters of the log in an error message
-KILLED_EXIT_CODE = -1  # exit code reported for a director that had to be killed
-USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12  # of /proc/PID/stat, after the program's name
+KILLED_EXIT_CODE = -1  # returned by `stop` instead of an exit code if the director had to be killed
+USER_TIME_FIELD, SYSTEM_TIME_FIELD = (
+    11,
+    12,
+)  # indices of fields of /proc/PID/stat, counted from the one after the program name
 
 
 class DirectorProcess:
-    """A director, restarted at the same address."""
+    """A director process that can be stopped and started again at the same address."""
 
     def __init__(
         self,
@@ -33,7 +36,7 @@
         operations: Path | None,
         ports: PortAllocator,
     ) -> None:
-        """Create a director that is not started; `folder` gets its configuration and its log."""
+        """Create a director that is not started yet; its configuration and log are written to `folder`."""
         self.folder = folder
         self.name = name
         self.config = config
@@ -45,15 +48,17 @@
         self._start_count = 0
 
     async def start(self) -> None:
-        """Start, and wait until it serves.
+        """Start the process and wait until it accepts connections.
 
         Raises:
-            DirectorStartError: It did not come up.
+            DirectorStartError: It exited or accepted no connections within `START_TIMEOUT`.
         """
         self._process = await self._spawn()
         if await self._wait_until_serving():
             return
-        raise DirectorStartError(f"{self.name} does not come up: {self.log()[-LOG_EXCERPT_LENGTH:]}")
+        raise DirectorStartError(
+            f"{self.name} did not become ready, end of its log: {self.log()[-LOG_EXCERPT_LENGTH:]}"
+        )
 
     async def _spawn(self) -> asyncio.subprocess.Process:
         config_path = self.folder / f"{self.name}.json"
@@ -72,7 +77,7 @@
     async def _wait_until_serving(self) -> bool:
         deadline = time.monotonic() + START_TIMEOUT
         while time.monotonic() < deadline and self._is_running():
-            # the director's own log line: whoever answers on that port may belong to another run
+            # The log is checked, not the port: the process that listens there may belong to another run.
             if self.log().count(f"listen=127.0.0.1:{self.port}") > self._start_count:
                 self._start_count += 1
                 return True
@@ -87,11 +92,11 @@
         return self.folder / f"{self.name}.log"
 
     def log(self) -> str:
-        """Return the log of all its processes so far."""
+        """Return the log of all starts so far."""
         return self._log_path.read_text()
 
     def measure(self) -> None:
-        """Update `cpu_seconds` and the peak `memory_kb` of the current process from /proc."""
+        """Update `cpu_seconds` and `memory_kb` (the peak) with the values of the current process in /proc."""
         process = self._process
         if process is None or process.returncode is not None:
             return
@@ -103,10 +108,13 @@
                 if line.startswith("VmHWM"):
                     self.memory_kb = int(line.split()[1])
         except (OSError, ValueError, IndexError):
-            pass  # the process has just exited, or there is no such /proc
+            pass  # the process has just exited, or the system has no such /proc
 
     async def stop(self, signal_number: signal.Signals = signal.SIGTERM) -> int:
-        """End the process and return its exit code, `KILLED_EXIT_CODE` if it had to be killed."""
+        """Send a signal and wait for the exit; return the exit code, or `KILLED_EXIT_CODE` after a kill.
+
+        The director is killed after `STOP_TIMEOUT`. Returns 0 if it was never started.
+        """
         process = self._process
         if process is None:
             return 0
--- a/ironhinge/lab/director_settings.py
+++ b/ironhinge/lab/director_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings that the lab gives its directors."""
+"""The deployment settings of the lab's directors, in the platform's format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def platform_settings(scenario: Scenario, directors: int, gossip: bool = False) -> dict[str, Any]:
-    """Return the settings document of a scenario under the platform's key names."""
+    """Return the deployment settings of a scenario under the platform's key names.
+
+    Times are microseconds, bandwidths are KB per second.
+    """
     return {
         "classes": [_request_class(CARD), _request_class(FILM)],
         "balancers": directors,
--- a/ironhinge/lab/disks.py
+++ b/ironhinge/lab/disks.py
@@ -1,6 +1,6 @@
-"""A disk in memory that fails on demand: power cuts at any call, lost writes, no space, flipped bits.
+"""An in-memory disk with injected faults: power cuts at any call, lost writes, no space, flipped bits.
 
-`MemoryDirectory` answers the calls of `disk.directory.StoreDirectory`.
+`MemoryDirectory` implements the interface of `disk.directory.StoreDirectory`.
 """
 
 from __future__ import annotations
@@ -13,8 +13,9 @@
 
 from ..disk.directory import PARTIAL_SUFFIX, StoreDirectory
 
-_SECTOR_SIZE = 512  # bytes that a power cut keeps or loses together
-_UNSYNCED_NAME_SURVIVES = 0.5  # probabilities at a power cut
+_SECTOR_SIZE = 512  # bytes; a power cut keeps or loses a sector as a whole
+# Probabilities that a change that was not synced survives a power cut.
+_UNSYNCED_NAME_SURVIVES = 0.5
 _UNSYNCED_TAIL_SURVIVES = 0.8
 _UNSYNCED_SECTOR_SURVIVES = 0.5
 _SEED_BITS = 30
@@ -23,51 +24,52 @@
 
 
 class PowerCutError(Exception):
-    """The machine is off; nothing of the program goes on."""
+    """A simulated power cut; the program must not continue."""
 
 
 class FaultPlan:
-    """Which calls fail, and how; all fields may be changed at any time."""
+    """Which calls to the disk fail, and how; the attributes may be changed at any time."""
 
     def __init__(self, seed: int = 0):
         self.random = Random(seed)
-        self.calls = 0  # that change something
+        self.calls = 0  # that change the disk
         self.power_cut_at_call: int | None = None
-        self.capacity: int | None = None  # bytes that the disk accepts
-        self.write_errno: int | None = None  # every write fails with it
-        self.sync_errno: int | None = None  # every sync fails with it
+        self.capacity: int | None = None  # of the disk in bytes; None: unlimited
+        self.write_errno: int | None = None  # every write fails with this error; None: writes succeed
+        self.sync_errno: int | None = None  # every sync fails with this error; None: syncs succeed
 
     def count_call(self) -> None:
-        """Counts a call.
+        """Counts a call that changes the disk.
 
         Raises:
-            PowerCutError: the power goes at this call.
+            PowerCutError: a power cut is planned at this call.
         """
         self.calls += 1
         if self.is_power_cut():
             raise PowerCutError
 
     def is_power_cut(self) -> bool:
-        """Returns whether the power goes at the call that was counted last."""
+        """Returns whether a power cut is planned at the last counted call or before it."""
         return self.power_cut_at_call is not None and self.calls >= self.power_cut_at_call
 
 
 @dataclass(slots=True)
 class MemoryFile:
-    """What a file holds, and what of it survives a power cut."""
+    """The contents of a file, and the part of them that survives a power cut."""
 
     data: bytearray = field(default_factory=bytearray)
     durable: bytes = b""
-    discarded_until: int = 0  # a failed sync dropped what was not durable up to here, and calls it written
+    # A failed sync discarded the bytes up to this offset that were not durable; later syncs don't write them.
+    discarded_until: int = 0
 
     @classmethod
     def with_durable_data(cls, data: bytes | bytearray) -> MemoryFile:
-        """Returns a file whose bytes are all durable."""
+        """Returns a file with this data, all of it durable."""
         return cls(bytearray(data), bytes(data))
 
 
 class MemoryDirectory(StoreDirectory):
-    """The files of one directory on a disk that fails as its plan says."""
+    """The files of one directory on a disk with planned faults."""
 
     def __init__(self, faults: FaultPlan):
         self.faults = faults
@@ -79,11 +81,14 @@
         self._next_descriptor = _FIRST_DESCRIPTOR
 
     def after_power_cut(self) -> MemoryDirectory:
-        """Returns what the next start finds: synced bytes, and any part of the others, in any order."""
+        """Returns the directory that the next start reads.
+
+        It has all synced bytes, and a random part of the other changes, whatever their order.
+        """
         random = self.faults.random
         recovered = MemoryDirectory(FaultPlan(random.getrandbits(_SEED_BITS)))
         names = dict(self.durable_names)
-        for name, file in self.files.items():  # a new name may have reached the disk, a removal may not
+        for name, file in self.files.items():  # new names and removals reach the disk or not, independently
             if random.random() < _UNSYNCED_NAME_SURVIVES:
                 names[name] = file
         for name in [name for name in names if name not in self.files]:
@@ -96,18 +101,18 @@
         return recovered
 
     def durable_copy(self) -> MemoryDirectory:
-        """Returns what the next start finds when nothing survives but what was synced."""
+        """Returns the directory that the next start reads if only synced data survives."""
         recovered = MemoryDirectory(FaultPlan())
         for name, file in self.durable_names.items():
             recovered.files[name] = recovered.durable_names[name] = MemoryFile.with_durable_data(file.durable)
         return recovered
 
     def flip_bit(self, name: str, offset: int) -> None:
-        """Flips one bit of a stored byte."""
+        """Flips a random bit of the byte at `offset`."""
         self._file(name).data[offset] ^= 1 << self.faults.random.randrange(_BITS_PER_BYTE)
 
     def lock(self) -> None:
-        """Does nothing: no other process can have this directory."""
+        """Does nothing: no other process can use a directory in memory."""
 
     def names(self) -> list[str]:
         """Returns the names of all files, sorted."""
@@ -117,23 +122,25 @@
         """Creates a file and returns its descriptor.
 
         Raises:
-            FileExistsError: there is such a file.
-            PowerCutError: the power goes at this call.
+            FileExistsError: a file of this name exists.
+            PowerCutError: a power cut is planned at this call.
         """
         self.faults.count_call()
         if name in self.files:
-            raise FileExistsError(errno.EEXIST, "the file exists already", name)
+            raise FileExistsError(errno.EEXIST, "the file already exists", name)
         self.files[name] = MemoryFile()
         self._next_descriptor += 1
         self._descriptors[self._next_descriptor] = self.files[name]
         return self._next_descriptor
 
     def write(self, descriptor: int, pieces: Sequence[bytes], offset: int) -> None:
-        """Writes all pieces at an offset, or a part of them where the plan says so.
+        """Writes the pieces at an offset.
+
+        A power cut or a lack of space leaves only the first part of them written.
 
         Raises:
-            OSError: the planned error, or `ENOSPC` beyond the capacity.
-            PowerCutError: the power goes at this call.
+            OSError: the planned error, or `ENOSPC` if the capacity is exceeded.
+            PowerCutError: a power cut is planned at this call.
         """
         faults, file = self.faults, self._descriptors[descriptor]
         data = b"".join(pieces)
@@ -153,14 +160,14 @@
             raise OSError(errno.ENOSPC, f"no space left for {size} bytes at {offset}")
 
     def sync(self, descriptor: int) -> None:
-        """Makes a file durable.
+        """Makes the contents of a file durable.
 
-        A failed one discards what it could not write, as Linux does: a later one that succeeds brings only
-        what was written after it.
+        A failed sync discards the bytes that it could not write, as Linux does: a later successful sync makes
+        only the bytes durable that were written after the failed one.
 
         Raises:
             OSError: the planned error.
-            PowerCutError: the power goes at this call.
+            PowerCutError: a power cut is planned at this call.
         """
         self.faults.count_call()
         file = self._descriptors[descriptor]
@@ -171,7 +178,7 @@
         file.durable = file.durable + discarded + bytes(file.data[len(file.durable) + len(discarded) :])
 
     def sync_file(self, name: str) -> None:
-        """Makes a file durable."""
+        """Makes the contents of a file durable."""
         self.faults.count_call()
         file = self._file(name)
         file.durable = bytes(file.data)
@@ -190,7 +197,7 @@
         return len(self._file(name).data)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file to that many bytes."""
+        """Truncates a file to `size` bytes."""
         self.faults.count_call()
         del self._file(name).data[size:]
 
@@ -201,13 +208,13 @@
         del self.files[name]
 
     def rename(self, name: str, new_name: str) -> None:
-        """Renames a file over any that has the new name."""
+        """Renames a file, replacing any file with the new name."""
         self.faults.count_call()
         self.files[new_name] = self._file(name)
         del self.files[name]
 
     def replace(self, name: str, pieces: Iterable[bytes]) -> int:
-        """Writes a whole file in one step; returns its size in bytes."""
+        """Replaces the contents of a file, or creates it, atomically; returns its size in bytes."""
         partial_name = name + PARTIAL_SUFFIX
         self.files.pop(partial_name, None)
         descriptor = self.create(partial_name)
@@ -224,7 +231,7 @@
         return bytes(self._file(name).data)
 
     def read_at(self, name: str, offset: int, *sizes: int) -> list[bytes]:
-        """Returns pieces of these sizes, one behind the other; shorter ones where the file ends."""
+        """Returns consecutive pieces of these sizes from `offset`, cut short at the end of the file."""
         data = self._file(name).data
         pieces = []
         for size in sizes:
@@ -242,7 +249,10 @@
         return self.files[name]
 
     def _surviving_bytes(self, file: MemoryFile) -> bytearray:
-        """Returns what a power cut leaves of a file: each sector old or new, and any part of the tail."""
+        """Returns a file's contents after a power cut.
+
+        A part of the tail that was not synced may remain, and each sector is either old or new.
+        """
         random = self.faults.random
         data = bytearray(file.durable)
         if len(file.data) > len(data) and random.random() < _UNSYNCED_TAIL_SURVIVES:
--- a/ironhinge/lab/errors.py
+++ b/ironhinge/lab/errors.py
@@ -1,10 +1,10 @@
-"""Exceptions that the laboratory raises. It must never define errors of the director itself."""
+"""Exceptions of the lab. Errors of the director itself do not belong here."""
 
 from __future__ import annotations
 
 
 class LabError(Exception):
-    """Base of all errors that the laboratory raises."""
+    """Base class of all errors of the lab."""
 
 
 class DirectorStartError(LabError, RuntimeError):
@@ -12,12 +12,12 @@
 
 
 class PortsExhaustedError(LabError, RuntimeError):
-    """The system has no port left for a run."""
+    """The system has no free port for a run."""
 
 
 class MalformedCommandError(LabError, ValueError):
-    """The bytes that a director sent to a cache node are not a command of the protocol."""
+    """The bytes that a director sent to a cache node are not a valid command."""
 
 
 class FillError(LabError, LookupError):
-    """A stand-in has no copy and could not fill one; the argument is the `res` note of its answer."""
+    """A stand-in has no copy and could not fill it; the argument is the `CacheStatusCode` of its answer."""
--- a/ironhinge/lab/load_generator.py
+++ b/ironhinge/lab/load_generator.py
@@ -1,7 +1,8 @@
-"""Clients that send a scenario's requests, and statistics of the answers that they get.
+"""Clients that send a scenario's requests, and statistics of the answers that they receive.
 
-A client sends a request, waits, backs off for as long as it is told, retries, or cancels. Every answer is
-counted, so that a duplicate or missing one is seen. It must never know how a director works.
+A client sends a request and waits for the answer, or cancels. If the request is rejected, it retries after
+the delay given in the answer. Every answer is counted, so that duplicate and missing answers are detected.
+This module must not depend on how a director works.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 from .scenarios import FILM, SOCKET_BYTES_PER_KB, ScenarioRequest
 
 CLIENT_TIMEOUT = 3.0  # seconds that a client waits for a complete answer
-ANSWER_GRACE = 1.0  # seconds after which an overdue answer is counted as missing
+ANSWER_GRACE = 1.0  # seconds past `CLIENT_TIMEOUT` after which an answer is counted as missing
 CARD_ATTEMPTS = 3
-PART_ATTEMPTS = 12  # for each part of a stream but the first, which is tried once
+PART_ATTEMPTS = 12  # per part of a stream; the first part is sent only once
 DEFAULT_PART_INTERVAL = 0.5  # seconds
 IDLE_TIMEOUT = 3.0  # seconds after which a client closes an unused connection
-MAX_IDLE_CONNECTIONS = 64  # to one director
-CLOSE_RACE_WINDOW = 0.05  # seconds: a connection closed so soon has not read the request
-DEFAULT_BACKOFF = 0.1  # seconds, if the answer has no pause
-CONNECT_ROUNDS = 4  # through all directors
-PURGE_GROUP_COUNT = 256
+MAX_IDLE_CONNECTIONS = 64  # per director
+CLOSE_RACE_WINDOW = 0.05  # seconds; a director that closes the connection within it has not read the request
+DEFAULT_BACKOFF = 0.1  # seconds; used if the answer gives no retry delay
+CONNECT_ROUNDS = 4  # attempts to connect to each of the directors
+PURGE_GROUP_COUNT = 256  # objects are assigned to purge groups by their id modulo this number
 TRACE_ID_BITS = 64
-TRACE_SEED_MASK = 0x5EED  # keeps traces apart from the draws of the requests
+TRACE_SEED_MASK = 0x5EED  # gives trace ids another random sequence than the requests
 
 
 class FrameType(IntEnum):
-    """Types of client frames that are used here."""
+    """The types of client frames that the lab uses."""
 
     NO_MORE_REQUESTS = 3
     REQUEST = 7
@@ -43,21 +44,21 @@
 
 
 class RequestResult(StrEnum):
-    """How a request ended, as its client saw it."""
+    """How a request ended for its client."""
 
     DONE = "done"
     REJECTED = "denied"
     FAILED = "aborted"
     CANCELLED = "left"
     UNANSWERED = "unanswered"
-    CLOSED_BEFORE_READ = "crossed"  # the connection was closed before it could be read
+    CLOSED_BEFORE_READ = "crossed"  # the connection was closed before the request was read
 
 
 ANSWER_CODES = {1: RequestResult.DONE, 2: RequestResult.REJECTED, 3: RequestResult.FAILED}
 
 
 class Answer(NamedTuple):
-    """An answer frame."""
+    """The decoded payload of an answer frame."""
 
     result: RequestResult
     fields: dict[str, str]
@@ -65,35 +66,35 @@
 
 
 class RequestOutcome(NamedTuple):
-    """How a request ended, and the fields of its answer."""
+    """The result of a request and the fields of its answer; without an answer they are empty."""
 
     result: RequestResult
     fields: dict[str, str]
 
     @property
     def retry_after(self) -> float:
-        """Seconds to wait before a retry; 0 if the answer names no pause."""
+        """Seconds to wait before a retry; 0 if the answer gives no delay."""
         return int(self.fields.get("pause", 0)) / 1000
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One request as a client sends it."""
+    """The contents of one request, and when its client cancels it."""
 
     route: str
     object_id: int
     part: int
     body_bytes: int
     is_retry: bool
-    cancel_after: float  # seconds; 0 if the client waits
+    cancel_after: float  # seconds; 0 if the client does not cancel
 
     @property
     def object_name(self) -> str:
-        """The object as the protocol names it."""
+        """The object's name in the protocol: its id in hexadecimal."""
         return f"{self.object_id:016x}"
 
     def fields(self, trace_id: str) -> dict[str, str]:
-        """Return the fields of its frame."""
+        """Return the fields of the request frame."""
         fields = {
             "route": self.route,
             "trace": trace_id,
@@ -110,43 +111,43 @@
 
 @dataclass(slots=True)
 class LoadStatistics:
-    """What all clients of a run saw."""
+    """Counters and latencies of all clients of a run."""
 
-    sent: int = 0
+    sent: int = 0  # requests, without those counted in `closed_before_read`
     answers: int = 0
-    duplicate_answers: int = 0
-    corrupt_answers: int = 0
+    duplicate_answers: int = 0  # on a stream that awaits no answer
+    corrupt_answers: int = 0  # with a wrong body
     closed_before_read: int = 0
     unanswered: int = 0
     cancelled: int = 0
-    unconnected: int = 0
+    unconnected: int = 0  # requests that ended because no director accepted a connection
     results: Counter[RequestResult] = field(default_factory=Counter)  # of answered requests
-    latencies: list[float] = field(default_factory=list)  # seconds, of requests that were served
+    latencies: list[float] = field(default_factory=list)  # seconds, of requests with the result DONE
     streams: int = 0
-    streams_started: int = 0
-    streams_completed: int = 0
-    streams_broken: int = 0
-    streams_rejected: int = 0
+    streams_started: int = 0  # with the first part served
+    streams_completed: int = 0  # with all parts served
+    streams_broken: int = 0  # ended at a later part
+    streams_rejected: int = 0  # ended at the first part
 
 
 class ClientConnection:
-    """A client's connection to a director, on which answers come by stream."""
+    """A client's connection to a director; an answer has the stream number of its request."""
 
     def __init__(self, statistics: LoadStatistics) -> None:
         """Create a connection that is not open yet."""
         self.statistics = statistics
-        self.closing = False  # takes no new request: the director said so, or the connection has ended
+        self.closing = False  # accepts no new request: the director asked for it, or the connection is closed
         self._last_stream = 0
         self._pending_answers: dict[int, asyncio.Future[Answer]] = {}
-        self._abandoned: set[int] = set()  # streams whose answer may still arrive
+        self._abandoned: set[int] = set()  # streams without a waiting client, whose answer may still arrive
         self._writer: asyncio.StreamWriter
         self._reader_task: asyncio.Task[None]
 
     async def open(self, port: int) -> None:
-        """Connect.
+        """Connect to a director.
 
         Raises:
-            OSError: Nobody listens on the port.
+            OSError: The connection could not be established.
         """
         reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
         self._reader_task = asyncio.ensure_future(self._read(reader))
@@ -183,7 +184,7 @@
         future = self._pending_answers.pop(stream, None)
         if future is None:
             if stream in self._abandoned:
-                self._abandoned.discard(stream)  # the answer crossed the cancellation
+                self._abandoned.discard(stream)  # sent before the director read the cancellation
             else:
                 self.statistics.duplicate_answers += 1
         elif not future.done():
@@ -191,7 +192,7 @@
             future.set_result(Answer(result, fields, data[6 + end :]))
 
     async def send(self, request: ClientRequest, trace_id: str) -> RequestOutcome:
-        """Send one request and wait until it is answered, cancelled, overdue or lost."""
+        """Send one request and wait for its answer, cancellation, timeout or the end of the connection."""
         loop = asyncio.get_running_loop()
         self._last_stream += 1
         stream = self._last_stream
@@ -221,7 +222,7 @@
 
     def _record_connection_loss(self, elapsed: float) -> RequestOutcome:
         if elapsed <= CLOSE_RACE_WINDOW:
-            self.statistics.sent -= 1  # the caller sends it again, once
+            self.statistics.sent -= 1  # the caller sends the request again, once
             self.statistics.closed_before_read += 1
             return RequestOutcome(RequestResult.CLOSED_BEFORE_READ, {})
         self.statistics.unanswered += 1
@@ -242,15 +243,15 @@
     """All clients of a run."""
 
     def __init__(self, ports: list[int], seed: int) -> None:
-        """Create clients of the directors at these ports; `seed` makes the traces."""
+        """Create clients of the directors at these ports; `seed` determines the trace ids."""
         self.ports = ports
         self.statistics = LoadStatistics()
         self._rng = Random(seed ^ TRACE_SEED_MASK)
-        # by director, with the time since when each has been idle
+        # by director; each connection with the time at which it became idle
         self._idle: dict[int, list[tuple[float, ClientConnection]]] = {}
 
     async def send(self, request: ScenarioRequest) -> None:
-        """Send a request, or the requests of a stream, with the retries that a client makes.
+        """Send a request or all requests of a stream, and retry those that are rejected.
 
         Raises:
             OSError: No director could be reached.
@@ -264,7 +265,7 @@
         return f"{self._rng.getrandbits(TRACE_ID_BITS):016x}"
 
     async def _connect(self, client_number: int) -> ClientConnection:
-        """Open a connection to the client's director, or to the next one while that is down."""
+        """Connect to the client's director or, if it refuses the connection, to the next one that accepts."""
         count = len(self.ports)
         for attempt in range(CONNECT_ROUNDS * count):
             connection = ClientConnection(self.statistics)
@@ -309,7 +310,7 @@
             await connection.close()
 
     async def _send_stream(self, request: ScenarioRequest) -> None:
-        """Request the parts of a stream in turn; without its first part a client gives up."""
+        """Request the parts of a stream in order; the stream ends at the first part that is not served."""
         connection = await self._connect(request.client_number)
         self.statistics.streams += 1
         loop = asyncio.get_running_loop()
@@ -332,7 +333,7 @@
     async def _send_part(
         self, request: ScenarioRequest, part: int, connection: ClientConnection
     ) -> tuple[RequestResult, ClientConnection]:
-        """Send one part until it is no longer rejected; return also the connection to go on with."""
+        """Request a part, retrying while it is rejected; return its result and the connection to use next."""
         for attempt in range(PART_ATTEMPTS if part else 1):
             part_request = ClientRequest(
                 request.route, request.object_id, part, request.body_bytes, attempt > 0, 0.0
@@ -347,7 +348,7 @@
         return outcome.result, connection
 
     def _record_part(self, part: int, result: RequestResult) -> bool:
-        """Count the end of a part; return whether the stream goes on."""
+        """Update the statistics with the result of a part; return whether the stream continues."""
         if result is not RequestResult.DONE:
             if part:
                 self.statistics.streams_broken += 1
--- a/ironhinge/lab/node_protocol.py
+++ b/ironhinge/lab/node_protocol.py
@@ -1,6 +1,6 @@
-"""Commands and answers between a director and the nodes, as the stand-ins read and write them.
+"""Encoding and decoding of commands and answers on the stand-ins' side of the upstream protocol.
 
-The soak has a second, stricter reader of the same protocol in `soak/wire.py`.
+The soak has its own, stricter implementation in `soak/wire.py`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class CacheStatusCode(StrEnum):
-    """The `res` field of an answer: where a copy came from, or who failed to provide one."""
+    """Values of the `res` field of an answer: where its copy came from, or why there is none."""
 
     HIT = "h"
     JOINED_FILL = "j"
@@ -21,18 +21,18 @@
 
 
 def make_body(object_name: str, part: str, size: int) -> bytes:
-    """Return the `size` bytes of a part; they name it, so that a wrong body is recognized."""
+    """Return a body of `size` bytes that repeats the part's name, so that a wrong body is detected."""
     text = f"{object_name}/{part} ".encode()
     return (text * (size // len(text) + 1))[:size]
 
 
 def bulk_string(item: bytes) -> bytes:
-    """Encode one item with its length."""
+    """Encode one item of an array."""
     return b"$%d\r\n%b\r\n" % (len(item), item)
 
 
 def encode_array(*items: bytes) -> bytes:
-    """Encode a command or an answer."""
+    """Encode a command or an answer from its items."""
     return b"*%d\r\n" % len(items) + b"".join(bulk_string(item) for item in items)
 
 
@@ -40,7 +40,7 @@
     """Read the items of one command or answer.
 
     Raises:
-        EOFError: The connection ended before or within it.
+        EOFError: The connection was closed before the array was complete.
         OSError: The connection failed.
         ValueError: A length is not a number.
     """
@@ -52,7 +52,7 @@
 
 
 def parse_fields(text: bytes) -> dict[str, str]:
-    """Return the fields of a `name=value,...` item.
+    """Return the fields of an item of the form `name=value,...`.
 
     Raises:
         ValueError: An entry has no `=`, or the text is not UTF-8.
--- a/ironhinge/lab/ports.py
+++ b/ironhinge/lab/ports.py
@@ -1,7 +1,7 @@
-"""TCP ports of loopback for the programs and stand-ins of one run, chosen by the system.
+"""Loopback ports for the processes and stand-ins of one run, chosen by the system.
 
-A port on which nobody listens for a while must not be given to another run or to an outgoing connection. So
-each port stays bound by a socket that never listens; who binds the port with SO_REUSEADDR can listen there.
+While a server is down, its port must not be given to another run or to an outgoing connection. So each TCP
+port stays bound to a socket that never listens; a server that sets SO_REUSEADDR can still listen on the port.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 
 class PortAllocator:
-    """Reserves ports until it is closed."""
+    """Reserves TCP ports until it is closed."""
 
     def __init__(self) -> None:
-        """Create an allocator that has reserved nothing yet."""
+        """Create an allocator without reserved ports."""
         self._reserved_sockets: list[socket.socket] = []
 
     def allocate(self) -> int:
-        """Return a port that nobody else gets until this allocator is closed.
+        """Return a port that the system gives to no other socket until this allocator is closed.
 
         Raises:
-            PortsExhaustedError: The system has no port left.
+            PortsExhaustedError: The system has no free port.
         """
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -30,7 +30,7 @@
             sock.bind(("127.0.0.1", 0))
         except OSError as error:
             sock.close()
-            raise PortsExhaustedError(f"the system has no port left: {error.strerror}") from error
+            raise PortsExhaustedError(f"the system has no free port: {error.strerror}") from error
         self._reserved_sockets.append(sock)
         port: int = sock.getsockname()[1]
         return port
@@ -43,7 +43,7 @@
 
 
 def free_datagram_ports(count: int) -> list[int]:
-    """Return UDP ports that nobody has now; they are not reserved."""
+    """Return UDP ports that are free now; they are not reserved."""
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     try:
         for sock in socks:
--- a/ironhinge/lab/report.py
+++ b/ironhinge/lab/report.py
@@ -1,4 +1,7 @@
-"""The figures of a run beside what the directors' traffic accounts report. Key names are a public format."""
+"""The report of a run: measurements of the lab and, for comparison, the directors' traffic accounts.
+
+The keys are a public format.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +18,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RunMeasurements:
-    """What a run has measured."""
+    """The measurements of a run."""
 
     scenario: Scenario
     seed: int
     directors: int
     elapsed: float  # seconds
-    cpu_seconds: float  # of all directors while the load was played
-    memory_kb: int  # the largest peak of a director
+    cpu_seconds: float  # of all directors while the load ran
+    memory_kb: int  # the largest peak of any director
     exit_codes: list[int]
     statistics: LoadStatistics
     network: StandInNetwork
     since_restart: dict[str, int] | None  # traffic since the first restart, if there was one
-    account_folder: Path | None  # of the directors' snapshots; None without accounts
+    account_folder: Path | None  # with the directors' snapshots; None: the run had no accounts
 
 
 def build_report(run: RunMeasurements) -> dict[str, Any]:
-    """Return the figures of a run."""
+    """Return the report of a run as a dictionary."""
     route_bytes = _bytes_by_route(run.network)
     report = _request_figures(run)
     report |= {
@@ -52,7 +55,7 @@
 
 
 def traffic_totals(network: StandInNetwork) -> dict[str, int]:
-    """Return the bytes that the origin sent, those that entered the branch, and the caches' requests."""
+    """Return the bytes sent by the origin, the bytes that entered the branch, and the requests to caches."""
     nodes = network.nodes.values()
     return {
         "origin": network.origin.bytes_sent,
@@ -107,7 +110,7 @@
 
 
 def _account_figures(run: RunMeasurements, folder: Path, route_bytes: dict[str, int]) -> dict[str, Any]:
-    # imported here: the traffic package needs libraries that a run without accounts does not
+    # Imported here, as the traffic package needs libraries that a run without accounts does not need.
     from ..traffic.report import collect
     from ..traffic.snapshot_files import read_folder
 
@@ -116,7 +119,7 @@
     reported, scenario = account.total(), run.scenario
     crossed = sum(route_bytes[route] for route in scenario.budget_routes)
     budget = int(scenario.budget_burst + scenario.budget_rate * run.elapsed)
-    # each director may let one transfer more begin than its budget covers
+    # Each director may start one transfer more than the budget covers.
     slack = max(run.network.body_sizes.values(), default=0) * run.directors
     return {
         "reported_bytes": reported,
--- a/ironhinge/lab/run.py
+++ b/ironhinge/lab/run.py
@@ -1,6 +1,6 @@
-"""One run: stand-ins and directors are started, load and faults played, all of it stopped, figures returned.
+"""One run of a scenario: start stand-ins and directors, apply load and faults, stop everything, report.
 
-However a run ends, none of its processes and folders remains.
+No process or temporary folder of a run remains, however it ends.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 from .scenarios import Fault, FaultAction, Scenario, ScenarioRequest, generate_requests
 from .stand_ins import NodeKind, StandIn, StandInNetwork, StandInSpec
 
-HUB_CACHE_FACTOR = 8  # a hub caches so many times what a cache does
+HUB_CACHE_FACTOR = 8  # capacity of a hub's cache as a multiple of a branch cache's
 NODE_WEIGHT = 20
-DISCOVERY_DELAY = 0.3  # seconds until the control plane knows that a node was killed
-PROGRESS_INTERVAL = 200  # requests between two progress messages
-SCENARIO_WITHOUT_ACCOUNTS = "off"  # the scenario that is played without accounts
+DISCOVERY_DELAY = 0.3  # seconds after the kill of a node until the control plane publishes its removal
+PROGRESS_INTERVAL = 200  # requests started between two progress messages
+SCENARIO_WITHOUT_ACCOUNTS = "off"  # the scenario whose directors keep no traffic accounts
 
 Progress = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """How a scenario is played."""
+    """The options of a run."""
 
     seed: int
     seconds: float
     directors: int
     account: bool = True  # directors keep traffic accounts
-    share: bool = False  # directors may hand budget to one another
-    wipe: bool = False  # a restarted director begins with an empty disk
+    share: bool = False  # directors may transfer budget to each other
+    wipe: bool = False  # the disk tier of a restarted director is emptied
 
 
 class Run:
     """The processes, sockets and files of one run."""
 
     def __init__(self, scenario: Scenario, options: RunOptions, progress: Progress) -> None:
-        """Create a run; nothing is started yet, but its temporary folder exists."""
+        """Create a run that is not started yet, and its temporary folder."""
         self.scenario, self.options, self.progress = scenario, options, progress
         self.account = options.account and scenario.name != SCENARIO_WITHOUT_ACCOUNTS
         self.folder = Path(tempfile.mkdtemp(prefix="ironhinge-lab-"))
@@ -63,10 +63,10 @@
         self._totals_at_restart: dict[str, int] | None = None
 
     async def execute(self) -> dict[str, Any]:
-        """Play the run and return its figures.
+        """Execute the run and return its report.
 
         Raises:
-            DirectorStartError: A director did not come up.
+            DirectorStartError: A director did not become ready.
             OSError: A socket or file could not be used.
         """
         try:
@@ -87,7 +87,7 @@
             config = self._director_config(index, gossip_ports)
             operations = self._write_operations(name)
             self.directors.append(DirectorProcess(self.folder, name, config, operations, self.ports))
-        self.progress(f"{len(self.network.nodes)} stand-ins up, starting {count} directors")
+        self.progress(f"{len(self.network.nodes)} stand-ins listening, starting {count} directors")
         await asyncio.gather(*(director.start() for director in self.directors))
 
     async def _start_stand_ins(self) -> None:
@@ -139,7 +139,7 @@
         }
 
     def _write_operations(self, name: str) -> Path | None:
-        """Write a director's operations file; None without an account."""
+        """Write a director's operations file and return its path, or None in a run without accounts."""
         if not self.account:
             return None
         path = self.folder / f"{name}.cue"
@@ -173,6 +173,7 @@
     # Load and faults
 
     async def _run_load(self) -> dict[str, Any]:
+        """Send all requests and apply the faults, stop the directors, and return the report."""
         started_at = time.monotonic()
         self.load = LoadGenerator([director.port for director in self.directors], self.options.seed)
         requests = generate_requests(self.scenario, self.options.seed, self.options.seconds)
@@ -193,7 +194,7 @@
     async def _send_requests(
         self, requests: list[ScenarioRequest], started_at: float
     ) -> list[asyncio.Task[None]]:
-        """Start to send each request at its time; return the tasks."""
+        """Start to send each request at its `send_at`; return the tasks, which may still be running."""
         send_tasks: list[asyncio.Task[None]] = []
         for request in requests:
             delay = started_at + request.send_at - time.monotonic()
@@ -214,7 +215,7 @@
             self.load.statistics.unconnected += 1
 
     def _total_cpu(self) -> float:
-        """Measure all directors and return their CPU seconds."""
+        """Update the measurements of all directors and return the sum of their CPU seconds."""
         for director in self.directors:
             director.measure()
         return sum(director.cpu_seconds for director in self.directors)
@@ -265,9 +266,9 @@
         self.control_plane.publish([node], EndpointState.REMOVED)
 
     async def _restart_director(self, index: int) -> None:
-        """Restart gracefully: SIGTERM, all admitted requests are answered, and up at the same address."""
+        """Restart a director at the same address; SIGTERM lets it first answer all admitted requests."""
         director = self.directors[index % self.options.directors]
-        suffix = ", its disk empty" if self.options.wipe else ""
+        suffix = " with an empty disk" if self.options.wipe else ""
         self.progress(f"restart {director.name}{suffix}")
         await director.stop()
         if self.options.wipe:
@@ -280,10 +281,10 @@
 def run_scenario(
     scenario: Scenario, options: RunOptions, progress: Progress = lambda text: None
 ) -> dict[str, Any]:
-    """Play a scenario from start to end and return its figures; an interrupt ends it as cleanly.
+    """Run a scenario and return its report; after an interrupt too, all processes and files are removed.
 
     Raises:
-        DirectorStartError: A director did not come up.
+        DirectorStartError: A director did not become ready.
         OSError: A socket or file could not be used.
     """
     return asyncio.run(Run(scenario, options, progress).execute())
--- a/ironhinge/lab/stand_ins.py
+++ b/ironhinge/lab/stand_ins.py
@@ -1,8 +1,9 @@
 """Stand-ins for cache nodes, hub caches and the origin on loopback sockets.
 
-They keep copies by rank, fill from one another, and count the bytes of every body that they send. A fill is
-sent in pieces, paced by the source's transfer rate and the branch's shared ingress link, and cancelled as
-soon as nobody waits for it. They must never decide anything for a director.
+They store copies by admission rank, fill from each other, and count the body bytes that hubs and the origin
+send. The body of a fill is sent in pieces, limited by the source's transfer rate and the shared ingress link
+of the branch zone. A fill is cancelled when no request waits for it any more. Stand-ins must not make routing
+decisions for a director.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 from .errors import FillError
 from .node_protocol import CacheStatusCode, bulk_string, encode_array, make_body, parse_fields, read_array
 
-PIECE_BYTES = 500  # written at a time: what a cancelled fill had in flight is accounted to that
-MIN_SLEEP = 0.001  # seconds: shorter waits of the link are skipped
+PIECE_BYTES = 500  # size of one write; the bytes sent for a cancelled fill are counted to this accuracy
+MIN_SLEEP = 0.001  # seconds; shorter delays of the link are skipped
 ORIGIN_LATENCY = 0.01  # seconds
-DEFAULT_BODY_BYTES = 1000  # of an object that the scenario does not name
-PARENT_RANK = 1  # at which parents store copies
+DEFAULT_BODY_BYTES = 1000  # of an object whose size the scenario does not set
+PARENT_RANK = 1  # admission rank with which parents store copies
 
 Address = tuple[str, int]
 IdleConnection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class NodeKind(StrEnum):
-    """What a node is, under the platform's names."""
+    """The kind of a node, under the platform's name."""
 
     CACHE = "std"
     PARENT = "parent"
@@ -47,26 +48,26 @@
     kind: NodeKind
     zone: str
     cache_bytes: int
-    transfer_rate: float  # bytes a second of one transfer
+    transfer_rate: float  # bytes per second of one transfer
 
 
 class FillResult(NamedTuple):
-    """A copy and where it came from."""
+    """A copy and the cache status of the answer with it."""
 
     copy: StoredCopy
     cache_status: CacheStatusCode
 
 
 class BandwidthLimiter:
-    """A link that carries a fixed number of bytes a second, first come, first served."""
+    """A link with a fixed number of bytes per second; senders are served in order of arrival."""
 
     def __init__(self, rate: float) -> None:
-        """Create an idle link of `rate` bytes a second."""
+        """Create an idle link of `rate` bytes per second."""
         self.rate = rate
-        self.free_at = 0.0
+        self.free_at = 0.0  # monotonic time until which the link is occupied
 
     async def transmit(self, count: int) -> None:
-        """Wait until the link has carried `count` more bytes."""
+        """Wait until the link has transmitted all earlier bytes and these `count` bytes."""
         now = time.monotonic()
         self.free_at = max(now, self.free_at) + count / self.rate
         if self.free_at - now > MIN_SLEEP:
@@ -74,7 +75,7 @@
 
 
 class StandIn:
-    """A node that serves copies and fills the ones that it misses."""
+    """A cache, hub or origin node that serves copies and fills missing ones from its source."""
 
     def __init__(self, network: StandInNetwork, spec: StandInSpec) -> None:
         """Create a node that does not listen yet."""
@@ -83,9 +84,9 @@
         self.transfer_rate = spec.transfer_rate
         self.store = CopyStore(spec.cache_bytes)
         self.port = 0
-        self.started_ms = 0  # Unix milliseconds; 0 for a node that has not restarted
-        self.stalled = False  # reads commands and answers none
-        # counters, over all incarnations
+        self.started_ms = 0  # Unix milliseconds; 0: the node has not been restarted
+        self.stalled = False  # commands are read but not answered
+        # Counters; a restart does not reset them.
         self.bytes_to_branch = 0
         self.bytes_sent = 0
         self.request_count = 0
@@ -102,13 +103,13 @@
     # Start and stop
 
     async def start(self) -> None:
-        """Listen, at the same port as before if there was one."""
+        """Start to listen; after a kill at the same port as before."""
         self._release_port()
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def kill(self) -> None:
-        """End as a killed process does: connections are reset and copies are lost."""
+        """Stop like a killed process: reset all connections and lose all copies."""
         if self._server is None:
             return
         self._server.close()
@@ -125,7 +126,7 @@
         self._reserve_port()
 
     async def close(self) -> None:
-        """End for good."""
+        """Stop the node and release its port."""
         await self.kill()
         self._release_port()
 
@@ -137,7 +138,7 @@
         self._idle_connections.clear()
 
     def _reserve_port(self) -> None:
-        """Keep the port from other programs while connections to it are refused."""
+        """Keep other programs from taking the port while connections to it are refused."""
         self._reserved_socket = socket.socket()
         self._reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._reserved_socket.bind(("127.0.0.1", self.port))
@@ -180,14 +181,14 @@
         body_lock: asyncio.Lock,
     ) -> None:
         match items[0]:
-            case b"want":
+            case b"want":  # a request
                 request_id = items[1]
                 task = self._spawn(self._answer(items, writer, body_lock))
                 open_requests[request_id] = task
                 task.add_done_callback(partial(_remove_if_current, open_requests, request_id))
-            case b"never_mind" if items[1] in open_requests:
+            case b"never_mind" if items[1] in open_requests:  # a cancellation
                 open_requests[items[1]].cancel()
-            case b"there" | b"busy":
+            case b"there" | b"busy":  # health checks
                 writer.write(encode_array(items[1], b"READY", b"-"))
 
     async def _answer(
@@ -212,11 +213,11 @@
         if self.kind == NodeKind.CACHE:
             _write_if_open(writer, head + bulk_string(body))
             return
-        async with body_lock:  # bodies must not interleave: one that is cut off ends its connection
+        async with body_lock:  # bodies must not interleave; a body cut short ends the connection
             await self._send_body(writer, head, body)
 
     async def _send_body(self, writer: asyncio.StreamWriter, head: bytes, body: bytes) -> None:
-        """Send a body in pieces, at this node's transfer rate and through the branch's ingress link."""
+        """Send a body in pieces at this node's transfer rate; to the branch also through the ingress link."""
         writer.write(head + b"$%d\r\n" % len(body))
         to_branch = writer.get_extra_info("peername") not in self.network.hub_addresses
         for start in range(0, len(body), PIECE_BYTES):
@@ -235,7 +236,12 @@
     # Copies and fills
 
     async def _find_or_fill(self, key: CopyKey, fields: dict[str, str]) -> FillResult:
-        """Return a copy that is fresh enough, from the store or by a fill that others may join."""
+        """Return a copy not older than the field `accept` allows, stored or from a new or joined fill.
+
+        Raises:
+            FillError: There is no such copy and it could not be filled.
+            EOFError, OSError: The connection to the source failed.
+        """
         if self.kind == NodeKind.ORIGIN:
             await asyncio.sleep(ORIGIN_LATENCY)
             size = self.network.body_sizes.get(key[0], DEFAULT_BODY_BYTES)
@@ -254,7 +260,7 @@
         return FillResult(result.copy, CacheStatusCode.JOINED_FILL) if joined else result
 
     async def _wait_for_fill(self, key: CopyKey) -> FillResult:
-        """Wait for the current fill of a copy; the last one to stop waiting cancels it."""
+        """Wait for the current fill of a copy; the fill is cancelled when its last waiter stops waiting."""
         fill = self._fills[key]
         self._waiter_counts[key] = self._waiter_counts.get(key, 0) + 1
         try:
@@ -296,7 +302,7 @@
         )
 
     async def _fetch(self, port: int, command: str) -> list[bytes]:
-        """Send one fill command on a connection of its own; cancelling it aborts the connection."""
+        """Send a fill command on an unused connection and return the answer; a cancel aborts the connection."""
         connections = self._idle_connections.setdefault(port, [])
         while connections and connections[-1][1].is_closing():
             self.network.hub_addresses.discard(connections.pop()[1].get_extra_info("sockname"))
@@ -310,7 +316,7 @@
             writer.write(encode_array(b"want", b"f%d" % next(self._fill_ids), command.encode(), b""))
             items = await read_array(reader)
         except BaseException:
-            # a cache may get this port next
+            # The port of this connection may be assigned to a cache next.
             self.network.hub_addresses.discard(writer.get_extra_info("sockname"))
             writer.transport.abort()
             raise
@@ -319,19 +325,19 @@
 
 
 class StandInNetwork:
-    """All stand-ins of one run, and what they share."""
+    """All stand-ins of one run, and the state that they share."""
 
     def __init__(self, link_rate: float) -> None:
-        """Create a network without nodes, its ingress link carrying `link_rate` bytes a second."""
+        """Create a network without nodes, with an ingress link of `link_rate` bytes per second."""
         self.nodes: dict[str, StandIn] = {}
-        self.body_sizes: dict[str, int] = {}  # bytes, by object
+        self.body_sizes: dict[str, int] = {}  # bytes of a part, by object name
         self.ingress_link = BandwidthLimiter(link_rate)
         self.origin: StandIn
-        # local addresses of the hubs' own fills, whose bytes do not enter the branch
+        # Local addresses of the connections on which hubs fill: bytes sent there do not enter the branch.
         self.hub_addresses: set[Address] = set()
 
     def add(self, spec: StandInSpec) -> StandIn:
-        """Add a node, not yet listening."""
+        """Add a node that does not listen yet."""
         node = StandIn(self, spec)
         self.nodes[node.name] = node
         if node.kind == NodeKind.ORIGIN:
@@ -351,6 +357,6 @@
 def _remove_if_current(
     tasks: dict[bytes, asyncio.Task[None]], request_id: bytes, task: asyncio.Task[None]
 ) -> None:
-    """Remove a finished task unless a newer one has the same id."""
+    """Remove a finished task unless a newer task has the same request id."""
     if tasks.get(request_id) is task:
         del tasks[request_id]
