--- a/ironhinge/lab/cli.py
+++ b/ironhinge/lab/cli.py
@@ -29,7 +29,9 @@
 
 
 @lab.command()
-@click.option("--scenario", default="calm", show_default=True, help="'ironhinge lab scenes' lists them.")
+@click.option(
+    "--scenario", default="calm", show_default=True, help="Name, as listed by 'ironhinge lab scenes'."
+)
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1.0, 3600.0), default=8.0, show_default=True)
 @click.option("--directors", type=click.IntRange(1, 32), default=2, show_default=True)
@@ -47,8 +49,8 @@
 ) -> None:
     """Run a scenario and print how many bytes entered the branch and how requests ended.
 
-    Caches, hubs, the origin, the control plane and clients are stand-ins; the directors are real processes.
-    The exit code is 1 if the run fails or its report breaks a rule that holds for every scenario.
+    Caches, hubs, the origin, the control plane and clients are stand-ins; --directors sets how many real
+    directors are started. The exit code is 1 if the run fails or its report breaks a rule of all scenarios.
     """
     from .run import RunOptions, run_scenario
     from .scenarios import SCENARIOS, scaled_scenario
--- a/ironhinge/lab/control_plane.py
+++ b/ironhinge/lab/control_plane.py
@@ -13,7 +13,7 @@
 ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
 LOOPBACK = bytes([127, 0, 0, 1])
 NODE_WEIGHT_MILLIS = 20_000  # the same for all nodes
-LIST_CHANGES_EVENT = 2
+LIST_CHANGES_EVENT = 2  # kinds of events
 HEARTBEAT_EVENT = 0
 HEARTBEAT_INTERVAL = 0.5  # seconds
 FIRST_EVENT_NUMBER = 2  # number 1 is the endpoint list in the directors' configuration
@@ -35,7 +35,7 @@
         self.zones = zones
         self.kinds = kinds
         self.port = 0
-        self._events: list[bytes] = []
+        self._events: list[bytes] = []  # encoded; their numbers are consecutive from FIRST_EVENT_NUMBER
         self._published = asyncio.Event()
         self._server: asyncio.Server | None = None
 
--- a/ironhinge/lab/director_process.py
+++ b/ironhinge/lab/director_process.py
@@ -19,10 +19,8 @@
 STOP_TIMEOUT = 12.0  # seconds after which a director that has not exited is killed
 LOG_EXCERPT_LENGTH = 600  # characters of the log in an error message
 KILLED_EXIT_CODE = -1  # returned by `stop` instead of an exit code if the director had to be killed
-USER_TIME_FIELD, SYSTEM_TIME_FIELD = (
-    11,
-    12,
-)  # indices of fields of /proc/PID/stat, counted from the one after the program name
+# Indices of fields in /proc/PID/stat, counted from 0 after the program name.
+USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12
 
 
 class DirectorProcess:
--- a/ironhinge/lab/load_generator.py
+++ b/ironhinge/lab/load_generator.py
@@ -26,7 +26,8 @@
 DEFAULT_PART_INTERVAL = 0.5  # seconds
 IDLE_TIMEOUT = 3.0  # seconds after which a client closes an unused connection
 MAX_IDLE_CONNECTIONS = 64  # per director
-CLOSE_RACE_WINDOW = 0.05  # seconds; a director that closes the connection within it has not read the request
+# Seconds after a request is sent; if the connection closes so soon, the request is taken as not read.
+CLOSE_RACE_WINDOW = 0.05
 DEFAULT_BACKOFF = 0.1  # seconds; used if the answer gives no retry delay
 CONNECT_ROUNDS = 4  # attempts to connect to each of the directors
 PURGE_GROUP_COUNT = 256  # objects are assigned to purge groups by their id modulo this number
@@ -136,10 +137,12 @@
     def __init__(self, statistics: LoadStatistics) -> None:
         """Create a connection that is not open yet."""
         self.statistics = statistics
-        self.closing = False  # accepts no new request: the director asked for it, or the connection is closed
+        # No new request may be sent: the director sent NO_MORE_REQUESTS, or the connection is closed.
+        self.closing = False
         self._last_stream = 0
         self._pending_answers: dict[int, asyncio.Future[Answer]] = {}
-        self._abandoned: set[int] = set()  # streams without a waiting client, whose answer may still arrive
+        # Streams that were cancelled or timed out; their answers may still arrive.
+        self._abandoned: set[int] = set()
         self._writer: asyncio.StreamWriter
         self._reader_task: asyncio.Task[None]
 
@@ -184,7 +187,7 @@
         future = self._pending_answers.pop(stream, None)
         if future is None:
             if stream in self._abandoned:
-                self._abandoned.discard(stream)  # sent before the director read the cancellation
+                self._abandoned.discard(stream)  # late, or sent before the director read the cancellation
             else:
                 self.statistics.duplicate_answers += 1
         elif not future.done():
--- a/ironhinge/lab/report.py
+++ b/ironhinge/lab/report.py
@@ -29,7 +29,7 @@
     exit_codes: list[int]
     statistics: LoadStatistics
     network: StandInNetwork
-    since_restart: dict[str, int] | None  # traffic since the first restart, if there was one
+    since_restart: dict[str, int] | None  # `traffic_totals` since the first restart; None: no restart
     account_folder: Path | None  # with the directors' snapshots; None: the run had no accounts
 
 
--- a/ironhinge/lab/scenarios.py
+++ b/ironhinge/lab/scenarios.py
@@ -3,8 +3,7 @@
 There are two request classes: a card is a small object that is requested as a whole; a film is an object in
 parts, and a stream is one client's requests for all parts of a film.
 
-Bodies on sockets are scaled down: `SOCKET_BYTES_PER_KB` bytes are sent for each KB of size that a request
-states.
+Bodies on sockets are scaled down: `SOCKET_BYTES_PER_KB` bytes are sent for each KB of a request's size.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 SOCKET_BYTES_PER_KB = 100
 CARD, FILM = "card", "film"  # names of the two request classes
 POPULARITY_EXPONENT = 0.9  # exponent of the Zipf distribution by which cards are requested
-MIN_CANCEL_DELAY, MAX_CANCEL_DELAY = 0.005, 0.05  # seconds; range in which a client cancels
+MIN_CANCEL_DELAY, MAX_CANCEL_DELAY = 0.005, 0.05  # seconds until a client cancels, drawn from this range
 ID_BASE_BITS = 32
 ID_BASE_SHIFT = 24
 FILM_ID_OFFSET = 1 << 20  # keeps films apart from cards
--- a/ironhinge/lab/stand_ins.py
+++ b/ironhinge/lab/stand_ins.py
@@ -217,7 +217,7 @@
             await self._send_body(writer, head, body)
 
     async def _send_body(self, writer: asyncio.StreamWriter, head: bytes, body: bytes) -> None:
-        """Send a body in pieces at this node's transfer rate; to the branch also through the ingress link."""
+        """Send a body in pieces at the transfer rate; one for the branch also passes the ingress link."""
         writer.write(head + b"$%d\r\n" % len(body))
         to_branch = writer.get_extra_info("peername") not in self.network.hub_addresses
         for start in range(0, len(body), PIECE_BYTES):
@@ -302,7 +302,10 @@
         )
 
     async def _fetch(self, port: int, command: str) -> list[bytes]:
-        """Send a fill command on an unused connection and return the answer; a cancel aborts the connection."""
+        """Send a fill command on an unused connection, and return the answer.
+
+        If the call fails or is cancelled, the connection is aborted.
+        """
         connections = self._idle_connections.setdefault(port, [])
         while connections and connections[-1][1].is_closing():
             self.network.hub_addresses.discard(connections.pop()[1].get_extra_info("sockname"))
