--- a/ironhinge/lab/stand_ins.py
+++ b/ironhinge/lab/stand_ins.py
@@ -1,8 +1,9 @@
 """Stand-ins for cache nodes, hub caches and the origin on loopback sockets.
 
-They keep copies by rank, fill from one another, and count the bytes of every body that they send. A fill is
-sent in pieces, paced by the source's transfer rate and the branch's shared ingress link, and cancelled as
-soon as nobody waits for it. They must never decide anything for a director.
+They store copies by admission rank, fill from each other, and count the body bytes that hubs and the origin
+send. The body of a fill is sent in pieces, limited by the source's transfer rate and the shared ingress link
+of the branch zone. A fill is cancelled when no request waits for it any more. Stand-ins must not make routing
+decisions for a director.
 """
 
 from __future__ import annotations
@@ -19,20 +20,20 @@
 
 from .copy_store import CopyKey, CopyStore, StoredCopy
 from .errors import FillError
-from .node_protocol import WireNote, body_of, bulk_string, encode_array, parse_fields, read_array
+from .node_protocol import CacheStatusCode, bulk_string, encode_array, make_body, parse_fields, read_array
 
-PIECE_BYTES = 500  # written at a time: what a cancelled fill had in flight is accounted to that
-SHORTEST_SLEEP = 0.001  # seconds: shorter waits of the link are skipped
+PIECE_BYTES = 500  # size of one write; the bytes sent for a cancelled fill are counted to this accuracy
+MIN_SLEEP = 0.001  # seconds; shorter delays of the link are skipped
 ORIGIN_LATENCY = 0.01  # seconds
-DEFAULT_BODY_BYTES = 1000  # of an object that the scenario does not name
-PARENT_RANK = 1  # at which parents store copies
+DEFAULT_BODY_BYTES = 1000  # of an object whose size the scenario does not set
+PARENT_RANK = 1  # admission rank with which parents store copies
 
 Address = tuple[str, int]
 IdleConnection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class NodeKind(StrEnum):
-    """What a node is, under the platform's names."""
+    """The kind of a node, under the platform's name."""
 
     CACHE = "std"
     PARENT = "parent"
@@ -47,34 +48,34 @@
     kind: NodeKind
     zone: str
     cache_bytes: int
-    transfer_rate: float  # bytes a second of one transfer
+    transfer_rate: float  # bytes per second of one transfer
 
 
 class FillResult(NamedTuple):
-    """A copy and where it came from."""
+    """A copy and the cache status of the answer with it."""
 
     copy: StoredCopy
-    note: WireNote
+    cache_status: CacheStatusCode
 
 
 class BandwidthLimiter:
-    """A link that carries a fixed number of bytes a second, first come, first served."""
+    """A link with a fixed number of bytes per second; senders are served in order of arrival."""
 
     def __init__(self, rate: float) -> None:
-        """Create an idle link of `rate` bytes a second."""
+        """Create an idle link of `rate` bytes per second."""
         self.rate = rate
-        self.free_at = 0.0
+        self.free_at = 0.0  # monotonic time until which the link is occupied
 
     async def transmit(self, count: int) -> None:
-        """Wait until the link has carried `count` more bytes."""
+        """Wait until the link has transmitted all earlier bytes and these `count` bytes."""
         now = time.monotonic()
         self.free_at = max(now, self.free_at) + count / self.rate
-        if self.free_at - now > SHORTEST_SLEEP:
+        if self.free_at - now > MIN_SLEEP:
             await asyncio.sleep(self.free_at - now)
 
 
 class StandIn:
-    """A node that serves copies and fills the ones that it misses."""
+    """A cache, hub or origin node that serves copies and fills missing ones from its source."""
 
     def __init__(self, network: StandInNetwork, spec: StandInSpec) -> None:
         """Create a node that does not listen yet."""
@@ -83,32 +84,32 @@
         self.transfer_rate = spec.transfer_rate
         self.store = CopyStore(spec.cache_bytes)
         self.port = 0
-        self.started_ms = 0  # Unix milliseconds; 0 for a node that has not restarted
-        self.stalled = False  # reads commands and answers none
-        # counters, over all incarnations
+        self.started_ms = 0  # Unix milliseconds; 0: the node has not been restarted
+        self.stalled = False  # commands are read but not answered
+        # Counters; a restart does not reset them.
         self.bytes_to_branch = 0
         self.bytes_sent = 0
         self.request_count = 0
         self.cancelled_fills = 0
         self._fill_ids = itertools.count(1)
         self._server: asyncio.Server | None = None
-        self._port_holder: socket.socket | None = None
+        self._reserved_socket: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
         self._idle_connections: dict[int, list[IdleConnection]] = {}  # by port
         self._fills: dict[CopyKey, asyncio.Task[FillResult]] = {}
-        self._waiters: dict[CopyKey, int] = {}
+        self._waiter_counts: dict[CopyKey, int] = {}
 
     # Start and stop
 
     async def start(self) -> None:
-        """Listen, at the same port as before if there was one."""
+        """Start to listen; after a kill at the same port as before."""
         self._release_port()
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def kill(self) -> None:
-        """End as a killed process does: connections are reset and copies are lost."""
+        """Stop like a killed process: reset all connections and lose all copies."""
         if self._server is None:
             return
         self._server.close()
@@ -122,10 +123,10 @@
         self._fills.clear()
         self._reset_idle_connections()
         self._server = None
-        self._hold_port()
+        self._reserve_port()
 
     async def close(self) -> None:
-        """End for good."""
+        """Stop the node and release its port."""
         await self.kill()
         self._release_port()
 
@@ -136,19 +137,19 @@
                 writer.transport.abort()
         self._idle_connections.clear()
 
-    def _hold_port(self) -> None:
-        """Keep the port from other programs while connections to it are refused."""
-        self._port_holder = socket.socket()
-        self._port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._port_holder.bind(("127.0.0.1", self.port))
+    def _reserve_port(self) -> None:
+        """Keep other programs from taking the port while connections to it are refused."""
+        self._reserved_socket = socket.socket()
+        self._reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._reserved_socket.bind(("127.0.0.1", self.port))
 
     def _release_port(self) -> None:
-        if self._port_holder is not None:
-            self._port_holder.close()
-            self._port_holder = None
+        if self._reserved_socket is not None:
+            self._reserved_socket.close()
+            self._reserved_socket = None
 
-    def _spawn(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: Coroutine[object, object, None]) -> asyncio.Task[None]:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -180,14 +181,14 @@
         body_lock: asyncio.Lock,
     ) -> None:
         match items[0]:
-            case b"want":
+            case b"want":  # a request
                 request_id = items[1]
                 task = self._spawn(self._answer(items, writer, body_lock))
                 open_requests[request_id] = task
                 task.add_done_callback(partial(_remove_if_current, open_requests, request_id))
-            case b"never_mind" if items[1] in open_requests:
+            case b"never_mind" if items[1] in open_requests:  # a cancellation
                 open_requests[items[1]].cancel()
-            case b"there" | b"busy":
+            case b"there" | b"busy":  # health checks
                 writer.write(encode_array(items[1], b"READY", b"-"))
 
     async def _answer(
@@ -198,7 +199,7 @@
         fields = parse_fields(items[2])
         key = fields["obj"], fields.get("seg", "0")
         try:
-            (body, dated), note = await self._find(key, fields)
+            (body, issued_ms), cache_status = await self._find_or_fill(key, fields)
         except LookupError as error:
             code = b"NOENT" if "parent" not in fields and self.kind != NodeKind.ORIGIN else b"EIO"
             _write_if_open(writer, encode_array(request_id, code, b"res=%b" % str(error.args[0]).encode()))
@@ -207,16 +208,16 @@
             _write_if_open(writer, encode_array(request_id, b"EIO", b"res=b"))
             return
         gauges = f"inflight:{self.request_count % 7};util:0.4"
-        text = f"digest=4b,dated={dated},res={note},gauges={gauges}".encode()
-        head = b"*4\r\n" + b"".join(bulk_string(item) for item in (request_id, b"ACK", text))
+        attributes = f"digest=4b,dated={issued_ms},res={cache_status},gauges={gauges}".encode()
+        head = b"*4\r\n" + b"".join(bulk_string(item) for item in (request_id, b"ACK", attributes))
         if self.kind == NodeKind.CACHE:
             _write_if_open(writer, head + bulk_string(body))
             return
-        async with body_lock:  # bodies must not interleave: one that is cut off ends its connection
+        async with body_lock:  # bodies must not interleave; a body cut short ends the connection
             await self._send_body(writer, head, body)
 
     async def _send_body(self, writer: asyncio.StreamWriter, head: bytes, body: bytes) -> None:
-        """Send a body in pieces, at this node's transfer rate and through the branch's ingress link."""
+        """Send a body in pieces at the transfer rate; one for the branch also passes the ingress link."""
         writer.write(head + b"$%d\r\n" % len(body))
         to_branch = writer.get_extra_info("peername") not in self.network.hub_addresses
         for start in range(0, len(body), PIECE_BYTES):
@@ -234,35 +235,40 @@
 
     # Copies and fills
 
-    async def _find(self, key: CopyKey, fields: dict[str, str]) -> FillResult:
-        """Return a copy that is fresh enough, from the store or by a fill that others may join."""
+    async def _find_or_fill(self, key: CopyKey, fields: dict[str, str]) -> FillResult:
+        """Return a copy not older than the field `accept` allows, stored or from a new or joined fill.
+
+        Raises:
+            FillError: There is no such copy and it could not be filled.
+            EOFError, OSError: The connection to the source failed.
+        """
         if self.kind == NodeKind.ORIGIN:
             await asyncio.sleep(ORIGIN_LATENCY)
             size = self.network.body_sizes.get(key[0], DEFAULT_BODY_BYTES)
-            return FillResult(StoredCopy(body_of(*key, size), int(time.time() * 1000)), WireNote.HIT)
+            return FillResult(StoredCopy(make_body(*key, size), int(time.time() * 1000)), CacheStatusCode.HIT)
         stored = self.store.find(key)
-        oldest = time.time() * 1000 - float(fields["accept"]) if fields.get("accept") else 0.0
-        if stored is not None and stored.dated >= oldest:
-            return FillResult(stored, WireNote.HIT)
-        only_stored = "held" in _hints(fields) and self.kind != NodeKind.CACHE
-        if only_stored or "parent" not in fields:
-            raise FillError(WireNote.SOURCE_MISS)
+        min_issued_ms = time.time() * 1000 - float(fields["accept"]) if fields.get("accept") else 0.0
+        if stored is not None and stored.issued_ms >= min_issued_ms:
+            return FillResult(stored, CacheStatusCode.HIT)
+        cached_only = "held" in _hints(fields) and self.kind != NodeKind.CACHE
+        if cached_only or "parent" not in fields:
+            raise FillError(CacheStatusCode.SOURCE_MISS)
         joined = key in self._fills
         if not joined:
             self._fills[key] = asyncio.ensure_future(self._fill(key, fields))
         result = await self._wait_for_fill(key)
-        return FillResult(result.copy, WireNote.JOINED_FILL) if joined else result
+        return FillResult(result.copy, CacheStatusCode.JOINED_FILL) if joined else result
 
     async def _wait_for_fill(self, key: CopyKey) -> FillResult:
-        """Wait for the current fill of a copy; the last one to stop waiting cancels it."""
+        """Wait for the current fill of a copy; the fill is cancelled when its last waiter stops waiting."""
         fill = self._fills[key]
-        self._waiters[key] = self._waiters.get(key, 0) + 1
+        self._waiter_counts[key] = self._waiter_counts.get(key, 0) + 1
         try:
             return await asyncio.shield(fill)
         finally:
-            self._waiters[key] -= 1
-            if not self._waiters[key]:
-                del self._waiters[key]
+            self._waiter_counts[key] -= 1
+            if not self._waiter_counts[key]:
+                del self._waiter_counts[key]
                 if not fill.done():
                     self.cancelled_fills += 1
                     fill.cancel()
@@ -272,7 +278,7 @@
     async def _fill(self, key: CopyKey, fields: dict[str, str]) -> FillResult:
         source = self.network.nodes.get(fields["parent"])
         if source is None:
-            raise FillError(WireNote.SOURCE_UNAVAILABLE)
+            raise FillError(CacheStatusCode.SOURCE_REJECTED)
         command = f"kind={fields['kind']},obj={key[0]},seg={key[1]},ms={fields['ms']}"
         if source.kind == NodeKind.PARENT:
             command += f",parent={self.network.origin.name},shelf=2"
@@ -280,18 +286,26 @@
                 command += ",hints=held"
         items = await self._fetch(source.port, command)
         if items[1] != b"ACK":
-            missing = items[1] == b"NOENT"
-            raise FillError(WireNote.SOURCE_MISS if missing else WireNote.SOURCE_UNAVAILABLE)
+            is_miss = items[1] == b"NOENT"
+            raise FillError(CacheStatusCode.SOURCE_MISS if is_miss else CacheStatusCode.SOURCE_REJECTED)
         answer = parse_fields(items[2])
         rank = int(fields.get("shelf", "0"))
         copy = StoredCopy(items[3], int(answer["dated"]))
         if self.kind == NodeKind.PARENT or rank:
             self.store.put(key, copy, rank if self.kind == NodeKind.CACHE else PARENT_RANK)
-        at_origin = answer.get("res") in (WireNote.FILLED_FROM_SOURCE, WireNote.FILLED_FROM_ORIGIN)
-        return FillResult(copy, WireNote.FILLED_FROM_ORIGIN if at_origin else WireNote.FILLED_FROM_SOURCE)
+        from_origin = answer.get("res") in (
+            CacheStatusCode.FILLED_FROM_SOURCE,
+            CacheStatusCode.FILLED_FROM_ORIGIN,
+        )
+        return FillResult(
+            copy, CacheStatusCode.FILLED_FROM_ORIGIN if from_origin else CacheStatusCode.FILLED_FROM_SOURCE
+        )
 
     async def _fetch(self, port: int, command: str) -> list[bytes]:
-        """Send one fill command on a connection of its own; cancelling it aborts the connection."""
+        """Send a fill command on an unused connection, and return the answer.
+
+        If the call fails or is cancelled, the connection is aborted.
+        """
         connections = self._idle_connections.setdefault(port, [])
         while connections and connections[-1][1].is_closing():
             self.network.hub_addresses.discard(connections.pop()[1].get_extra_info("sockname"))
@@ -305,7 +319,7 @@
             writer.write(encode_array(b"want", b"f%d" % next(self._fill_ids), command.encode(), b""))
             items = await read_array(reader)
         except BaseException:
-            # a cache may get this port next
+            # The port of this connection may be assigned to a cache next.
             self.network.hub_addresses.discard(writer.get_extra_info("sockname"))
             writer.transport.abort()
             raise
@@ -314,19 +328,19 @@
 
 
 class StandInNetwork:
-    """All stand-ins of one run, and what they share."""
+    """All stand-ins of one run, and the state that they share."""
 
     def __init__(self, link_rate: float) -> None:
-        """Create a network without nodes, its ingress link carrying `link_rate` bytes a second."""
+        """Create a network without nodes, with an ingress link of `link_rate` bytes per second."""
         self.nodes: dict[str, StandIn] = {}
-        self.body_sizes: dict[str, int] = {}  # bytes, by object
+        self.body_sizes: dict[str, int] = {}  # bytes of a part, by object name
         self.ingress_link = BandwidthLimiter(link_rate)
         self.origin: StandIn
-        # local addresses of the hubs' own fills, whose bytes do not enter the branch
+        # Local addresses of the connections on which hubs fill: bytes sent there do not enter the branch.
         self.hub_addresses: set[Address] = set()
 
     def add(self, spec: StandInSpec) -> StandIn:
-        """Add a node, not yet listening."""
+        """Add a node that does not listen yet."""
         node = StandIn(self, spec)
         self.nodes[node.name] = node
         if node.kind == NodeKind.ORIGIN:
@@ -346,6 +360,6 @@
 def _remove_if_current(
     tasks: dict[bytes, asyncio.Task[None]], request_id: bytes, task: asyncio.Task[None]
 ) -> None:
-    """Remove a finished task unless a newer one has the same id."""
+    """Remove a finished task unless a newer task has the same request id."""
     if tasks.get(request_id) is task:
         del tasks[request_id]
