--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -42,9 +42,7 @@
 
 # seconds
 SLACK = 0.05  # every time limit is extended by 50 ms
-ANSWER_GRACE = (
-    0.5  # an answer up to 0.5 s after the client's timeout has no value; later or never, it is lost
-)
+ANSWER_GRACE = 0.5  # an answer up to 0.5 s after the client's timeout has no value; a later one is lost
 CANCEL_GRACE = 0.1  # an attempt started over 0.1 s after the client closed or cancelled is a lost request
 DEADLINE_SLACK = 0.15  # the deadline sent to a server may exceed the client's remaining time by 0.15 s
 CLOSE_CROSSING_WINDOW = 0.05  # a request within 50 ms of the director's close crosses it, and is sent again
@@ -94,7 +92,7 @@
     requests: int = 0  # written to a connection completely
     answered: int = 0
     served: int = 0
-    crossed_close: int = 0  # requests that crossed the close of a connection; the protocol allows their loss
+    crossed_close: int = 0  # requests that crossed a close: the protocol has the client resend them
     attempts: int = 0  # commands that nodes received
 
     def count(self, *rules: Rule) -> int:
@@ -202,7 +200,7 @@
         )
 
     def _recorder_lag(self, at: float) -> float:
-        """Return the largest lag of the recording process around `at`: times may be recorded this much late."""
+        """Return the largest lag of the recording process around `at`; recorded times can be late by it."""
         return max((lag for when, lag in self.records.lags if abs(when - at) < LAG_WINDOW), default=0.0)
 
     # Attempts
@@ -341,7 +339,7 @@
         if incarnation.exit_code not in (None, 0) and not killed:
             self._add_finding(Rule.CRASH, f"{name} exited with code {incarnation.exit_code}")
         if incarnation.exited_at is not None and incarnation.terminated_at is None and not killed:
-            self._add_finding(Rule.CRASH, f"{name} exited without a signal")
+            self._add_finding(Rule.CRASH, f"{name} exited without SIGTERM or SIGKILL")
         elapsed = (incarnation.ready_at or incarnation.started_at) - incarnation.started_at
         if elapsed > READY_TIMEOUT:
             self._add_finding(Rule.NOT_READY, f"{name} took {elapsed:.1f} s to become ready")
--- a/ironhinge/lab/soak/client_connection.py
+++ b/ironhinge/lab/soak/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to a director, with a record of what was sent and received on it."""
+"""A client's connection to a director, which records what is sent and received on it."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from .records import AnswerRecord, ConnectionEnding, ConnectionRecord, Records, RequestRecord
 from .sockets import READ_BYTES
 
-RECORDED_BODY_BYTES = 64
+RECORDED_BODY_BYTES = 64  # read of an answer's body: enough for the object name and time at its start
 MIN_WAIT = 0.001  # seconds
 
 
 class ClientConnection:
-    """One connection of a client."""
+    """A client's connection to a director, with several streams."""
 
     def __init__(self, record: ConnectionRecord, records: Records) -> None:
-        """Create a connection that is not open yet."""
+        """Create a connection that is not open yet; requests are added to `records`."""
         self.record = record
         self.records = records
         self.open_requests: dict[int, RequestRecord] = {}  # by stream
         self.closed = asyncio.Event()
-        self.goaway_received = asyncio.Event()  # the director takes no new request
+        self.goaway_received = asyncio.Event()  # the director accepts no new requests on this connection
         self._sent_requests: dict[int, RequestRecord] = {}
         self._last_stream = 0
         self._answered = asyncio.Event()
@@ -73,7 +73,7 @@
             self._answered.set()
 
     def start_request(self, request: RequestRecord, fields: dict[str, str]) -> bytes:
-        """Return the bytes of a request on a new stream; the caller writes them and records when."""
+        """Encode a request on a new stream and record its start; the caller sends it and records when."""
         self._last_stream += 1
         self.open_requests[self._last_stream] = self._sent_requests[self._last_stream] = request
         self.records.requests.append(request)
@@ -81,14 +81,14 @@
         return wire.encode_request(self._last_stream, fields)
 
     def write(self, data: bytes) -> None:
-        """Write bytes of requests."""
+        """Write encoded requests or parts of them."""
         self._writer.write(data)
 
     async def wait(self, request: RequestRecord, deadline: float) -> bool:
         """Wait until a request is answered, the connection is closed, or the deadline has passed.
 
         Returns:
-            Whether it was answered.
+            Whether the request was answered.
         """
         while not request.answers and not self.closed.is_set() and time.monotonic() < deadline:
             self._answered.clear()
@@ -98,7 +98,7 @@
         return bool(request.answers)
 
     def cancel(self, request: RequestRecord) -> None:
-        """Cancel a request that is still open."""
+        """Send a CANCEL frame for a request and record it, if the request is still open."""
         for stream, open_request in list(self.open_requests.items()):
             if open_request is request:
                 del self.open_requests[stream]
@@ -106,7 +106,7 @@
                 self._writer.write(wire.encode_frame(wire.FrameType.CANCEL, stream))
 
     def close(self, by_reset: bool = False) -> None:
-        """End the connection, and with it all requests that are open on it."""
+        """Close or reset the connection, which cancels all requests that are open on it."""
         now = time.monotonic()
         for request in self.open_requests.values():
             request.cancelled_at = request.cancelled_at or now
--- a/ironhinge/lab/soak/clients.py
+++ b/ironhinge/lab/soak/clients.py
@@ -1,6 +1,6 @@
-"""Clients of several kinds: steady, resting, pipelining, slow and cancelling ones.
+"""Clients that send requests to one director, each with the behaviour of its `ClientKind`.
 
-Each records what it sends and what it receives.
+Each client records what it sends and what it receives.
 """
 
 from __future__ import annotations
@@ -17,33 +17,33 @@
 from .records import AnswerCode, ConnectionRecord, Records, RequestRecord
 
 RECONNECT_DELAY = 0.05  # seconds
-MEAN_PAUSE = 0.06  # seconds between two operations
-MAX_STREAMS = 32
-ANSWER_GRACE = 1.0  # seconds beyond its timeout that a client waits
-MAX_RETRIES = 2
-NO_RETRY_SHARE = 0.5  # of the requests that could be retried
-POPULARITY_EXPONENT = 0.8  # of the Pareto distribution of objects
-CLASS_INDICES = (0, 0, 0, 1, 1, 2, 3)  # drawn with equal weight
-SIZES_KB = (40, 120, 400)
-SHORT_TIMEOUT_SHARE, MEDIUM_TIMEOUT_SHARE = 0.1, 0.3  # cumulative
-SEND_AFTER_GOAWAY_SHARE = 0.5  # of the resting clients, that send although the director takes no more
-CANCEL_BY_FRAME_SHARE = 0.6  # the other cancelling clients close the connection
-RESET_SHARE = 0.5  # of these closes
-TRACE_BITS = 64
+MEAN_PAUSE = 0.06  # seconds between two actions of a client
+MAX_STREAMS = 32  # open requests per connection
+ANSWER_GRACE = 1.0  # seconds beyond its timeout that a client waits for an answer
+MAX_RETRIES = 2  # per operation
+NO_RETRY_SHARE = 0.5  # share of the retryable requests that a client does not retry
+POPULARITY_EXPONENT = 0.8  # of the Pareto distribution that requested objects are drawn from
+CLASS_INDICES = (0, 0, 0, 1, 1, 2, 3)  # index in `Plan.classes`; one is drawn per request, equally likely
+SIZES_KB = (40, 120, 400)  # one is drawn per request, equally likely
+SHORT_TIMEOUT_SHARE, MEDIUM_TIMEOUT_SHARE = 0.1, 0.3  # cumulative shares of the requests
+SEND_AFTER_GOAWAY_SHARE = 0.5  # share of the idle clients that send a request after GOAWAY
+CANCEL_BY_FRAME_SHARE = 0.6  # share of cancellations by a CANCEL frame; the others end the connection
+RESET_SHARE = 0.5  # share of these connections that are reset, not closed
+TRACE_BITS = 64  # length of a trace ID
 
 
 class ClientKind(StrEnum):
     """How a client behaves."""
 
-    STEADY = "steady"  # uses a connection until it ends, whatever the director announces
-    GOAWAY_AWARE = "obeying"  # opens a new connection after the announcement
-    IDLE = "resting"
-    PIPELINED = "pipelined"
-    SLOW = "slow"
-    CANCELLING = "leaving"
+    STEADY = "steady"  # uses a connection until it is closed, also after GOAWAY
+    GOAWAY_AWARE = "obeying"  # opens a new connection after GOAWAY, as all kinds below do
+    IDLE = "resting"  # sends one operation and stays idle until GOAWAY
+    PIPELINED = "pipelined"  # sends several requests in one write
+    SLOW = "slow"  # sends a request in pieces
+    CANCELLING = "leaving"  # cancels requests
 
 
-CLIENT_KINDS = (  # drawn with equal weight, which is why one stands twice
+CLIENT_KINDS = (  # one is drawn per client, equally likely; STEADY is listed twice to double its share
     ClientKind.STEADY,
     ClientKind.STEADY,
     ClientKind.GOAWAY_AWARE,
@@ -56,19 +56,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientTarget:
-    """The director of a client."""
+    """The director that a client sends to."""
 
     director: int
-    port: Callable[[NetworkPath], int | None]  # at which it can be reached now over a path
-    incarnation: Callable[[], int]  # number of its current process
-    on_request_written: Callable[[], None]  # called at each write of a request
+    port: Callable[
+        [NetworkPath], int | None
+    ]  # returns the director's current port for a path; None while unreachable
+    incarnation: Callable[[], int]  # returns the number of the director's current process
+    on_request_written: Callable[
+        [], None
+    ]  # called after each request that was written alone and in one piece
 
 
 class Client:
-    """One client of one director."""
+    """A client of one director."""
 
     def __init__(self, plan: Plan, records: Records, number: int, target: ClientTarget) -> None:
-        """Create a client; its number decides what it does."""
+        """Create a client; its kind, path and requests are drawn from the plan's seed and its number."""
         self.plan = plan
         self.records = records
         self.target = target
@@ -80,7 +84,7 @@
         self._deadline = 0.0
 
     async def run(self, deadline: float) -> None:
-        """Send requests until that time of the monotonic clock, then wait for open ones."""
+        """Send requests until `deadline` on the monotonic clock, then wait for the open requests."""
         self._deadline = deadline
         while time.monotonic() < deadline:
             connection = await self._usable_connection()
@@ -97,7 +101,7 @@
                 connection.close()
 
     async def _usable_connection(self) -> ClientConnection | None:
-        """Return the open connection, or a new one; None if the director cannot be reached."""
+        """Return the open connection or a new one, or None if the director cannot be reached."""
         connection = self._connection
         reconnects_on_goaway = self.kind is not ClientKind.STEADY
         if connection is not None and not connection.closed.is_set():
@@ -141,10 +145,10 @@
             case ClientKind.CANCELLING:
                 await self._send_and_cancel(connection)
 
-    # What clients of each kind do
+    # Behaviour of each kind of client
 
     async def _send_operation(self, connection: ClientConnection) -> None:
-        """Send one operation, with the retries that its class allows."""
+        """Send one operation, and retry it where the answer and the request class allow it."""
         request_class = self._draw_class()
         request, data = self._start_request(connection, request_class)
         self._write(connection, request, data)
@@ -161,7 +165,7 @@
             self._write(connection, request, data)
 
     async def _send_and_idle(self, connection: ClientConnection) -> None:
-        """Send once, rest until the director announces or ends something, and send at just that time."""
+        """Send once, stay idle until GOAWAY, a close or the deadline, and maybe send just after GOAWAY."""
         await self._send_operation(connection)
         waiters = [
             asyncio.ensure_future(connection.goaway_received.wait()),
@@ -189,7 +193,7 @@
             await connection.wait(request, now + request.client_timeout + ANSWER_GRACE)
 
     async def _send_slowly(self, connection: ClientConnection) -> None:
-        """Send one request in pieces."""
+        """Send one request in up to five pieces, with pauses between them."""
         request, data = self._start_request(connection, self._draw_class())
         cuts = sorted(self._rng.randrange(1, len(data)) for _ in range(self._rng.randrange(1, 5)))
         for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
@@ -234,7 +238,7 @@
     def _start_request(
         self, connection: ClientConnection, request_class: RequestClass, retried: RequestRecord | None = None
     ) -> tuple[RequestRecord, bytes]:
-        """Begin a new operation, or a retry of an earlier request; return its record and bytes."""
+        """Start a new operation, or a retry of an earlier request; return its record and encoded bytes."""
         trace = f"{self._rng.getrandbits(TRACE_BITS):016x}"
         object_number = int(self._rng.paretovariate(POPULARITY_EXPONENT)) % OBJECTS
         operation = f"{object_number:016x}" if request_class.idempotency is Idempotency.IDEMPOTENT else trace
@@ -259,7 +263,7 @@
 
 
 def _may_retry(request: RequestRecord, request_class: RequestClass) -> bool:
-    """Return whether the answer, or the lack of one, allows a retry."""
+    """Return whether a request may be retried after its answer, or after no answer."""
     code = request.answers[0].code if request.answers else None
     if code == AnswerCode.REJECTED:
         return True
--- a/ironhinge/lab/soak/director_config.py
+++ b/ironhinge/lab/soak/director_config.py
@@ -1,4 +1,4 @@
-"""The configuration and settings that a soak gives its directors, under the platform's names."""
+"""The directors' configuration and settings documents in a soak run, with the platform's key names."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 )
 from .servers import KIND_NAMES, ZONES, Fleet, NodeState
 
-STATUS_NAMES = ("SERVING", "DRAINING", "DELETED")  # by NodeState
+STATUS_NAMES = ("SERVING", "DRAINING", "DELETED")  # indexed by NodeState
 LATENCY_TARGET = 200_000  # microseconds
 MEMORY_LIMIT_MB = 192
 
 
 def microseconds(seconds: float) -> int:
-    """Convert to the settings' unit of time."""
+    """Convert seconds to microseconds, the settings' unit of time."""
     return int(seconds * 1e6)
 
 
 def endpoint_list(fleet: Fleet) -> list[dict[str, Any]]:
-    """Return the nodes that are in the list now."""
+    """Return the current endpoint list; removed and unstarted nodes are left out."""
     return [
         {
             "name": node.name,
@@ -50,7 +50,7 @@
 
 
 def recent_purges(fleet: Fleet) -> list[dict[str, Any]]:
-    """Return the purges that nodes may not have applied by themselves yet."""
+    """Return the purges within `PURGE_SETTLE_TIME`: nodes may still store copies that these purge."""
     since = time.time() - PURGE_SETTLE_TIME
     purges: list[dict[str, Any]] = [
         {"ref": name, "unix_ms": int(at * 1000)} for name, at in fleet.purged_objects.items() if at > since
@@ -62,7 +62,10 @@
 
 
 def known_updates(fleet: Fleet, discovery: Discovery) -> dict[str, Any]:
-    """Return the endpoint list and the purges as numbered updates, up to the last event of discovery."""
+    """Return the endpoint list and recent purges as numbered updates.
+
+    The numbers end at the number of discovery's last event.
+    """
     number = discovery.last_number
     purges = recent_purges(fleet)
     first = number - len(purges)
@@ -73,7 +76,7 @@
 
 
 def platform_settings(plan: Plan) -> dict[str, Any]:
-    """Return the settings document of a plan."""
+    """Return the settings document for a plan."""
     return {
         "classes": [_class_settings(request_class) for request_class in plan.classes],
         "balancers": plan.director_count,
--- a/ironhinge/lab/soak/directors.py
+++ b/ironhinge/lab/soak/directors.py
@@ -1,6 +1,6 @@
-"""The director processes of a soak run: their start, signals, and resource use as the system reports it.
+"""Director processes of a soak run: starts and restarts, signals, and resource usage from /proc.
 
-It must never read what a director decides: a run is judged from the records of clients and stand-ins alone.
+Nothing here may read a director's decisions: a run is audited by the records of clients and stand-ins alone.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 
 INJECTION_FOLDER = str(Path(__file__).parent.parent / "injection")
 REPOSITORY_ROOT = Path(__file__).parents[3]
-START_TIMEOUT = 12.0  # seconds
-READINESS_TIMEOUT = 2.0  # seconds for one readiness query
+START_TIMEOUT = 12.0  # seconds until a new process has to be ready
+READINESS_TIMEOUT = 2.0  # seconds per step of a readiness query
 READINESS_INTERVAL = 0.03  # seconds between two queries
-KILL_DELAY = 0.7  # seconds after SIGTERM beyond the longest deadline
-MAX_DRAIN_TIME = 3.0  # seconds: longer deadlines do not delay the kill
-ACCEPTING_AFTER_TERM = 0.4  # seconds after SIGTERM in which clients still open connections
+KILL_DELAY = 0.7  # seconds between the longest deadline after SIGTERM and SIGKILL
+MAX_DRAIN_TIME = 3.0  # seconds: cap on the longest deadline that delays SIGKILL
+ACCEPTING_AFTER_TERM = 0.4  # seconds after SIGTERM during which clients still open connections
 EXIT_POLL_INTERVAL = 0.01  # seconds
 KB_PER_MB = 1024
-PR_SET_PDEATHSIG = 1  # PR_SET_PDEATHSIG of prctl(2)
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
 
 
 def time_to_kill(plan: Plan) -> float:
-    """Return the seconds from SIGTERM to the earliest SIGKILL that the page allows."""
+    """Return the seconds from SIGTERM to the earliest SIGKILL that the operators' documentation allows."""
     longest = max(request_class.deadline for request_class in plan.classes)
     return min(longest, MAX_DRAIN_TIME) + KILL_DELAY
 
 
 def die_with_parent() -> None:
-    """Make the calling process die with its parent; runs in the child between fork and exec.
+    """Have the kernel kill the calling process when its parent exits; called between fork and exec.
 
-    A director that outlived its run would connect to ports that belong to another run by then.
+    A director that outlived its run would connect to ports that another run may have been given since.
     """
     import ctypes
 
@@ -50,14 +50,14 @@
 
 
 class _PendingPause(NamedTuple):
-    """A stop that waits for a client's next write; times in seconds."""
+    """A pause that starts `delay` after the next write of a client; times in seconds."""
 
     duration: float
     delay: float
 
 
 class SoakEnvironment(Protocol):
-    """What a director process needs from the run that owns it."""
+    """What a director needs from its run."""
 
     plan: Plan
     records: Records
@@ -71,13 +71,13 @@
 
 
 class Director:
-    """The processes of one director, started one after another at the same address."""
+    """One director: successive processes that listen on the same address."""
 
     def __init__(self, environment: SoakEnvironment, number: int) -> None:
         self.environment = environment
         self.number = number
         self.port = environment.fleet.ports.allocate()
-        self.client_ports: dict[int, int] = {}  # by index of the client path
+        self.client_ports: dict[int, int] = {}  # by index in `Plan.client_paths`
         self.incarnation = 0
         self.process: asyncio.subprocess.Process | None = None
         self.record: DirectorIncarnation | None = None
@@ -94,20 +94,20 @@
 
     @property
     def discovery(self) -> Discovery:
-        """The stand-in that tells this director of changes."""
+        """The fake discovery service of this director."""
         return self.environment.discoveries[self.number]
 
     def current_incarnation(self) -> int:
-        """Return the number of the current process, from 1."""
+        """Return the number of the current process, counted from 1."""
         return self.incarnation
 
     def write_config(self) -> None:
-        """Write the configuration as the platform would at this moment."""
+        """Write the configuration file with the current endpoint list, purges and discovery address."""
         self.configured_discovery_port = self.discovery.port
         self.config.write_text(json.dumps(self.environment.configuration(self)))
 
     async def start(self) -> None:
-        """Start a process and wait until it is ready, has exited, or `START_TIMEOUT` is over."""
+        """Start a process and wait until it is ready, has exited, or `START_TIMEOUT` has passed."""
         self.incarnation += 1
         self.write_config()
         record = DirectorIncarnation(self.number, self.incarnation, time.monotonic())
@@ -141,7 +141,7 @@
     def _record_ready(self, record: DirectorIncarnation) -> None:
         record.ready_at = time.monotonic()
         self.accepting = True
-        if self.configured_discovery_port != self.discovery.port:  # it moved during the start
+        if self.configured_discovery_port != self.discovery.port:  # discovery moved during the start
             self.write_config()
             self.send(signal.SIGHUP)
 
@@ -157,9 +157,9 @@
             self.process.send_signal(number)
 
     async def restart(self) -> None:
-        """Send SIGTERM, SIGKILL as soon as the platform may, and start the next process.
+        """Send SIGTERM, then SIGKILL at the earliest time that is allowed, and start the next process.
 
-        Clients go on opening connections for `ACCEPTING_AFTER_TERM` seconds.
+        Clients go on opening connections for `ACCEPTING_AFTER_TERM` seconds after SIGTERM.
         """
         assert self.record is not None
         assert self.exit_task is not None
@@ -178,7 +178,7 @@
         await self.start()
 
     async def kill(self) -> None:
-        """Send SIGKILL and start the next process."""
+        """Send SIGKILL without SIGTERM and start the next process."""
         assert self.record is not None
         assert self.exit_task is not None
         self.record.killed_at = time.monotonic()
@@ -197,26 +197,27 @@
         self.record.pauses.append((began, time.monotonic()))
 
     def pause_after_write(self, duration: float, delay: float) -> None:
-        """Stop the process `delay` seconds after a client's next write, for `duration` seconds.
+        """Stop the process for `duration` seconds, `delay` seconds after the next write of a client.
 
-        Does nothing shortly before a kill, as what it finds in a stopped process can't have been answered.
+        Does nothing while no new connections are accepted, as shortly before a kill: a stopped process cannot
+        answer its open requests before it is killed.
         """
         if self.accepting:
             self._pending_pause = _PendingPause(duration, delay)
 
     def on_request_written(self) -> None:
-        """Carry out a stop that waits for this moment."""
+        """Start the pending pause, if there is one; called after each write of a request."""
         pending, self._pending_pause = self._pending_pause, None
         if pending is None:
             return
         pause_at = time.monotonic() + pending.delay
         while time.monotonic() < pause_at:
-            pass  # a sleep is far too coarse
+            pass  # asyncio.sleep is too coarse for delays below a millisecond
         self._pauses.add(task := asyncio.ensure_future(self.pause(pending.duration)))
         task.add_done_callback(self._pauses.discard)
 
     def measure(self) -> None:
-        """Record the most descriptors and memory used so far, as /proc reports them."""
+        """Update the peak descriptor count and peak memory of the process from /proc."""
         process, record = self.process, self.record
         if process is None or record is None or process.returncode is not None:
             return
--- a/ironhinge/lab/soak/discovery.py
+++ b/ironhinge/lab/soak/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery that tells one director of changes of the endpoint list and of purges."""
+"""A fake discovery service that notifies one director of endpoint changes and purges."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .servers import Node
 from .sockets import reset_connection
 
-FIRST_NUMBER = 1  # of the endpoint list that precedes all events
-HEARTBEAT_INTERVAL = 1.0  # seconds
+FIRST_NUMBER = 1  # number of the initial endpoint list; events are numbered from 2
+HEARTBEAT_INTERVAL = 1.0  # seconds between heartbeat events on a connection
 MOVED_GRACE = 1.5  # seconds that connections to the old address stay open after a move
 
 PURGE_EVENTS = {
@@ -25,7 +25,7 @@
 
 
 class _Event(NamedTuple):
-    """An event as it is sent, and what is recorded of it."""
+    """An encoded event, and the values that are recorded when it is written."""
 
     data: bytes
     kind: NotificationKind
@@ -34,12 +34,19 @@
 
 
 class Discovery:
-    """Publishes numbered events to one director."""
+    """Writes numbered events to all connections of one director."""
 
     def __init__(
         self, records: Records, ports: PortAllocator, director: int, incarnation: Callable[[], int]
     ) -> None:
-        """Create one that does not listen yet; `incarnation` returns the number of the current process."""
+        """Create a service that does not listen yet.
+
+        Args:
+            records: Receives a notification for each event written to a connection.
+            ports: Allocates the ports to listen at.
+            director: Number of the director.
+            incarnation: Returns the number of the director's current process.
+        """
         self.records = records
         self.ports = ports
         self.director = director
@@ -47,7 +54,7 @@
         self.port = 0
         self._events: list[_Event] = []
         self._server: asyncio.Server | None = None
-        self._writers: dict[asyncio.StreamWriter, int] = {}  # with the number of the last event written
+        self._writers: dict[asyncio.StreamWriter, int] = {}  # by connection: number of the last event written
 
     @property
     def last_number(self) -> int:
@@ -55,7 +62,7 @@
         return FIRST_NUMBER + len(self._events)
 
     async def start(self, port: int = 0) -> None:
-        """Listen at a new port, or again at `port` unless it listens already."""
+        """Listen at a new port, or at `port`; does nothing if `port` is given and the service listens."""
         if port and self._server is not None:
             return
         self.port = port or self.ports.allocate()
@@ -69,27 +76,27 @@
         self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Reset all connections: nothing more is written to them."""
+        """Reset all connections; no further events are written to them."""
         for writer in list(self._writers):
             reset_connection(writer)
         self._writers.clear()
 
     async def move(self) -> None:
-        """Listen at another port; connections to the old one are closed after `MOVED_GRACE` seconds."""
+        """Listen at a new port instead; existing connections are closed after `MOVED_GRACE` seconds."""
         old_server, writers = self._server, list(self._writers)
         await self.start()
         if old_server is not None:
             old_server.close()
 
         def close_old_connections() -> None:
-            """Close what clients still hold of the old address."""
+            """Close the connections that were made to the old address."""
             for writer in writers:
                 writer.close()
 
         asyncio.get_running_loop().call_later(MOVED_GRACE, close_old_connections)
 
     def publish_node(self, kind: NotificationKind, node: Node) -> None:
-        """Publish the present state of a node."""
+        """Publish the current state of a node."""
         endpoint = wire.EndpointRecord(
             node.name,
             node.port,
--- a/ironhinge/lab/soak/faults.py
+++ b/ironhinge/lab/soak/faults.py
@@ -12,19 +12,19 @@
 from .records import ColdStart, NotificationKind, Records
 from .servers import EDGE_ZONE, Fleet, Node, NodeKind, NodeState
 
-DISCOVERY_DELAY = 0.2  # seconds until discovery announces a change
-DRAIN_EXTRA = 1.0  # seconds that a drain lasts beyond its drawn duration
-MAX_PAUSE_DELAY = 0.001  # seconds from a client's write: while the director handles it
-MIN_READY_CACHES = 2  # below this no cache is drained
+DISCOVERY_DELAY = 0.2  # seconds until discovery publishes that a node was killed or started
+DRAIN_EXTRA = 1.0  # seconds that are added to the drawn duration of a drain
+MAX_PAUSE_DELAY = 0.001  # seconds from a client's write, so that the pause hits the director handling it
+MIN_READY_CACHES = 2  # no cache is drained while fewer are ready
 
 
 class FaultInjector:
-    """Applies faults, each at its time."""
+    """Applies the fault events of a plan at their scheduled times."""
 
     def __init__(
         self, plan: Plan, records: Records, fleet: Fleet, caches: list[Node], directors: list[Director]
     ) -> None:
-        """Create a player; it appends the caches that it starts to `caches`."""
+        """Create an injector; it appends the replacement caches that it starts to `caches`."""
         self.plan = plan
         self.records = records
         self.fleet = fleet
@@ -33,7 +33,7 @@
         self._rng = Random(plan.seed)
 
     async def apply(self, event: FaultEvent, started_at: float) -> None:
-        """Wait until a fault is due, counted from `started_at` on the monotonic clock, and apply it."""
+        """Wait until `event.at` seconds after `started_at` (monotonic clock) and apply the fault."""
         await asyncio.sleep(max(0.0, started_at + event.at - time.monotonic()))
         match event.kind:
             case (
@@ -108,7 +108,7 @@
         node.stop()
 
     async def _replace(self, node: Node, duration: float) -> None:
-        """Kill a node; a cold one with another name and address starts later."""
+        """Kill a node, and later start a replacement with an empty cache, a new name and a new address."""
         if node.state != NodeState.READY:
             return
         node.state = NodeState.REMOVED
@@ -122,7 +122,7 @@
         await self._announce_cold_start(replacement)
 
     async def _restart(self, node: Node, duration: float) -> None:
-        """Restart a node soon, cold, under its old name."""
+        """Kill a node and start it again with an empty cache and a new port, under the same name."""
         if node.state != NodeState.READY:
             return
         node.stop()
@@ -169,7 +169,7 @@
 
 
 def _repeat_sigterm(director: Director) -> None:
-    """Send another SIGTERM, only to a director that is shutting down already."""
+    """Send another SIGTERM to a director that is already shutting down; does nothing otherwise."""
     record = director.record
     if record is not None and record.terminated_at is not None and record.exited_at is None:
         director.send(signal.SIGTERM)
--- a/ironhinge/lab/soak/plan.py
+++ b/ironhinge/lab/soak/plan.py
@@ -1,6 +1,7 @@
-"""Draws what a seed plays: request classes, load, and faults. Pure; the same seed gives the same plan.
+"""Draws the plan of a soak run from a seed: request classes, load and faults.
 
-The order of the draws must not change: seeds stand for recorded faults.
+The same seed always gives the same plan. The order of the draws must not change: recorded seeds identify runs
+in which the director failed, and have to reproduce them.
 """
 
 from __future__ import annotations
@@ -10,15 +11,17 @@
 from random import Random
 from typing import Any
 
-DRAIN_GRACE, PURGE_GRACE, PURGE_SETTLE_TIME = 0.5, 0.3, 6.0  # seconds
-# slow start of a cache: its first share, and the seconds until it has all; its limit is a multiple of the
-# weight in a window of so many seconds
+# seconds: a director may use a draining node, or serve purged copies, this long after the notification; nodes
+# have applied a purge by themselves after the settle time
+DRAIN_GRACE, PURGE_GRACE, PURGE_SETTLE_TIME = 0.5, 0.3, 6.0
+# slow start of a cache: its initial share of its weight, and the seconds until it has its full weight; per
+# window (seconds), its work is limited to a multiple of that share
 SLOW_START_SHARE, SLOW_START_DURATION = 0.25, 4.0
 SLOW_START_WINDOW, SLOW_START_MULTIPLE = 1.0, 3.0
-TRANSFER_RATE = 4000.0  # KB a second of one transfer
-NODE_WEIGHTS = (4, 1)  # transfers at full rate that a cache can do; one is drawn for a run
-GROUPS = 8  # purge groups; an object's is its number modulo this
-OBJECTS = 40  # that clients request and purges name
+TRANSFER_RATE = 4000.0  # KB per second of one transfer
+NODE_WEIGHTS = (4, 1)  # concurrent transfers at full rate per cache; one value is drawn per run
+GROUPS = 8  # number of purge groups; an object's group is its number modulo this
+OBJECTS = 40  # number of objects that are requested and purged
 
 TRANSIENT_ERRORS = ("ENOBUFS", "ENOMEM", "EINTR")
 INJECTED_CALLS = ("send", "recv_into", "setsockopt", "accept", "connect", "socket")
@@ -29,8 +32,8 @@
     "setsockopt": ("ENOBUFS", "ENOMEM"),
 }
 
-# shares of the seeds
-CALL_OUTAGE_SHARE = 0.3  # one call fails altogether for a moment
+# probabilities, per director for system calls and the clock, per seed for discovery and paths
+CALL_OUTAGE_SHARE = 0.3  # of a short time in which every call of one kind fails
 CLOCK_STEP_SHARE = 0.6
 SHORT_CALLS_SHARE = 0.5
 DISCOVERY_OUTAGE_SHARE = 0.4
@@ -38,22 +41,24 @@
 DELAYED_PATH_SHARE = 0.5
 PIECEWISE_PATH_SHARE = 0.3
 NODE_PATH_SHARE = 0.3
-PAUSED_SIGNAL_SHARE = 0.5  # of the signals, around which the director is stopped and continued
+PAUSED_SIGNAL_SHARE = 0.5  # share of the signals around which the director is stopped and continued
 
-EXTENSION_SEED_OFFSET = 0x570B  # of the generator of what was added later: the older draws stay as they were
+# offset of the seed of a separate generator for draws that were added later: the older draws of a seed stay the
+# same
+EXTENSION_SEED_OFFSET = 0x570B
 MAX_PAUSE_DURATION = 0.4  # seconds
 
 
 class Idempotency(StrEnum):
-    """What repeating a request does, under the platform's names."""
+    """Whether a request may be executed more than once; the values are the platform's names."""
 
     IDEMPOTENT = "repeatable"
-    KEYED = "by_key"  # repeats with the same idempotency key are dropped
+    KEYED = "by_key"  # nodes drop repeats with the same idempotency key
     NON_IDEMPOTENT = "once"
 
 
 class DedupScope(StrEnum):
-    """Which nodes know one another's idempotency keys."""
+    """Which nodes share the idempotency keys that they have seen."""
 
     ALL = "all"
     ZONE = "zone"
@@ -61,7 +66,7 @@
 
 
 class FaultKind(StrEnum):
-    """What a fault does to a process or a connection."""
+    """Kinds of faults and events that a plan applies to directors, nodes and discovery."""
 
     RESTART_DIRECTOR = "term"
     KILL_DIRECTOR = "kill"
@@ -81,7 +86,7 @@
     PURGE_GROUP = "purge group"
 
 
-# drawn with equal weight, which is why some stand twice; None: no fault
+# one is drawn, equally likely; RESTART_DIRECTOR is listed twice to double its share; None: no fault
 DIRECTOR_FAULTS = (
     FaultKind.RESTART_DIRECTOR,
     FaultKind.RESTART_DIRECTOR,
@@ -102,21 +107,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; times in seconds."""
+    """A request class; times in seconds."""
 
     name: str
     idempotency: Idempotency
-    dedup_scope: DedupScope | None  # of keyed requests
+    dedup_scope: DedupScope | None  # of keyed classes
     deadline: float
     dedup_window: float
-    freshness_lifetime: float  # 0: copies may be served until they are purged
+    freshness_lifetime: float  # of a copy; 0: no limit, copies are served until they are purged
 
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """A fault at a second of the run."""
+    """A fault that is applied at a given time of the run."""
 
-    at: float
+    at: float  # seconds since the start of the load
     kind: FaultKind
     target: int = 0  # index of a director or cache, or number of an object or group
     duration: float = 0.0  # seconds
@@ -124,11 +129,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NetworkPath:
-    """What a proxy does to the connections that it carries."""
+    """How a proxy delays and splits the bytes of its connections."""
 
     delay: float = 0.0  # seconds in each direction
-    piece_bytes: int = 0  # passed on at a time; 0: as they arrive
-    end_delay: float = 0.0  # further seconds that the end of a side is delayed
+    piece_bytes: int = 0  # bytes forwarded at a time; 0: forwarded as they arrive
+    end_delay: float = 0.0  # additional seconds by which the close of either side is delayed
 
 
 DIRECT_PATH = NetworkPath()  # no proxy
@@ -136,28 +141,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Everything that one seed plays."""
+    """All parameters and faults of the run of one seed."""
 
     seed: int
-    seconds: float
+    seconds: float  # minimum duration of the load
     director_count: int
     cache_count: int
     classes: tuple[RequestClass, ...]
     clients_per_director: int
-    idle_connections: int  # for each director
+    idle_connections: int  # per director
     descriptor_limit: int
     injection_scripts: tuple[dict[str, Any], ...]  # by director
-    client_paths: tuple[NetworkPath, ...]  # one is drawn for each client
+    client_paths: tuple[NetworkPath, ...]  # one is drawn per client
     node_path: NetworkPath
-    reset_share: float  # of the commands, under which a node resets the connection
-    error_share: float
-    unanswered_share: float
+    # shares of the commands that a node receives
+    reset_share: float  # connection reset after execution; half of this share before execution
+    error_share: float  # rejected without execution; half of this share gets an error after execution
+    unanswered_share: float  # executed and not answered
     fault_events: tuple[FaultEvent, ...] = ()
     node_weight: int = NODE_WEIGHTS[0]
 
 
 def _draw_injection_script(rng: Random) -> dict[str, Any]:
-    """Draw the faults of one director's system calls and wall clock."""
+    """Draw the fault script of one director (system calls, wall clock) for `lab/injection`."""
     calls: list[dict[str, Any]] = []
     for call in rng.sample(INJECTED_CALLS, 3):
         errors = ERRORS_BY_CALL.get(call, TRANSIENT_ERRORS)
@@ -208,7 +214,7 @@
 
 
 def _draw_pauses(rng: Random, seconds: float, directors: int, events: list[FaultEvent]) -> list[FaultEvent]:
-    """Draw stops around the signals that directors get, and at moments around the writes of clients."""
+    """Draw pauses (SIGSTOP to SIGCONT) around the directors' signals and right after writes of clients."""
     pauses = []
     for event in events:
         is_signal = event.kind in (
@@ -263,7 +269,7 @@
 
 
 def draw_plan(seed: int, seconds: float = 8.0) -> Plan:
-    """Return what a seed plays in so many seconds."""
+    """Return the plan of a seed for a run of `seconds` seconds."""
     rng = Random(seed)
     directors, caches = rng.choice([1, 2, 3]), rng.choice([2, 3, 5, 8])
     idle_connections = rng.choice([0, 0, 0, 150])
--- a/ironhinge/lab/soak/proxy.py
+++ b/ironhinge/lab/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback: it delays bytes, passes them on in pieces, and delays the end of a side."""
+"""A TCP proxy on loopback that delays bytes, forwards them in pieces, and delays the close of either side."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from .plan import NetworkPath
 from .sockets import READ_BYTES
 
-MAX_PIECES = 64  # of one read: pieces grow beyond the path's size to stay within this
+MAX_PIECES = 64  # per read, approximately: for large reads, pieces are larger than `piece_bytes`
 
 
 class _Chunk(NamedTuple):
-    """Bytes of one read, or the end of the side, and when to pass them on."""
+    """The bytes of one read, or None for the end of the stream, and when to forward them."""
 
     due: float
     data: bytes | None
 
 
 class Proxy:
-    """Passes the connections to one port on to another."""
+    """Forwards connections from one port to another over a `NetworkPath`."""
 
     def __init__(self, listen_port: int, target_port: int, path: NetworkPath) -> None:
         """Create a proxy that does not listen yet."""
@@ -30,7 +30,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
-        """Listen and return the port.
+        """Start to listen and return the port.
 
         Raises:
             OSError: The port is taken.
@@ -39,7 +39,7 @@
         return self.listen_port
 
     def stop(self) -> None:
-        """Stop listening and end all carried connections."""
+        """Stop listening and abort all forwarded connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -67,7 +67,7 @@
             writer.close()
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Pass each read on after the path's delay, in order, also where delays overlap."""
+        """Forward each read after the path's delay, in order; reading goes on in the meantime."""
         queue: asyncio.Queue[_Chunk] = asyncio.Queue()
         loop = asyncio.get_running_loop()
         writing = asyncio.ensure_future(self._write_chunks(queue, writer))
--- a/ironhinge/lab/soak/readiness.py
+++ b/ironhinge/lab/soak/readiness.py
@@ -1,4 +1,4 @@
-"""Readiness queries, and idle connections that use up a director's descriptors."""
+"""Readiness queries, and idle connections that exhaust a director's descriptors."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 from . import wire
 
-READY = 1  # first byte of a readiness answer
-RECONNECT_DELAY = 0.05  # seconds
-CONNECT_INTERVAL = 0.004  # seconds between the first connections
-QUERY_SHARE = 0.5  # of the idle connections, that query readiness first
-MAX_REOPEN_DELAY = 0.3  # seconds before a closed connection is opened again
+READY = 1  # first payload byte of the readiness answer of a ready director
+RECONNECT_DELAY = 0.05  # seconds after the director could not be reached
+CONNECT_INTERVAL = 0.004  # seconds between the first connection attempts
+QUERY_SHARE = 0.5  # share of the idle connections that query readiness first
+MAX_REOPEN_DELAY = 0.3  # seconds until a closed connection is opened again
 QUERY = wire.encode_frame(wire.FrameType.READINESS_QUERY, 0, b"\0")
 
 
 async def is_ready(port: int, timeout: float) -> bool:  # noqa: ASYNC109 - a timeout of each step
-    """Return whether a director answers on a new connection that it is ready."""
+    """Return whether a director reports on a new connection that it is ready."""
     try:
         reader, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", port), timeout)
     except (TimeoutError, OSError):
@@ -40,13 +40,13 @@
 async def hold_idle_connections(
     count: int, port: Callable[[], int | None], deadline: float, rng: Random
 ) -> None:
-    """Hold idle connections that are opened again whenever they are closed, until the deadline.
+    """Keep idle connections open until the deadline; each is opened again after it is closed.
 
     Args:
-        count: How many.
-        port: Returns the port at which the director can be reached now, or None.
-        deadline: Time of the monotonic clock.
-        rng: Draws which of them query readiness, and their pauses.
+        count: Number of connections.
+        port: Returns the director's current port, or None while it cannot be reached.
+        deadline: End time on the monotonic clock.
+        rng: Draws which connections query readiness, and the delays before they are reopened.
     """
     tasks: list[asyncio.Task[None]] = []
     for _ in range(count):
--- a/ironhinge/lab/soak/records.py
+++ b/ironhinge/lab/soak/records.py
@@ -1,6 +1,6 @@
-"""What clients and stand-ins record during a run; the audit knows nothing else.
+"""What clients and stand-ins record during a run: the only input of the audit besides the plan.
 
-Times are seconds of the monotonic clock of the process that plays all clients and stand-ins.
+Times are in seconds on the monotonic clock of the process that runs all clients and stand-ins.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 class ConnectionEnding(StrEnum):
     """How a client's connection ended."""
 
-    BY_DIRECTOR = "end"  # the director closed it
-    RESET = "reset"
-    BY_CLIENT = "ours"
+    BY_DIRECTOR = "end"  # closed by the director
+    RESET = "reset"  # ended by a connection error
+    BY_CLIENT = "ours"  # closed or reset by the client
 
 
 class NotificationKind(StrEnum):
-    """What an event of discovery tells."""
+    """What a discovery event reports about its target: the state of a node, or a purge."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -42,12 +42,12 @@
 
     number: int
     director: int
-    incarnation: int  # which process of that director, from 1
-    path_delay: float  # seconds that a proxy delays bytes in either direction
-    end_delay: float  # further seconds that it delays the end of a side
+    incarnation: int  # number of the director's process, from 1
+    path_delay: float  # seconds by which a proxy delays bytes, in each direction
+    end_delay: float  # additional seconds by which it delays the close of either side
     opened_at: float
-    error_at: float | None = None  # the director reported a violation of the protocol
-    goaway_at: float | None = None  # the director announced that it takes no new request
+    error_at: float | None = None  # the director reported a protocol error by the client
+    goaway_at: float | None = None  # the director announced that it accepts no new requests
     ended_at: float | None = None
     ending: ConnectionEnding | None = None
 
@@ -57,22 +57,22 @@
 
     at: float
     code: int
-    body: str  # up to the padding
+    body: str  # the start of the body, without the padding
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request on the wire."""
+    """A request that a client started, and its answers; a retry is a request of its own."""
 
     trace: str
-    operation: str  # common to all attempts: the requested object, or the first trace of a write
+    operation: str  # same for all retries: the requested object, or the trace of a write's first request
     class_name: str
     connection: ConnectionRecord
     client_timeout: float  # seconds
     started_at: float = 0.0
-    written_at: float | None = None  # the last byte was given to the system
-    cancelled_at: float | None = None  # by a frame, or by closing the connection
-    answers: list[AnswerRecord] = field(default_factory=list)
+    written_at: float | None = None  # when the last byte was passed to the transport
+    cancelled_at: float | None = None  # by a CANCEL frame, or by closing the connection
+    answers: list[AnswerRecord] = field(default_factory=list)  # more than one is a violation
 
 
 @dataclass(slots=True)
@@ -81,14 +81,14 @@
 
     node: str
     trace: str
-    at: float  # of its first byte
-    complete_at: float
-    fields: dict[str, str]
+    at: float  # arrival of its first byte
+    complete_at: float  # when it was received completely
+    fields: dict[str, str]  # of the command
 
 
 @dataclass(slots=True)
 class Execution:
-    """A write had its effect at a node."""
+    """The execution of a write at a node."""
 
     node: str
     operation: str
@@ -98,38 +98,38 @@
 
 @dataclass(slots=True)
 class ColdStart:
-    """A node started with an empty cache, and when discovery announced it."""
+    """A start of a node with an empty cache."""
 
     node: str
     started_at: float
-    announced_at: float | None = None
+    announced_at: float | None = None  # when discovery published that the node is ready
 
 
 @dataclass(slots=True)
 class Notification:
-    """An event that was written to a director's connection to discovery, or into its configuration."""
+    """An event that was sent to a director over its discovery connection, or in its configuration."""
 
     director: int
     incarnation: int
     at: float
     kind: NotificationKind
     target: str  # name of a node, an object or a group
-    happened_at: float
+    happened_at: float  # when the event was published
 
 
 @dataclass(slots=True)
 class DirectorIncarnation:
-    """One process of a director."""
+    """One process of a director: a new one is started after each exit."""
 
     director: int
     number: int  # from 1
     started_at: float
     ready_at: float | None = None
-    terminated_at: float | None = None  # SIGTERM
-    killed_at: float | None = None  # SIGKILL
+    terminated_at: float | None = None  # when SIGTERM was sent
+    killed_at: float | None = None  # when SIGKILL was sent
     exited_at: float | None = None
     exit_code: int | None = None
-    pauses: list[tuple[float, float]] = field(default_factory=list)  # SIGSTOP to SIGCONT
+    pauses: list[tuple[float, float]] = field(default_factory=list)  # from SIGSTOP to SIGCONT
     peak_descriptors: int = 0
     peak_memory_mb: float = 0.0
     log_path: str = ""
@@ -137,7 +137,7 @@
 
 @dataclass(slots=True)
 class Records:
-    """Everything that was recorded in a run."""
+    """All records of a run."""
 
     connections: list[ConnectionRecord] = field(default_factory=list)
     requests: list[RequestRecord] = field(default_factory=list)
@@ -146,6 +146,6 @@
     cold_starts: list[ColdStart] = field(default_factory=list)
     notifications: list[Notification] = field(default_factory=list)
     incarnations: list[DirectorIncarnation] = field(default_factory=list)
-    unix_offset: float = 0.0  # seconds from the monotonic clock to Unix time
-    max_lag: float = 0.0  # seconds that the recording process itself was late
-    lags: list[tuple[float, float]] = field(default_factory=list)  # time and lag, over 20 ms
+    unix_offset: float = 0.0  # seconds to add to a monotonic time to get Unix time
+    max_lag: float = 0.0  # seconds: the largest lag of the recording process
+    lags: list[tuple[float, float]] = field(default_factory=list)  # time and seconds of each lag over 20 ms
--- a/ironhinge/lab/soak/report.py
+++ b/ironhinge/lab/soak/report.py
@@ -1,4 +1,4 @@
-"""The report of one seed, for a line of JSON. Key names are a public format."""
+"""The report of one seed as a JSON object. The keys are a public format and must not change."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from .records import Records
 from .timeline import timeline
 
-MAX_FINDINGS = 10  # that are reported in full
-OTHER_RULES = (
+MAX_FINDINGS = 10  # further findings are counted but not listed
+OTHER_RULES = (  # violations of these are reported as one number, `broken_rules`
     Rule.PROTOCOL_ERROR,
     Rule.DRAIN,
     Rule.PURGE,
@@ -24,7 +24,7 @@
 
 
 def build_report(plan: Plan, records: Records, audit_result: AuditResult) -> dict[str, Any]:
-    """Return the figures of a seed and its first findings."""
+    """Return the counts of a seed and its first findings, each with the timeline of its request."""
     return {
         "seed": plan.seed,
         "requests": audit_result.requests,
--- a/ironhinge/lab/soak/run.py
+++ b/ironhinge/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one plan with stand-ins, directors as processes, clients and faults, and has the audit judge it."""
+"""Runs one plan: starts stand-ins and director processes, applies load and faults, and audits the records."""
 
 from __future__ import annotations
 
@@ -25,34 +25,34 @@
 from .report import build_report
 from .servers import EDGE_ZONE, HUB_ZONE, Fleet, Node, NodeKind, NodeState
 
-MEASURE_INTERVAL = 0.1  # seconds
-LAG_TOLERANCE = 0.02  # seconds that this process may be late without a record of it
-EXIT_TIMEOUT = 6.0  # seconds after SIGTERM, when no client is left
-KILL_MARGIN = 0.3  # seconds for which clients go on after a kill
-FORCED_EXIT = -1  # exit code recorded for a director that had to be killed
-LOG_EXCERPT = 500  # characters of each log in an error message
+MEASURE_INTERVAL = 0.1  # seconds between measurements of the directors' resource usage
+LAG_TOLERANCE = 0.02  # seconds: smaller lags of this process are not recorded
+EXIT_TIMEOUT = 6.0  # seconds after SIGTERM in which a director without clients has to exit
+KILL_MARGIN = 0.3  # seconds for which clients go on sending after a kill
+FORCED_EXIT = -1  # exit code recorded for a director that did not exit within EXIT_TIMEOUT
+LOG_EXCERPT = 500  # last characters of each log that an error message shows
 
 
 class SoakRun:
-    """The processes, sockets and records of one seed."""
+    """The processes, sockets and records of one run."""
 
     def __init__(self, plan: Plan) -> None:
-        """Create a run; nothing is started yet, but its temporary folder exists."""
+        """Create a run and its temporary folder; nothing is started yet."""
         self.plan = plan
         self.records = Records()
         self.folder = Path(tempfile.mkdtemp(prefix="ironhinge-soak-"))
         self.fleet = Fleet(plan, self.records)
-        # each director has a discovery of its own, so that what it was notified of is known
+        # one discovery service per director, so that its notifications can be recorded separately
         self.discoveries: list[Discovery] = []
         self.directors = [Director(self, number) for number in range(plan.director_count)]
         self.caches: list[Node] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     async def execute(self) -> AuditResult:
-        """Play the plan and judge the records.
+        """Run the plan and audit the records.
 
         Raises:
-            DirectorStartError: A director did not come up at the start.
+            DirectorStartError: A director did not become ready at the start.
         """
         try:
             await self._start()
@@ -78,10 +78,12 @@
             await self._start_discovery_and_proxies(director)
         await asyncio.gather(*(director.start() for director in self.directors))
         if not all(director.accepting for director in self.directors):
-            raise DirectorStartError(f"a director did not come up: {self._log_excerpts()}")
+            raise DirectorStartError(
+                f"a director did not become ready; the logs end with: {self._log_excerpts()}"
+            )
 
     async def _start_discovery_and_proxies(self, director: Director) -> None:
-        """Start a director's discovery, and the proxies between its clients and it."""
+        """Start a director's discovery service, and the proxies between the director and its clients."""
         ports = self.fleet.ports
         discovery = Discovery(self.records, ports, director.number, director.current_incarnation)
         await discovery.start()
@@ -97,7 +99,7 @@
         return "".join(log.read_text()[-LOG_EXCERPT:] for log in logs)
 
     def configuration(self, director: Director) -> dict[str, Any]:
-        """Return a director's configuration as of now, and record what it notifies of."""
+        """Return a director's current configuration, and record the drains that it contains."""
         updates = known_updates(self.fleet, director.discovery)
         for node in self.fleet.nodes.values():
             if node.state == NodeState.DRAINING:
@@ -131,7 +133,7 @@
         self.fleet.stop_proxies()
 
     def remove_folder(self) -> None:
-        """Remove the temporary folder with the logs."""
+        """Remove the temporary folder, which contains the logs."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
     # Load and faults
@@ -159,7 +161,11 @@
                 await self._shut_down(director)
 
     def _load_duration(self) -> float:
-        """Return how long clients send: until after the last kill, as they use connections until then."""
+        """Return the seconds for which clients send: until `KILL_MARGIN` after the last possible kill or longer.
+
+        A restarted director that does not exit is killed some time after SIGTERM, and clients go on using its
+        connections until then.
+        """
         kills = [
             event.at + time_to_kill(self.plan) + KILL_MARGIN
             for event in self.plan.fault_events
@@ -168,7 +174,10 @@
         return max([self.plan.seconds, *kills])
 
     async def _shut_down(self, director: Director) -> None:
-        """End a director at the planned end of a run: without clients it has to exit by itself."""
+        """Send SIGTERM at the end of the run; without clients the director has to exit within `EXIT_TIMEOUT`.
+
+        If it does not, record `FORCED_EXIT` as its exit code and kill it.
+        """
         assert director.record is not None
         assert director.exit_task is not None
         director.record.terminated_at = time.monotonic()
@@ -180,7 +189,7 @@
             director.send(signal.SIGKILL)
 
     def _client_port(self, director: Director, path: NetworkPath) -> int | None:
-        """Return the port at which a director can be reached over a path now, or None."""
+        """Return a director's current port for a path, or None while it cannot be reached."""
         if not director.accepting:
             return None
         return director.client_ports[self.plan.client_paths.index(path)]
@@ -204,7 +213,7 @@
             await asyncio.sleep(MEASURE_INTERVAL)
 
     async def _measure_lag(self) -> None:
-        """Record how late this process is: its own times are off by as much."""
+        """Record how late this process wakes from a sleep: recorded times can be late by as much."""
         while True:
             due = time.monotonic() + LAG_TOLERANCE / 2
             await asyncio.sleep(LAG_TOLERANCE / 2)
@@ -215,14 +224,14 @@
 
 
 def run_plan(plan: Plan, log_folder: Path | None = None) -> dict[str, Any]:
-    """Play a plan and return its report.
+    """Run a plan and return its report.
 
     Args:
-        plan: What to play.
-        log_folder: Where the directors' logs are copied to if the audit has findings.
+        plan: The plan to run.
+        log_folder: Folder to which the directors' logs are copied if the audit has findings.
 
     Raises:
-        DirectorStartError: A director did not come up at the start.
+        DirectorStartError: A director did not become ready at the start.
     """
     run = SoakRun(plan)
     try:
--- a/ironhinge/lab/soak/servers.py
+++ b/ironhinge/lab/soak/servers.py
@@ -1,6 +1,6 @@
-"""Stand-ins for cache nodes and the origin.
+"""Stand-ins (fake servers) for cache nodes, the parent and the origin.
 
-They answer as the protocol page says, fail as the plan says, and record what they receive.
+They answer commands by the operators' protocol, fail at the rates of the plan, and record what they receive.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 ZONES = ("edge", "hub")
 KIND_NAMES = ("std", "parent", "origin")  # by NodeKind
 EDGE_ZONE, HUB_ZONE = 0, 1
-SERVICE_TIME = 0.015  # seconds, mean
-SHORT_TIME_LEFT = 0.02  # seconds: a request with less time left may be dropped
-SHORT_TIME_DROP_SHARE = 0.5
-BODY_PADDING = 1500  # bytes
-UNLIMITED_AGE = 1e9  # seconds
+SERVICE_TIME = 0.015  # seconds: mean of the exponentially distributed time to execute a command
+SHORT_TIME_LEFT = 0.02  # seconds: a command with less time left may be dropped without an answer
+SHORT_TIME_DROP_SHARE = 0.5  # share of these commands that are dropped
+BODY_PADDING = 1500  # bytes after the object name and time in each body
+UNLIMITED_AGE = 1e9  # seconds: maximum age of a copy where no limit is set
 
 
 class NodeKind(IntEnum):
-    """What a node is, as its index on the wire."""
+    """Kind of a node; the value is its index on the wire."""
 
     CACHE = 0
     PARENT = 1
@@ -36,7 +36,7 @@
 
 
 class NodeState(IntEnum):
-    """State of a node in the endpoint list, as on the wire."""
+    """State of a node in the endpoint list; the value is its code on the wire."""
 
     READY = 0
     DRAINING = 1
@@ -44,36 +44,38 @@
 
 
 class AnswerStatus:
-    """Status words of answers to commands."""
+    """Statuses of answers to commands, as on the wire."""
 
     DONE = b"ACK"
     MISSING = b"NOENT"
-    RETRY = b"AGAIN"
+    RETRY = b"AGAIN"  # not executed, may be sent again
     FAILED = b"EIO"
-    NO_TEXT = b"-"
+    NO_TEXT = b"-"  # placeholder in the text field of an answer without text
 
 
 class Node:
     """A cache node, a parent or the origin."""
 
     def __init__(self, fleet: Fleet, number: int, kind: NodeKind, zone: int) -> None:
-        """Create a node that does not listen yet; even and odd numbers are different cells."""
+        """Create a node that does not listen yet; its cell is 0 for even numbers and 1 for odd ones."""
         self.fleet = fleet
         self.name = f"s-{number:08x}"
         self.kind = kind
         self.zone = zone
         self.cell = number % 2
         self.port = 0
-        self.hanging = False  # records commands and answers none
+        self.hanging = False  # while set, commands are recorded but not answered
         self.state = NodeState.READY
         self.since_ms = 0  # Unix milliseconds of its last cold start
-        self.copies: dict[tuple[str, str], float] = {}  # Unix time at which the origin issued a copy
+        self.copies: dict[
+            tuple[str, str], float
+        ] = {}  # by object and part: Unix time at which the origin issued the copy
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, path: NetworkPath = DIRECT_PATH) -> None:
-        """Listen at a new port, behind a proxy where the plan has one.
+        """Listen at a new port, behind a proxy unless `path` is `DIRECT_PATH`.
 
         Raises:
             PortsExhaustedError: The system has no port left.
@@ -83,7 +85,7 @@
         self.port = port if path == DIRECT_PATH else await self.fleet.start_proxy(port, path)
 
     def stop(self) -> None:
-        """End as a killed process does: connections are reset and copies are lost."""
+        """Stop like a killed process: connections are reset and copies are lost."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -92,7 +94,7 @@
         self.copies.clear()
 
     def end_connections(self, by_reset: bool) -> None:
-        """End all connections, whatever is in flight on them."""
+        """Reset or close all connections, even with commands in flight."""
         for writer in list(self._writers):
             if by_reset:
                 reset_connection(writer)
@@ -140,13 +142,13 @@
                 task.add_done_callback(self._tasks.discard)
 
     async def _answer(self, arrival: Arrival, writer: asyncio.StreamWriter) -> None:
-        """Handle one request: it may be rejected or executed, and be answered or not."""
+        """Execute and answer one command, or fail it in one of the ways of the plan, drawn at random."""
         rng, plan, request_id = self.fleet.rng, self.fleet.plan, arrival.trace.encode()
         time_left = float(arrival.fields.get("ms", "0")) / 1000
         if time_left < SHORT_TIME_LEFT and rng.random() < SHORT_TIME_DROP_SHARE:
             return
         if rng.random() < plan.reset_share / 2:
-            reset_connection(writer)  # before it was executed
+            reset_connection(writer)  # before execution
             return
         if rng.random() < plan.error_share:
             writer.write(wire.encode_array(request_id, AnswerStatus.RETRY, AnswerStatus.NO_TEXT))
@@ -155,7 +157,7 @@
         is_write = arrival.fields["kind"] in self.fleet.write_classes
         answer = self._execute_write(arrival) if is_write else self._read(arrival)
         if rng.random() < plan.unanswered_share:
-            return  # it was executed, and nobody learns of it
+            return  # executed, but not answered
         if rng.random() < plan.reset_share:
             reset_connection(writer)
             return
@@ -164,7 +166,7 @@
         writer.write(wire.encode_array(request_id, *answer))
 
     def _execute_write(self, arrival: Arrival) -> tuple[bytes, bytes, bytes]:
-        """Execute a write; repeats of a keyed one are dropped within their scope and window."""
+        """Execute a write; repeats of a keyed write are dropped within its deduplication scope and window."""
         source = self.fleet.nodes.get(arrival.fields.get("parent", ""))
         if self.kind == NodeKind.CACHE and source is None:
             return AnswerStatus.MISSING, AnswerStatus.NO_TEXT, b""
@@ -175,7 +177,7 @@
         return AnswerStatus.DONE, b"res=f", self.fleet.body(operation, 0.0)
 
     def _read(self, arrival: Arrival) -> tuple[bytes, bytes, bytes]:
-        """Serve a copy that is fresh enough, or a new one."""
+        """Serve the stored copy if it is fresh enough, else a new one, which is stored where requested."""
         fields, now = arrival.fields, time.time()
         key = fields["obj"], fields.get("seg", "0")
         class_max_age = self.fleet.freshness_lifetime[fields["kind"]]
@@ -194,7 +196,7 @@
         return AnswerStatus.DONE, text, self.fleet.body(key[0], issued_at)
 
     def _stored_copy(self, key: tuple[str, str]) -> float | None:
-        """Return when the stored copy was issued, unless a settled purge has dropped it."""
+        """Return when the stored copy was issued; None if there is none, or a settled purge evicts it now."""
         issued_at = self.copies.get(key)
         if issued_at is not None and issued_at < self.fleet.purged_before(key[0]):
             del self.copies[key]
@@ -203,7 +205,7 @@
 
 
 class Fleet:
-    """All nodes of a run, and what they share."""
+    """All nodes of a run, and the state that they share."""
 
     def __init__(self, plan: Plan, records: Records) -> None:
         """Create a fleet without nodes."""
@@ -218,10 +220,12 @@
             each.name for each in plan.classes if each.idempotency != Idempotency.IDEMPOTENT
         }
         self.freshness_lifetime = {each.name: each.freshness_lifetime for each in plan.classes}
-        self.purged_objects: dict[str, float] = {}  # Unix time of the last purge
+        self.purged_objects: dict[str, float] = {}  # by object: Unix time of the last purge
         self.purged_groups: dict[int, float] = {}
         self.malformed_commands: list[str] = []
-        self._first_executions: dict[tuple[str, str], float] = {}  # by operation and scope
+        self._first_executions: dict[
+            tuple[str, str], float
+        ] = {}  # by operation and scope: time of the execution that repeats are compared with
 
     def add(self, kind: NodeKind, zone: int) -> Node:
         """Return a new node that does not listen yet."""
@@ -230,7 +234,7 @@
         return node
 
     async def start_proxy(self, port: int, path: NetworkPath) -> int:
-        """Start a proxy before a port and return its own port."""
+        """Start a proxy that forwards to a port, and return the proxy's port."""
         proxy = Proxy(self.ports.allocate(), port, path)
         self.proxies.append(proxy)
         return await proxy.start()
@@ -247,18 +251,21 @@
         self.ports.close()
 
     def body(self, object_name: str, issued_at: float) -> bytes:
-        """Return the bytes of a copy; they name it, so that an answer tells its object and age."""
+        """Return a body that starts with the object's name and time of issue, for the audit to check."""
         text = f"{object_name}@{int(issued_at * 1000)};".encode()
         return text + b"." * BODY_PADDING
 
     def purged_before(self, object_name: str) -> float:
-        """Return the Unix time before which copies have been dropped by purges that have settled."""
+        """Return the time of the last settled purge of an object or its group; older copies are evicted."""
         now, group = time.time(), int(object_name, 16) % GROUPS
         purges = (self.purged_objects.get(object_name, 0.0), self.purged_groups.get(group, 0.0))
         return max((at for at in purges if at < now - PURGE_SETTLE_TIME), default=0.0)
 
     def is_repeat(self, class_name: str, operation: str, node: Node) -> bool:
-        """Return whether the scope of this node has executed a keyed operation within its window."""
+        """Return whether a node of the same deduplication scope executed a keyed operation within its window.
+
+        If not, the operation is remembered as executed now.
+        """
         request_class = self.classes[class_name]
         if request_class.idempotency != Idempotency.KEYED:
             return False
--- a/ironhinge/lab/soak/timeline.py
+++ b/ironhinge/lab/soak/timeline.py
@@ -4,13 +4,13 @@
 
 from .records import ConnectionRecord, Records, RequestRecord
 
-READ_CLASSES = ("read", "part")  # their objects are shared, so executions cannot be attributed
+READ_CLASSES = ("read", "part")  # many requests read the same object, so executions cannot be matched to one
 
 Entry = tuple[float, str]  # time, and what happened
 
 
 def timeline(trace: str, records: Records) -> list[str]:
-    """Return what happened to a request and around its connection, a line each, in order of time."""
+    """Return the events of a request, its connection and its director process, one per line, in order."""
     request = next((each for each in records.requests if each.trace == trace), None)
     if request is None:
         return []
@@ -22,14 +22,14 @@
 def _client_entries(request: RequestRecord) -> list[Entry]:
     connection = request.connection
     entries: list[Entry] = [
-        (request.started_at, f"begun: class {request.class_name}, patience {request.client_timeout:.3f} s")
+        (request.started_at, f"started: class {request.class_name}, timeout {request.client_timeout:.3f} s")
     ]
     for at, text in (
         (connection.opened_at, f"connection {connection.number} opened to director {connection.director}"),
-        (connection.goaway_at, "connection announced to end"),
-        (connection.ended_at, f"connection over: {connection.ending}"),
-        (request.written_at, "written whole"),
-        (request.cancelled_at, "client left"),
+        (connection.goaway_at, "GOAWAY received"),
+        (connection.ended_at, f"connection ended: {connection.ending}"),
+        (request.written_at, "written completely"),
+        (request.cancelled_at, "cancelled by the client"),
     ):
         if at is not None:
             entries.append((at, text))
@@ -45,7 +45,7 @@
     ]
     if request.class_name not in READ_CLASSES:
         entries += [
-            (execution.at, f"ran at {execution.node}")
+            (execution.at, f"executed at {execution.node}")
             for execution in records.executions
             if execution.operation == request.operation
         ]
--- a/ironhinge/lab/soak/wire.py
+++ b/ironhinge/lab/soak/wire.py
@@ -1,6 +1,7 @@
-"""The platform's frames and commands, implemented a second time for the stand-ins.
+"""The platform's frames, commands and discovery events, implemented a second time for clients and stand-ins.
 
-An error in the director's own codec must not cancel out here. Follows the operators' protocol page.
+The director's own codec is not used, as an error in it would then go unnoticed on both sides. The formats are
+those of the operators' protocol documentation.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 LENGTH_BYTES = 4
 HEADER_BYTES = 9  # length, type and stream
-WEIGHT_UNIT = 1000  # weights are written in thousandths
+WEIGHT_UNIT = 1000  # weights are encoded in thousandths
 LOOPBACK = bytes([127, 0, 0, 1])
 ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
 
@@ -41,7 +42,7 @@
 class Frame(NamedTuple):
     """A frame from a director."""
 
-    kind: int
+    kind: int  # a `FrameType`, or another number for types not known here
     stream: int
     payload: bytes
 
@@ -55,12 +56,12 @@
 
 
 def encode_frame(kind: FrameType, stream: int, payload: bytes = b"") -> bytes:
-    """Encode a frame of a client."""
+    """Encode a frame from a client to a director."""
     return struct.pack(">IBI", HEADER_BYTES - LENGTH_BYTES + len(payload), kind, stream) + payload
 
 
 def encode_request(stream: int, fields: dict[str, str]) -> bytes:
-    """Encode a request without a body."""
+    """Encode a request frame; requests have fields but no body."""
     parts = [bytes([len(fields)])]
     for name, value in fields.items():
         parts += [bytes([len(name)]), name.encode(), struct.pack(">H", len(value)), value.encode()]
@@ -68,7 +69,7 @@
 
 
 class FrameReader:
-    """Splits what a director sends to a client into frames."""
+    """Splits the bytes from a director to a client into frames."""
 
     def __init__(self) -> None:
         self._buffer = b""
@@ -102,7 +103,7 @@
 
 
 def encode_array(*items: bytes) -> bytes:
-    """Encode an answer of a node."""
+    """Encode an array of strings: an answer of a node, or a command."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
@@ -114,7 +115,7 @@
 
 
 class CommandReader:
-    """Splits what a director sends to a node into commands."""
+    """Splits the bytes from a director to a node into commands."""
 
     def __init__(self) -> None:
         self._buffer = b""
@@ -154,7 +155,7 @@
         return items, at
 
     def _length_line(self, at: int, prefix: bytes) -> tuple[int, int]:
-        """Return the length in a line and where the next one starts; 0, 0 while it is incomplete."""
+        """Return the length in the line at `at` and the offset of the next line; 0, 0 while incomplete."""
         end = self._buffer.find(b"\r\n", at)
         if end < 0:
             return 0, 0
@@ -164,7 +165,7 @@
 
 
 class EndpointRecord(NamedTuple):
-    """A node in an endpoint list; zone, kind and cell are indices."""
+    """A node of the endpoint list; zone, kind and cell are indices into lists of the settings."""
 
     name: str
     port: int
@@ -173,11 +174,11 @@
     kind: int
     cell: int
     weight: int
-    since_ms: int  # Unix milliseconds of its start
+    since_ms: int  # Unix milliseconds of the node's last cold start; 0: none
 
 
 def encode_endpoints(number: int, endpoints: list[EndpointRecord]) -> bytes:
-    """Encode an event that changes these nodes of the list."""
+    """Encode an event that updates these nodes of the endpoint list."""
     data = b"".join(
         ENDPOINT_RECORD.pack(
             int(endpoint.name[2:], 16),
@@ -196,6 +197,6 @@
 
 
 def encode_event(number: int, kind: EventType, data: bytes) -> bytes:
-    """Encode an event of discovery."""
+    """Encode a discovery event."""
     payload = struct.pack(">QB", number, kind) + data
     return struct.pack(">I", len(payload)) + payload
