--- a/ironhinge/lab/injection/sitecustomize.py
+++ b/ironhinge/lab/injection/sitecustomize.py
@@ -1,8 +1,8 @@
-"""Fault injection for a program under test: system calls fail and the wall clock steps, by a seeded script.
+"""Fault injection into a program under test: system calls fail and the wall clock steps, by a seeded script.
 
-Python imports a module of this name at start-up when its folder is on `PYTHONPATH`, so a program is put under
-faults without knowing of it: it imports nothing of the laboratory. Without the variable `IRONHINGE_FAULTS`
-nothing is changed. The variable holds JSON:
+Python imports a module named `sitecustomize` at start-up if its folder is on `PYTHONPATH`, so the program
+under test needs no change and imports nothing from the lab. If the environment variable `IRONHINGE_FAULTS` is
+not set, nothing is changed. Its value is JSON:
 
     {"seed": 7,
      "calls": [{"call": "send", "errno": "ENOBUFS", "share": 0.02, "from": 1.0, "until": 9.0,
@@ -11,10 +11,15 @@
      "steps": [[2.5, 3600.0]],
      "log": "/path"}
 
-`call` is a method of a socket; only sockets over IPv4 are touched. `share` is the part of the calls that
-fail. `from` and `until` are seconds since the start. `side` is `accepted`, `made` (by connect) or `any`.
-`while` names a file that must exist. Short calls move 1 to 40 bytes. A step moves the wall clock by so many
-seconds, at that second. `log` takes one line for each injected failure.
+`calls` lists rules for failing calls. `call` is the name of a socket method (`connect` for `connect_ex`), or
+`socket` for opening a socket; only IPv4 sockets are affected. `errno` is the name of the error. `share` is
+the share of the calls that fail, 1 by default. A rule applies between `from` and `until`, in seconds since
+the start, and if it has `while`, only while the file of that name exists. `side` selects sockets that were
+accepted (`accepted`), all others, which the program opened itself (`made`), or both (`any`, the default).
+
+`short` gives the share of the calls of a method that transfer only 1 to 40 bytes. Each entry of `steps` is a
+time in seconds since the start and the number of seconds by which the wall clock steps then. `log` names a
+file that gets one line per injected error.
 """
 
 from __future__ import annotations
@@ -28,17 +33,17 @@
 import time
 from typing import Any
 
-MIN_SHORT_CALL_BYTES, MAX_SHORT_CALL_BYTES = 1, 40  # bytes that a short call moves
-NANOSECONDS_PER_SECOND = 1e9  # of a second
-NO_LIMIT = 1 << 30  # bytes: more than any call moves
+MIN_SHORT_CALL_BYTES, MAX_SHORT_CALL_BYTES = 1, 40  # that a short call transfers
+NANOSECONDS_PER_SECOND = 1e9
+NO_LIMIT = 1 << 30  # bytes: more than any call transfers
 ACCEPTED, OUTGOING, ANY_SIDE = "accepted", "made", "any"
 
 
 class FaultScript:
-    """The faults to inject, and the random numbers that decide when."""
+    """The faults to inject, and the random generators that select the calls."""
 
     def __init__(self, text: str) -> None:
-        """Parse a script; its time starts now."""
+        """Parse a script; its times are counted from now."""
         document = json.loads(text)
         self._seed = document.get("seed", 0)
         self._generators: dict[str, random.Random] = {}
@@ -49,11 +54,11 @@
         self._short_shares = {rule["call"]: rule["share"] for rule in document.get("short", [])}
         self._clock_steps = document.get("steps", [])
         log_path = document.get("log")
-        # open for as long as the program runs
+        # stays open until the program exits
         self._log = open(log_path, "a", buffering=1) if log_path else None  # noqa: PTH123, SIM115
 
     def raise_fault(self, call: str, side: str) -> None:
-        """Raise the error that the script has for this call, if any.
+        """Raise the error that the script injects into this call, if any.
 
         Raises:
             OSError: The injected error.
@@ -66,7 +71,7 @@
                 raise OSError(error_number, os.strerror(error_number))
 
     def limit_length(self, call: str, length: int) -> int:
-        """Return how many of `length` bytes the call may move."""
+        """Return how many of `length` bytes the call may transfer."""
         share = self._short_shares.get(call, 0.0)
         rng = self._rng(call)
         if not share or rng.random() >= share:
@@ -74,13 +79,13 @@
         return min(length, rng.randint(MIN_SHORT_CALL_BYTES, MAX_SHORT_CALL_BYTES))
 
     def _rng(self, call: str) -> random.Random:
-        """Return the generator of a call: its faults do not depend on how often other calls are made."""
+        """Return a call's own random generator: its faults do not depend on how often others are made."""
         if call not in self._generators:
             self._generators[call] = random.Random(f"{call} {self._seed}")
         return self._generators[call]
 
     def clock_offset(self) -> float:
-        """Return the seconds by which the wall clock is off now."""
+        """Return the seconds by which the wall clock is off now: the sum of the steps so far."""
         now = self._elapsed()
         return float(sum(offset for at, offset in self._clock_steps if at <= now))
 
@@ -88,7 +93,7 @@
         return time.monotonic() - self._started_at
 
     def _is_active(self, rule: dict[str, Any], side: str) -> bool:
-        """Return whether a rule applies now to a socket of that side."""
+        """Return whether a rule applies now to a socket of side `side`."""
         if rule.get("side", ANY_SIDE) not in (ANY_SIDE, side):
             return False
         if not rule.get("from", 0.0) <= self._elapsed() < rule.get("until", float("inf")):
@@ -101,7 +106,7 @@
 
 
 class InjectedSocket(socket.socket):
-    """A socket whose calls fail as the script says; `install` sets the script."""
+    """A socket whose calls fail by the script, which `install` sets."""
 
     script: FaultScript
     side = OUTGOING
@@ -111,28 +116,28 @@
             self.script.raise_fault(call, self.side)
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Accept a connection; its faults are those of accepted sockets."""
+        """Accept a connection; the new socket gets the faults of accepted sockets."""
         self._inject("accept")
         connection, address = super().accept()
         connection.side = ACCEPTED  # type: ignore[attr-defined]  # it is an InjectedSocket too
         return connection, address
 
     def connect_ex(self, address: Any) -> int:
-        """Connect; an injected error is returned, as `connect_ex` does."""
+        """Connect; an injected error is returned as an error number, as `connect_ex` does."""
         try:
             self._inject("connect")
         except OSError as error:
-            if error.errno == errno.EINTR:  # an interrupted connect goes on by itself, says connect(2)
+            if error.errno == errno.EINTR:  # by connect(2), an interrupted connect continues
                 super().connect_ex(address)
             return error.errno or 0
         return super().connect_ex(address)
 
     @property
     def send(self) -> Any:
-        """The method that sends all or some of the bytes.
+        """A function that sends all or some of the bytes, or raises an injected error.
 
-        What it will do is drawn when the attribute is read, so that the call itself takes no longer than the
-        real one: how long a program takes from its last look at the clock to a call is under test.
+        The fault is drawn when the attribute is read, not in the call, so that the call takes no longer than
+        the real one: the time from a program's last reading of the clock to its call is under test.
         """
         if self.family != socket.AF_INET:
             return super().send
@@ -147,54 +152,54 @@
         return lambda data, *flags: send(memoryview(data)[:limit], *flags)
 
     def recv(self, size: int, *flags: int) -> bytes:
-        """Receive bytes."""
+        """Receive bytes, or raise an injected error."""
         self._inject("recv")
         return super().recv(size, *flags)
 
     def recv_into(self, buffer: Any, size: int = 0, *flags: int) -> int:
-        """Receive all or some of the bytes that fit."""
+        """Receive into a buffer; a short call receives at most a few bytes."""
         self._inject("recv_into")
         limit = self.script.limit_length("recv_into", size or len(buffer))
         return super().recv_into(buffer, limit, *flags)
 
     def sendto(self, data: Any, *rest: Any) -> int:
-        """Send a datagram."""
+        """Send a datagram, or raise an injected error."""
         self._inject("sendto")
         return super().sendto(data, *rest)
 
     def recvfrom(self, *rest: Any) -> tuple[bytes, Any]:
-        """Receive a datagram."""
+        """Receive a datagram, or raise an injected error."""
         self._inject("recvfrom")
         return super().recvfrom(*rest)
 
     def setsockopt(self, *rest: Any) -> None:
-        """Set an option."""
+        """Set a socket option, or raise an injected error."""
         self._inject("setsockopt")
         super().setsockopt(*rest)
 
     def getsockopt(self, *rest: Any) -> Any:
-        """Return an option."""
+        """Return a socket option, or raise an injected error."""
         self._inject("getsockopt")
         return super().getsockopt(*rest)
 
     def shutdown(self, how: int) -> None:
-        """Shut down one or both sides."""
+        """Shut down one or both directions, or raise an injected error."""
         self._inject("shutdown")
         super().shutdown(how)
 
 
 class OpenedSocket(InjectedSocket):
-    """A socket that the program opens: `socket` itself can fail."""
+    """A socket that the program opens itself; opening it can fail."""
 
     def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
-        """Open a socket, or wrap a descriptor."""
+        """Open a socket, or wrap a descriptor; only opening can fail."""
         if fileno is None and family in (-1, socket.AF_INET):
             self.script.raise_fault("socket", OUTGOING)
         super().__init__(family, type, proto, fileno)
 
 
 def install(script: FaultScript) -> None:
-    """Put the script between the program and its sockets and wall clock."""
+    """Replace `socket.socket`, `time.time` and `time.time_ns` by versions that inject the script's faults."""
     InjectedSocket.script = script
     socket.socket = OpenedSocket  # type: ignore[misc]
     real_time, real_time_ns = time.time, time.time_ns
--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -200,7 +200,7 @@
         )
 
     def _recorder_lag(self, at: float) -> float:
-        """Return the largest lag of the recording process around `at`; recorded times can be late by it."""
+        """Return the largest lag of the recording process around `at`: recorded times may be late by it."""
         return max((lag for when, lag in self.records.lags if abs(when - at) < LAG_WINDOW), default=0.0)
 
     # Attempts
@@ -233,9 +233,9 @@
             self._add_finding(Rule.ATTEMPT_AFTER_CANCEL, text, request.trace)
 
     def _check_executions(self) -> None:
-        """Check that no operation was executed twice, and no rejected one was executed before its rejection.
+        """Check that no operation was executed twice, and no non-idempotent one before its rejection.
 
-        A rejection states that the request was not executed, so the client may send it again.
+        A rejection states that the request was not executed, so that the client may send it again.
         """
         executed_at: dict[str, list[float]] = defaultdict(list)
         for execution in self.records.executions:
@@ -257,7 +257,7 @@
     # Drains, purges, slow start
 
     def _check_drains(self) -> None:
-        """Check that no node is used later than `DRAIN_GRACE` after a director was notified of its drain."""
+        """Check that no node is used, for requests or as a fill source, after its drain and the grace."""
         drained_at: dict[tuple[int, int, str], float] = {}
         ready_at: dict[tuple[int, int, str], list[float]] = defaultdict(list)
         for event in self.records.notifications:
--- a/ironhinge/lab/soak/clients.py
+++ b/ironhinge/lab/soak/clients.py
@@ -23,8 +23,8 @@
 MAX_RETRIES = 2  # per operation
 NO_RETRY_SHARE = 0.5  # share of the retryable requests that a client does not retry
 POPULARITY_EXPONENT = 0.8  # of the Pareto distribution that requested objects are drawn from
-CLASS_INDICES = (0, 0, 0, 1, 1, 2, 3)  # index in `Plan.classes`; one is drawn per request, equally likely
-SIZES_KB = (40, 120, 400)  # one is drawn per request, equally likely
+CLASS_INDICES = (0, 0, 0, 1, 1, 2, 3)  # indices in `Plan.classes`; one is drawn per operation
+SIZES_KB = (40, 120, 400)  # one is drawn per request
 SHORT_TIMEOUT_SHARE, MEDIUM_TIMEOUT_SHARE = 0.1, 0.3  # cumulative shares of the requests
 SEND_AFTER_GOAWAY_SHARE = 0.5  # share of the idle clients that send a request after GOAWAY
 CANCEL_BY_FRAME_SHARE = 0.6  # share of cancellations by a CANCEL frame; the others end the connection
@@ -33,7 +33,7 @@
 
 
 class ClientKind(StrEnum):
-    """How a client behaves."""
+    """How a client sends requests and what it does after GOAWAY."""
 
     STEADY = "steady"  # uses a connection until it is closed, also after GOAWAY
     GOAWAY_AWARE = "obeying"  # opens a new connection after GOAWAY, as all kinds below do
@@ -59,13 +59,9 @@
     """The director that a client sends to."""
 
     director: int
-    port: Callable[
-        [NetworkPath], int | None
-    ]  # returns the director's current port for a path; None while unreachable
-    incarnation: Callable[[], int]  # returns the number of the director's current process
-    on_request_written: Callable[
-        [], None
-    ]  # called after each request that was written alone and in one piece
+    port: Callable[[NetworkPath], int | None]  # current port for a path; None while unreachable
+    incarnation: Callable[[], int]  # number of the director's current process
+    on_request_written: Callable[[], None]  # called after each request written alone and in one piece
 
 
 class Client:
--- a/ironhinge/lab/soak/directors.py
+++ b/ironhinge/lab/soak/directors.py
@@ -66,7 +66,7 @@
     discoveries: list[Discovery]
 
     def configuration(self, director: Director) -> dict[str, Any]:
-        """Return the director's configuration document as of now."""
+        """Return the director's current configuration document."""
         ...
 
 
@@ -78,11 +78,11 @@
         self.number = number
         self.port = environment.fleet.ports.allocate()
         self.client_ports: dict[int, int] = {}  # by index in `Plan.client_paths`
-        self.incarnation = 0
+        self.incarnation = 0  # number of the current process, from 1; 0: none yet
         self.process: asyncio.subprocess.Process | None = None
         self.record: DirectorIncarnation | None = None
-        self.accepting = False
-        self.configured_discovery_port = 0
+        self.accepting = False  # whether clients may open connections
+        self.configured_discovery_port = 0  # in the last written configuration
         self.exit_task: asyncio.Task[None] | None = None
         self._pending_pause: _PendingPause | None = None
         self._pauses: set[asyncio.Task[None]] = set()
@@ -169,7 +169,7 @@
         kill_at = record.terminated_at + time_to_kill(self.environment.plan)
         await asyncio.sleep(ACCEPTING_AFTER_TERM)
         self.accepting = False
-        while time.monotonic() < kill_at and record.exited_at is None:  # noqa: ASYNC110 - a time limit too
+        while time.monotonic() < kill_at and record.exited_at is None:  # noqa: ASYNC110 - has a time limit too
             await asyncio.sleep(EXIT_POLL_INTERVAL)
         if record.exited_at is None:
             record.killed_at = time.monotonic()
@@ -206,7 +206,7 @@
             self._pending_pause = _PendingPause(duration, delay)
 
     def on_request_written(self) -> None:
-        """Start the pending pause, if there is one; called after each write of a request."""
+        """Start the pending pause, if any; called after each request written alone and in one piece."""
         pending, self._pending_pause = self._pending_pause, None
         if pending is None:
             return
--- a/ironhinge/lab/soak/plan.py
+++ b/ironhinge/lab/soak/plan.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any
 
-# seconds: a director may use a draining node, or serve purged copies, this long after the notification; nodes
-# have applied a purge by themselves after the settle time
+# seconds: how long after a notification a director may use a draining node or serve a purged copy; nodes have
+# applied a purge by themselves after the settle time
 DRAIN_GRACE, PURGE_GRACE, PURGE_SETTLE_TIME = 0.5, 0.3, 6.0
 # slow start of a cache: its initial share of its weight, and the seconds until it has its full weight; per
 # window (seconds), its work is limited to a multiple of that share
@@ -33,7 +33,7 @@
 }
 
 # probabilities, per director for system calls and the clock, per seed for discovery and paths
-CALL_OUTAGE_SHARE = 0.3  # of a short time in which every call of one kind fails
+CALL_OUTAGE_SHARE = 0.3  # of an outage: every call of one kind fails for a short time
 CLOCK_STEP_SHARE = 0.6
 SHORT_CALLS_SHARE = 0.5
 DISCOVERY_OUTAGE_SHARE = 0.4
@@ -43,8 +43,7 @@
 NODE_PATH_SHARE = 0.3
 PAUSED_SIGNAL_SHARE = 0.5  # share of the signals around which the director is stopped and continued
 
-# offset of the seed of a separate generator for draws that were added later: the older draws of a seed stay the
-# same
+# seed offset of a separate generator for draws that were added later, so that the older draws stay the same
 EXTENSION_SEED_OFFSET = 0x570B
 MAX_PAUSE_DURATION = 0.4  # seconds
 
--- a/ironhinge/lab/soak/records.py
+++ b/ironhinge/lab/soak/records.py
@@ -114,7 +114,7 @@
     at: float
     kind: NotificationKind
     target: str  # name of a node, an object or a group
-    happened_at: float  # when the event was published
+    happened_at: float  # when the event was published or the configuration written
 
 
 @dataclass(slots=True)
--- a/ironhinge/lab/soak/run.py
+++ b/ironhinge/lab/soak/run.py
@@ -161,10 +161,10 @@
                 await self._shut_down(director)
 
     def _load_duration(self) -> float:
-        """Return the seconds for which clients send: until `KILL_MARGIN` after the last possible kill or longer.
+        """Return the seconds for which clients send: at least until `KILL_MARGIN` after the last kill.
 
-        A restarted director that does not exit is killed some time after SIGTERM, and clients go on using its
-        connections until then.
+        A director that does not exit on SIGTERM is killed `time_to_kill` seconds later. Until then, clients
+        go on using its connections.
         """
         kills = [
             event.at + time_to_kill(self.plan) + KILL_MARGIN
--- a/ironhinge/lab/soak/servers.py
+++ b/ironhinge/lab/soak/servers.py
@@ -18,7 +18,7 @@
 from .sockets import READ_BYTES, reset_connection
 
 ZONES = ("edge", "hub")
-KIND_NAMES = ("std", "parent", "origin")  # by NodeKind
+KIND_NAMES = ("std", "parent", "origin")  # indexed by NodeKind
 EDGE_ZONE, HUB_ZONE = 0, 1
 SERVICE_TIME = 0.015  # seconds: mean of the exponentially distributed time to execute a command
 SHORT_TIME_LEFT = 0.02  # seconds: a command with less time left may be dropped without an answer
@@ -67,9 +67,7 @@
         self.hanging = False  # while set, commands are recorded but not answered
         self.state = NodeState.READY
         self.since_ms = 0  # Unix milliseconds of its last cold start
-        self.copies: dict[
-            tuple[str, str], float
-        ] = {}  # by object and part: Unix time at which the origin issued the copy
+        self.copies: dict[tuple[str, str], float] = {}  # by object and part: Unix time of issue
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -223,9 +221,8 @@
         self.purged_objects: dict[str, float] = {}  # by object: Unix time of the last purge
         self.purged_groups: dict[int, float] = {}
         self.malformed_commands: list[str] = []
-        self._first_executions: dict[
-            tuple[str, str], float
-        ] = {}  # by operation and scope: time of the execution that repeats are compared with
+        # by operation and deduplication scope: time of the execution that starts the window
+        self._first_executions: dict[tuple[str, str], float] = {}
 
     def add(self, kind: NodeKind, zone: int) -> Node:
         """Return a new node that does not listen yet."""
@@ -262,9 +259,9 @@
         return max((at for at in purges if at < now - PURGE_SETTLE_TIME), default=0.0)
 
     def is_repeat(self, class_name: str, operation: str, node: Node) -> bool:
-        """Return whether a node of the same deduplication scope executed a keyed operation within its window.
+        """Return whether a keyed operation was executed within its window in the node's deduplication scope.
 
-        If not, the operation is remembered as executed now.
+        If not, it is remembered as executed now. Operations of other classes are never repeats.
         """
         request_class = self.classes[class_name]
         if request_class.idempotency != Idempotency.KEYED:
