--- a/benchmarks/disk_burst.py
+++ b/benchmarks/disk_burst.py
@@ -1,10 +1,12 @@
-"""What a burst of new oversized objects costs small assets, by admission and against baselines.
+"""How much a burst of new large objects lowers the hit ratio of small ones, by admission policy.
 
     python -m benchmarks.disk_burst [--quick]
 
-The trace has cards with Zipf popularity and films in parts; in its last 24 s, 2.6% of the films' requests are
-for new objects of 8 to 28 times the usual size. The capacity is a tenth of all that is requested. All tiers
-are modelled alike, as bytes; they differ in what they admit and evict. Also reports the bytes written.
+The trace requests small objects ("cards") and large ones in parts ("films"), both with Zipf popularity. In
+its last 24 s, 2.6% of the film requests are for new objects of 8 to 28 times the size of a film part. The
+capacity is a tenth of the bytes of all requested objects. All tiers are modelled by the bytes that they
+store and differ only in what they admit and evict; the baselines are LRU caches. The bytes written are
+reported too.
 """
 
 from __future__ import annotations
@@ -23,18 +25,18 @@
 
 SEED = 5
 CAPACITY = 12_000_000  # bytes
-CARD_SIZE, FILM_SIZE = 4_000, 60_000  # bytes; of a card on average, of each part of a film
+CARD_SIZE, FILM_SIZE = 4_000, 60_000  # bytes: mean size of a card, size of each part of a film
 CARDS, FILMS, PARTS_PER_FILM = 4000, 300, 6
 ZIPF_EXPONENT = 0.8
-CARD_SHARE = 0.6  # of the requests
+CARD_SHARE = 0.6  # share of the requests that are for cards
 BURST_SECONDS = 24
-BURST_SHARE = 0.026  # of the films' requests, while it lasts
-BURST_REPEAT_SHARE = 0.5  # of the new objects are followed by a request for an earlier one
-MIN_BURST_SIZE, MAX_BURST_SIZE = 8, 28  # films' parts
-RECENT_NEW_OBJECTS = 8
-MIN_NEW_OBJECTS_TO_REPEAT = 4
+BURST_SHARE = 0.026  # share of the film requests that are for new objects during the burst
+BURST_REPEAT_SHARE = 0.5  # share of the new objects that are followed by a request for a recent one
+MIN_BURST_SIZE, MAX_BURST_SIZE = 8, 28  # size of a new object in film parts
+RECENT_NEW_OBJECTS = 8  # new objects that repeats are drawn from
+MIN_NEW_OBJECTS_TO_REPEAT = 4  # no repeats until there are more new objects
 FIRST_FILM_ID, FIRST_NEW_ID = 10_000, 10**6
-CARD_SIZE_STEP = 7919  # spreads the sizes of the cards
+CARD_SIZE_STEP = 7919  # multiplier (prime) that spreads the sizes of the cards
 
 
 class Request(NamedTuple):
@@ -47,14 +49,14 @@
 
 
 class Trace:
-    """Generates the requests of one seed."""
+    """Generates the request trace of a seed."""
 
     def __init__(self, seed: int, seconds: int, rate: int):
         self.random = Random(seed)
         self.request_count = seconds * rate
         self.rate = rate
         self.burst_start = seconds - BURST_SECONDS
-        self.new_objects: list[tuple[int, int]] = []  # with their sizes
+        self.new_objects: list[tuple[int, int]] = []  # object ID and size
 
     def requests(self) -> Iterator[Request]:
         """Yields all requests in order."""
@@ -77,7 +79,7 @@
         return self.burst_start <= now // TICKS_PER_SECOND < self.burst_start + BURST_SECONDS
 
     def _burst_requests(self, now: int) -> Iterator[Request]:
-        """Yields a request for a new object, and perhaps one for another that is nearly as new."""
+        """Yields a request for a new object, and at random one for a recent new object."""
         object_id = FIRST_NEW_ID + len(self.new_objects) + 1
         size = FILM_SIZE * self.random.randrange(MIN_BURST_SIZE, MAX_BURST_SIZE + 1)
         self.new_objects.append((object_id, size))
@@ -89,7 +91,7 @@
 
 
 class Tier(Protocol):
-    """A model of a tier."""
+    """A model of a cache tier."""
 
     written: int  # bytes
 
@@ -99,7 +101,7 @@
 
 
 class LruTier:
-    """Admits every copy up to a size and evicts the least recently used."""
+    """An LRU cache that admits every copy up to a maximum size."""
 
     def __init__(self, capacity: int, max_size: int = 1 << 60):
         self.capacity = capacity
@@ -124,7 +126,7 @@
 
 
 class AdmissionTier:
-    """Admits as the disk tier does; makes space from the oldest copy on and rewrites what still ranks."""
+    """Admits like the disk tier; evicts the oldest copies and rewrites those that are worth retaining."""
 
     def __init__(self, capacity: int, write_rate: float):
         self.capacity = capacity
@@ -152,7 +154,7 @@
         return False
 
     def _make_space(self) -> None:
-        """Evicts from the start of the log; after two rounds also what ranks."""
+        """Evicts from the start of the log; after two rounds, copies worth retaining are evicted too."""
         handled = 0
         while self.used > self.capacity:
             key, size = self.log.popitem(last=False)
@@ -172,23 +174,23 @@
 
 @dataclass(slots=True)
 class HitRatio:
-    """Hits among requests."""
+    """Counts hits and requests."""
 
     hits: int = 0
     requests: int = 0
 
     def record(self, is_hit: bool) -> None:
-        """Counts a request."""
+        """Counts a request and whether it was a hit."""
         self.hits += is_hit
         self.requests += 1
 
     def ratio(self) -> float:
-        """Returns the share of hits; 0 where there were no requests."""
+        """Returns the hit ratio; 0 without requests."""
         return self.hits / max(1, self.requests)
 
 
 def measure(tier: Tier, seed: int, seconds: int, rate: int) -> dict[str, Any]:
-    """Returns the hit ratios of cards in the 24 s before the burst and within it, and the bytes written."""
+    """Returns hit ratios of cards in the 24 s before the burst and during it, of films, and bytes written."""
     trace = Trace(seed, seconds, rate)
     before, burst, films = HitRatio(), HitRatio(), HitRatio()
     hit_bytes = requested_bytes = 0
@@ -216,7 +218,7 @@
 
 
 def main() -> None:
-    """Prints the figures of all tiers as JSON."""
+    """Measures all tiers and prints their figures as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     quick = parser.parse_args().quick
--- a/benchmarks/disk_crash.py
+++ b/benchmarks/disk_crash.py
@@ -1,7 +1,7 @@
-"""What the store serves after kills and power cuts.
+"""Checks what the disk store serves after kills and power cuts.
 
-A real process is killed while it puts, compacts and checkpoints, and the power of a simulated disk is cut at
-every call.
+A real process is killed while it writes, compacts and checkpoints a store. On a simulated disk, the power is
+cut at each call in turn.
 
     python -m benchmarks.disk_crash [--quick]
 """
@@ -29,16 +29,16 @@
 from ironhinge.lab.disks import FaultPlan, MemoryDirectory, PowerCutError
 
 IDENTITY = b"bench"
-RETENTION_MS = 1 << 50  # no purge is ever too old to be known
+RETENTION_MS = 1 << 50  # no start of a store drops copies for purges that it may have missed
 LIMITS = StoreLimits(4_000_000, 600_000, 20_000, RETENTION_MS)
 SMALL_LIMITS = StoreLimits(60_000, 9000, 200, RETENTION_MS)
 OBJECTS, SMALL_OBJECTS = 200, 20
 SMALL_STEPS = 200
 MAX_PUTS_PER_SYNC = 12
 CHECKPOINT_PROBABILITY = 0.1
-MAX_LIFETIME = 0.06  # seconds until a process is killed
+MAX_LIFETIME = 0.06  # seconds until a writing process is killed, at most
 
-# cumulative probabilities of what follows a put on the simulated disk
+# cumulative probabilities of the operation that follows a put on the simulated disk
 SYNC_BELOW, CHECKPOINT_BELOW, COMPACT_BELOW = 0.25, 0.3, 0.4
 
 
@@ -48,13 +48,13 @@
 
 
 def body_of(object_id: int, version: int) -> bytes:
-    """Returns the only body that a version of an object may have."""
+    """Returns the body of a version of an object; any other body that is served for it is torn."""
     text = b"%d/%d " % (object_id, version)
     return (text * 6000)[: 1000 + (object_id * 37 + version * 101) % 30_000]
 
 
 def small_body_of(object_id: int, step: int) -> bytes:
-    """Returns a body that fits a small segment."""
+    """Returns the body of a step, short enough for a small segment."""
     return body_of(object_id, step)[: 200 + step * 7 % 1500]
 
 
@@ -64,13 +64,13 @@
 
 
 def compact(store: Store, segment: int) -> None:
-    """Runs all steps of a compaction."""
+    """Compacts a segment completely."""
     for _ in store.compact(segment, retain_all):
         pass
 
 
 def compact_until_there_is_space(store: Store) -> None:
-    """Compacts segments until the store is within its capacity."""
+    """Compacts segments until the store needs no compaction or has no candidate."""
     while store.needs_compaction():
         segment = store.compaction_candidate()
         if segment is None:
@@ -79,13 +79,13 @@
 
 
 def stored_version(store: Store, object_id: int) -> int | None:
-    """Returns the version that is served of an object."""
+    """Returns the stored version of an object, or None."""
     copy = store.get(PartKey(object_id, 0))
     return int(copy.tag) if copy is not None else None
 
 
 def write_until_killed(folder: str, seed: int) -> None:
-    """Puts without end; prints which versions are durable, a line each time that a sync has returned."""
+    """Writes copies until killed; prints the versions that are durable as a line after each sync."""
     random = Random(seed)
     store = Store(StoreDirectory(Path(folder)), IDENTITY, LIMITS, now_ms)
     version = max(stored_version(store, object_id) or 0 for object_id in range(OBJECTS))
@@ -108,15 +108,15 @@
 
 @dataclass(slots=True)
 class KillResult:
-    """What was found after processes were killed."""
+    """Counts of errors found after kills, and recovery times."""
 
-    torn: int = 0
-    lost: int = 0
+    torn: int = 0  # copies with a wrong body
+    lost: int = 0  # durable versions that are missing or replaced by older ones, and corrupt records
     recovery_ms: list[float] = field(default_factory=list)
 
 
 def run_and_kill(folder: str, seed: int, lifetime: float) -> dict[int, int]:
-    """Runs a writing process and kills it; returns the versions that it called durable."""
+    """Runs a writing process and kills it; returns the versions that it reported as durable."""
     command = [sys.executable, "-m", "benchmarks.disk_crash", "--work", folder, "--seed", str(seed)]
     durable: dict[int, int] = {}
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
@@ -132,7 +132,7 @@
 
 
 def check_after_kill(folder: str, durable: dict[int, int], result: KillResult) -> None:
-    """Opens the store and compares what it serves with what was called durable."""
+    """Opens the store and compares its copies with the versions that were reported as durable."""
     started_at = time.perf_counter()
     store = Store(StoreDirectory(Path(folder)), IDENTITY, LIMITS, now_ms)
     result.recovery_ms.append(1000 * (time.perf_counter() - started_at))
@@ -149,9 +149,9 @@
 
 
 def measure_kills(points: int) -> dict[str, Any]:
-    """Kills that many processes on one folder.
+    """Kills `points` processes, one after another, that write to the same folder.
 
-    What any of them called durable must be there after each kill, or something newer.
+    After each kill, each object must have the last version that was reported as durable, or a newer one.
     """
     random = Random(1)
     result = KillResult()
@@ -170,15 +170,15 @@
 
 
 class PowerCutResult(NamedTuple):
-    """What was found after one run on a simulated disk."""
+    """Counts of errors found after one run on a simulated disk."""
 
-    torn: int
-    lost: int
-    was_cut: bool  # else the run ended before that call
+    torn: int  # copies with a wrong body
+    lost: int  # durable copies that are missing or replaced by older ones
+    was_cut: bool  # False: the run ended before the call at which to cut the power
 
 
 def write_until_power_cut(directory: MemoryDirectory, seed: int, durable: dict[int, int]) -> bool:
-    """Puts, syncs, checkpoints and compacts, and notes which step of each object is durable.
+    """Writes, syncs, checkpoints and compacts, and records in `durable` the durable step of each object.
 
     Returns:
         Whether the power was cut.
@@ -208,7 +208,7 @@
 
 
 def measure_power_cut(seed: int, call: int) -> PowerCutResult:
-    """Cuts the power at one call of one run and checks what the next start finds."""
+    """Cuts the power at one call of a run and checks the copies after the next start."""
     directory = MemoryDirectory(FaultPlan(seed * 1009 + call))
     directory.faults.power_cut_at_call = call
     durable: dict[int, int] = {}
@@ -224,7 +224,7 @@
 
 
 def measure_power_cuts(seeds: int, stride: int) -> dict[str, Any]:
-    """Cuts the power at every `stride`-th call of the runs of all seeds."""
+    """Cuts the power at every `stride`-th call of the run of each seed."""
     cuts = torn = lost = 0
     for seed in range(seeds):
         call = 1
@@ -237,7 +237,7 @@
 
 
 def main() -> None:
-    """Prints the figures as JSON, or is the process that gets killed."""
+    """Prints the figures as JSON; with `--work`, writes to a store until it is killed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--work")
--- a/benchmarks/disk_lab.py
+++ b/benchmarks/disk_lab.py
@@ -1,6 +1,6 @@
-"""What a disk tier is worth after a restart.
+"""Measures how much traffic a disk tier saves after a restart.
 
-Real directors are restarted under load, with their disk and with it empty.
+Real directors are restarted under load, with the contents of their disk and with an empty disk.
 
     python -m benchmarks.disk_lab [--quick]
 """
@@ -19,17 +19,17 @@
 SECONDS = 20.0
 DIRECTORS = 2
 SEEDS, QUICK_SEEDS = 3, 1
-SUMMED = ("origin", "crossed", "dispatches")
+SUMMED = ("origin", "crossed", "dispatches")  # keys of the traffic after a restart, summed over all seeds
 
 
 def bad_answers(report: dict[str, Any]) -> int:
-    """Returns how many requests of a run did not get exactly one good answer."""
+    """Returns the number of requests of a run without exactly one correct answer."""
     missing = abs(report["requests"] - report["final_answers"])
     return int(missing + report["doubled_answers"] + report["spoiled_answers"])
 
 
 def main() -> None:
-    """Prints the figures as JSON."""
+    """Runs the scenario for all seeds and prints the figures as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     seeds = QUICK_SEEDS if parser.parse_args().quick else SEEDS
--- a/benchmarks/disk_speed.py
+++ b/benchmarks/disk_speed.py
@@ -1,6 +1,6 @@
-"""How fast the store puts, reads and recovers, and how long its lookups hold the event loop.
+"""Measures how fast the disk store writes, reads and recovers, and how long lookups block the event loop.
 
-Speeds are ratios to plain files of the same bytes on the same disk.
+Speeds are given as ratios to plain files with the same bytes on the same disk.
 
     python -m benchmarks.disk_speed [--quick] [--folder DIR]
 """
@@ -29,13 +29,13 @@
 
 IDENTITY = b"bench"
 PART_SIZE = 256 * 1024  # bytes
-BODIES = 16  # different ones
+BODIES = 16  # different bodies, used in turn
 PUTS_PER_FLUSH = 16
 PARTS, QUICK_PARTS = 2000, 400
 ROUNDS, QUICK_ROUNDS = 7, 3
 RECOVERED_ENTRIES = 1_000_000
-LOOKUP_INTERVAL = 0.0005  # seconds
-RETENTION_MS = 1 << 50  # no purge is ever too old to be known
+LOOKUP_INTERVAL = 0.0005  # seconds between two lookups
+RETENTION_MS = 1 << 50  # no start of a store drops copies for purges that it may have missed
 SPEED_LIMITS = StoreLimits(1 << 40, 1 << 26, 100_000, RETENTION_MS)
 
 
@@ -45,7 +45,7 @@
 
 
 def drop_page_cache(path: Path) -> None:
-    """Asks the system to drop what it has cached of a file, so that a read goes to the disk."""
+    """Asks the system to drop a file from the page cache, so that reads go to the disk."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fdatasync(descriptor)
@@ -56,7 +56,7 @@
 
 @contextmanager
 def timed(seconds: dict[str, float], name: str) -> Iterator[None]:
-    """Notes under a name how long the block took."""
+    """Stores the duration of the block in `seconds[name]`."""
     started_at = time.perf_counter()
     yield
     seconds[name] = time.perf_counter() - started_at
@@ -78,7 +78,7 @@
 
 
 def write_store(store: Store, bodies: list[bytes], parts: int) -> None:
-    """Puts all parts and syncs them."""
+    """Writes all parts to the store and syncs them."""
     for number in range(parts):
         store.put(PartKey(number, 0), 0, Copy(b"tag", 1, bodies[number % BODIES]))
         if number % PUTS_PER_FLUSH == PUTS_PER_FLUSH - 1:
@@ -88,7 +88,7 @@
 
 
 def read_store(store: Store, parts: int) -> None:
-    """Gets all parts."""
+    """Reads all parts from the store."""
     for number in range(parts):
         copy = store.get(PartKey(number, 0))
         assert copy is not None
@@ -96,7 +96,7 @@
 
 
 def measure_speed(folder: Path, parts: int) -> dict[str, float]:
-    """Returns the seconds for the same bytes, plain and in the store: written, read cold and read warm."""
+    """Returns the seconds to write the parts and to read them cold and warm, in a plain file and a store."""
     bodies = [os.urandom(PART_SIZE) for _ in range(BODIES)]
     seconds: dict[str, float] = {}
     plain = folder / "plain"
@@ -121,7 +121,7 @@
 
 
 def filled_store(folder: Path, limits: StoreLimits) -> Store:
-    """Returns a store whose index is full; only the first of its copies exists."""
+    """Returns a store with a full index; of its entries, only the first has a copy."""
     store = Store(StoreDirectory(folder), IDENTITY, limits, now_ms)
     store.put(PartKey(0, 0), 0, Copy(b"t", 1, b"x"))
     store.flush()
@@ -132,7 +132,7 @@
 
 
 def lookup_seconds(store: Store, until: threading.Event, seconds: list[float]) -> None:
-    """Looks one part up again and again and notes how long each lookup took."""
+    """Looks up a part repeatedly until the event is set, and appends the duration of each lookup."""
     while not until.is_set():
         started_at = time.perf_counter()
         store.find(PartKey(7, 0))
@@ -141,7 +141,7 @@
 
 
 def measure_recovery(folder: Path, entries: int) -> dict[str, float]:
-    """Returns how long a start from a checkpoint takes, and how long lookups wait while one is written."""
+    """Measures a start from a checkpoint, and lookups while a checkpoint is written."""
     sys.setswitchinterval(SWITCH_INTERVAL)  # as the tier does
     limits = StoreLimits(1 << 40, 1 << 24, entries, RETENTION_MS)
     store = filled_store(folder, limits)
@@ -171,10 +171,10 @@
 
 
 def main() -> None:
-    """Prints the figures as JSON."""
+    """Measures all rounds and prints the figures as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
-    parser.add_argument("--folder", help="On the disk that is to be measured.")
+    parser.add_argument("--folder", help="Folder on the disk to measure.")
     arguments = parser.parse_args()
     ratios: dict[str, list[float]] = {"put": [], "get_cold": [], "get_warm": []}
     for _ in range(QUICK_ROUNDS if arguments.quick else ROUNDS):
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,11 +1,12 @@
-"""What a real director needs as the number of cache nodes grows, beside the operators' limits.
+"""Measures the resource usage of a real director as the number of cache nodes grows, against limits.
 
     python -m benchmarks.fleet_size [--nodes 200 --nodes 3200] [--seconds 12] [--quick] [--json]
 
-The same traffic, limits and summed capacity before each fleet: ten clients ask 150 times a second in all, and
-discovery tells a change of one node ten times a second. Each node is a listener of its own in one process of
-stand-ins. The first fleet named is the usual one. The last line with --json is one JSON object: for each
-other fleet and limit `measured`, `allowed` and `held`; `all_held` over all. Code 1 where a limit does not
+Each fleet of nodes gets the same traffic, director limits and total capacity: ten clients send 150 requests
+per second in all, and discovery publishes a change of one node ten times per second. Each node is a listening
+socket of its own, all in this process. The first fleet is the baseline: the operators' limits for the other
+fleets are computed from its usage. With --json, the last line is a JSON object with `measured`, `allowed` and
+`held` for each other fleet and limit, and `all_held` for all of them. The exit code is 1 if a limit does not
 hold.
 """
 
@@ -31,29 +32,29 @@
 from ironhinge.lab.soak.sockets import READ_BYTES
 
 CLIENTS = 10
-REQUEST_RATE = 150.0  # a second, of all clients
-OBJECTS = 2000  # that clients request
-CHANGE_RATE = 10.0  # changes of one node each, a second
-CAPACITY = 2000.0  # weight of all nodes together
-PUBLISHED_WEIGHT = 4  # of a node whose state changes
-SERVICE_TIME = 0.005  # seconds
+REQUEST_RATE = 150.0  # requests per second of all clients together
+OBJECTS = 2000  # number of objects that clients request
+CHANGE_RATE = 10.0  # changes per second, of one node each
+CAPACITY = 2000.0  # sum of the weights of all nodes
+PUBLISHED_WEIGHT = 4  # weight in published changes of a node
+SERVICE_TIME = 0.005  # seconds until a node answers a command
 BODY = b"x" * 500
-DEFAULT_FLEETS = 200, 3200  # nodes
+DEFAULT_FLEETS = 200, 3200  # nodes; the first is the baseline
 CLIENT_TIMEOUT = 2.0  # seconds
 DESCRIPTOR_LIMIT, MEMORY_LIMIT_MB = 1024, 192
-START_TIMEOUT = 20.0  # seconds
-QUICK_SECONDS = 5.0  # of each fleet
+START_TIMEOUT = 20.0  # seconds until the director has to listen
+QUICK_SECONDS = 5.0  # per fleet, with --quick
 MEASURE_INTERVAL = 0.2  # seconds
 HEARTBEAT_INTERVAL = 1.0  # seconds
-USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12  # of /proc/PID/stat, after the program's name
+USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12  # index in /proc/PID/stat, counted after the program's name
 READY, DRAINING = 0, 1  # states of a node
-SERVED = 1  # code of an answer
+SERVED = 1  # result code of an answer
 ROOT = Path(__file__).parent.parent
 
 
 @dataclass(slots=True)
 class ResourceUsage:
-    """What one director needed; the names are keys of the JSON report."""
+    """Resource usage of one director; the field names are keys of the JSON report."""
 
     nodes: int
     requests: int = 0
@@ -62,7 +63,7 @@
     memory_mb: float = 0.0
     descriptors: int = 0
     connections: int = 0
-    list_bytes: int = 0
+    list_bytes: int = 0  # of endpoint changes sent to the director
 
     def served_share(self) -> float:
         """Return the share of the requests that were served."""
@@ -70,7 +71,7 @@
 
 
 def usage_limits(baseline: ResourceUsage, nodes: int) -> dict[str, float]:
-    """Return the operators' limits for a fleet of that size, from the usage before the usual one."""
+    """Return the operators' limits for a fleet of `nodes` nodes, from the usage with the baseline fleet."""
     thousands = nodes / 1000
     return {
         "cpu_s": 1.4 * baseline.cpu_s + 0.02 + 0.12 * thousands,
@@ -83,20 +84,20 @@
 
 
 class Fleet:
-    """Nodes that hold all objects, an origin, and discovery."""
+    """Fake cache nodes that have copies of all objects, a fake origin and a fake discovery service."""
 
     def __init__(self, usage: ResourceUsage) -> None:
-        """Create a fleet that does not listen yet; it counts into `usage`."""
+        """Create a fleet that does not listen yet; it counts connections and event bytes in `usage`."""
         self.usage = usage
         self.ports: list[int] = []
         self.tasks: list[asyncio.Task[None]] = []
         self.discovery_port = 0
         self._servers: list[asyncio.Server] = []
         self._events: list[bytes] = []
-        self._writers: dict[asyncio.StreamWriter, int] = {}  # with the number of the last event written
+        self._writers: dict[asyncio.StreamWriter, int] = {}  # number of the last event written
 
     async def start(self) -> None:
-        """Listen, at a port for each node and the origin, and at one for discovery."""
+        """Listen at one port per node, one for the origin and one for discovery."""
         for _ in range(self.usage.nodes + 1):
             server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
             self._servers.append(server)
@@ -132,7 +133,7 @@
         writer.write(wire.encode_array(request_id, b"ACK", text, BODY))
 
     def _publish(self, state: int, index: int) -> None:
-        """Publish the state of one node."""
+        """Publish a state of one node."""
         endpoint = wire.EndpointRecord(
             f"s-{index + 1:08x}", self.ports[index], state, 0, 0, 0, PUBLISHED_WEIGHT, 0
         )
@@ -161,7 +162,7 @@
             writer.close()
 
     async def change_nodes(self) -> None:
-        """Drain one node after another and announce each as ready again, until cancelled."""
+        """Publish randomly drawn nodes as draining and then as ready again, until cancelled."""
         rng = Random(1)
         while True:
             index = rng.randrange(self.usage.nodes)
@@ -172,7 +173,7 @@
 
 
 def director_config(fleet: Fleet, port: int) -> dict[str, Any]:
-    """Return the director's configuration under the platform's names."""
+    """Return the director's configuration document, with the platform's key names."""
     endpoints = {"index": 1, "snapshot": True, "endpoints": _endpoint_list(fleet)}
     return {
         "name": "n0",
@@ -232,12 +233,20 @@
 
 
 async def run_client(usage: ResourceUsage, port: int, number: int, deadline: float, even: bool) -> None:
-    """Send requests at one client's share of the rate until the deadline of the monotonic clock."""
+    """Send one client's share of the requests until the deadline on the monotonic clock.
+
+    Args:
+        usage: Counts the requests and the served ones.
+        port: Port of the director.
+        number: Seed of the random draws.
+        deadline: End time.
+        even: Whether all objects are equally popular; otherwise their popularity follows Zipf's law.
+    """
     rng, stream, frames = Random(number), 0, wire.FrameReader()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     while time.monotonic() < deadline:
         stream += 1
-        # a log-uniform draw has Zipf's distribution
+        # a log-uniform draw follows Zipf's law
         object_id = rng.randrange(OBJECTS) if even else int(OBJECTS ** rng.random())
         fields = {"route": "read", "trace": f"{rng.getrandbits(64):016x}", "size": "40"}
         fields |= {"patience": str(int(CLIENT_TIMEOUT * 1000)), "entity": f"{object_id:016x}"}
@@ -253,7 +262,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the CPU time that a process has used."""
+    """Return the CPU time used by a process, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[USER_TIME_FIELD]) + int(fields[SYSTEM_TIME_FIELD])
     return ticks / os.sysconf("SC_CLK_TCK")
@@ -267,17 +276,17 @@
 
 
 async def watch_peaks(usage: ResourceUsage, pid: int) -> None:
-    """Record the peaks of descriptors and memory of a process until cancelled."""
+    """Record the peak descriptor count and peak memory of a process until cancelled."""
     while True:
         _measure_peaks(usage, pid)
         await asyncio.sleep(MEASURE_INTERVAL)
 
 
 async def measure_fleet(nodes: int, seconds: float, even: bool) -> ResourceUsage:
-    """Measure one director before so many nodes.
+    """Measure the usage of one director with a fleet of `nodes` nodes.
 
     Raises:
-        DirectorStartError: The director does not come up.
+        DirectorStartError: The director does not listen within `START_TIMEOUT`.
     """
     usage = ResourceUsage(nodes)
     fleet = Fleet(usage)
@@ -324,11 +333,11 @@
         else:
             writer.close()
             return
-    raise DirectorStartError("the director does not come up")
+    raise DirectorStartError("the director did not listen in time")
 
 
 def compare_with_limits(usages: list[ResourceUsage]) -> dict[str, Any]:
-    """Compare each other fleet with the limits that the first one sets."""
+    """Compare the usage with each fleet with the limits that follow from the first, the baseline."""
     baseline, all_held, fleets = usages[0], True, []
     for usage in usages[1:]:
         limits = {}
@@ -349,9 +358,9 @@
     cpu_ms = 1000 * usage.cpu_s / max(1, usage.requests)
     click.echo(
         f"{usage.nodes} nodes: {usage.requests} requests, {usage.served_share():.3f} served,"
-        f" {usage.cpu_s:.2f} s of CPU ({cpu_ms:.2f} ms a request), {usage.memory_mb:.1f} MB,"
+        f" {usage.cpu_s:.2f} s of CPU ({cpu_ms:.2f} ms per request), {usage.memory_mb:.1f} MB,"
         f" {usage.descriptors} descriptors, {usage.connections} connections,"
-        f" {usage.list_bytes} bytes of lists",
+        f" {usage.list_bytes} bytes of endpoint changes",
         err=True,
     )
 
@@ -367,12 +376,14 @@
 @click.option(
     "--nodes", type=click.IntRange(1, 20_000), multiple=True, default=DEFAULT_FLEETS, show_default=True
 )
-@click.option("--seconds", type=click.FloatRange(1.0), default=12.0, show_default=True, help="Of each fleet.")
-@click.option("--even", is_flag=True, help="All objects are asked for alike.")
-@click.option("--quick", is_flag=True, help="Five seconds of each fleet.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object as the last line.")
+@click.option(
+    "--seconds", type=click.FloatRange(1.0), default=12.0, show_default=True, help="Duration per fleet."
+)
+@click.option("--even", is_flag=True, help="Request all objects equally often.")
+@click.option("--quick", is_flag=True, help="Measure five seconds per fleet.")
+@click.option("--json", "as_json", is_flag=True, help="Print a JSON object as the last line.")
 def main(nodes: tuple[int, ...], seconds: float, even: bool, quick: bool, as_json: bool) -> None:
-    """Measure a director before fleets of NODES nodes."""
+    """Measure a director with fleets of NODES nodes each; the first is the baseline."""
     usages = []
     for count in nodes:
         usage = asyncio.run(measure_fleet(count, QUICK_SECONDS if quick else seconds, even))
--- a/benchmarks/planted_faults.py
+++ b/benchmarks/planted_faults.py
@@ -1,8 +1,9 @@
-"""Shows that the soak finds faults: each is planted in a copy of the program, and seeds are played there.
+"""Tests the soak itself: plants known faults in copies of the program and checks that the soak finds them.
 
     python -m benchmarks.planted_faults [--seeds 10] [--only NAME] [--json]
 
-A fault that no seed finds is a hole in the soak. Code 1 where there is one. Nothing but copies is changed.
+Each fault gets a copy of its own, in which soak seeds are run until one fails. A fault that no seed finds
+shows a gap in the soak; the exit code is then 1. The working tree itself is not changed.
 """
 
 from __future__ import annotations
@@ -21,25 +22,25 @@
 from ironhinge.lab.soak.audit import Rule
 
 ROOT = Path(__file__).parent.parent
-COPIED_FOLDERS = ("ironhinge", "benchmarks")  # what a copy needs
+COPIED_FOLDERS = ("ironhinge", "benchmarks")  # folders that a copy needs to run the soak
 SECONDS_PER_SEED = 7
 TIMEOUT = 300  # seconds for all seeds of one fault
-LOG_EXCERPT = 1500  # characters of the errors of a soak that failed
+LOG_EXCERPT = 1500  # last characters of the standard error of a soak without a result
 
 
 class FaultTextError(LookupError):
-    """The program has changed where a fault is planted."""
+    """The source text that a fault replaces is not found exactly once, as the program has changed."""
 
 
 class SoakFailedError(LookupError):
-    """A soak of a copy ended without a result."""
+    """The soak of a copy ended without printing a result."""
 
 
 class PlantedFault(NamedTuple):
-    """One fault: a text that stands once in a module, and what it is replaced by."""
+    """A fault: a source text that occurs exactly once in a module, and its replacement."""
 
-    name: str
-    module: str
+    name: str  # printed, and selected by `--only`
+    module: str  # path below `ironhinge/`
     original: str
     replacement: str
 
@@ -132,19 +133,19 @@
 
 
 class SearchResult(NamedTuple):
-    """What the seeds showed of one fault."""
+    """The result of searching for one fault."""
 
     name: str
-    seed: int | None  # that found it; None: none did
-    rules: list[str]
-    seconds: float
+    seed: int | None  # the first seed that found it; None: not found
+    rules: list[str]  # rules that were violated
+    seconds: float  # duration of the search
 
 
 def plant(fault: PlantedFault, folder: Path) -> None:
-    """Copies the program to a folder, with one fault.
+    """Copies the program to a folder and plants a fault in the copy.
 
     Raises:
-        FaultTextError: The text to replace does not stand there once.
+        FaultTextError: The text to replace does not occur exactly once in the module.
     """
     for copied_folder in COPIED_FOLDERS:
         shutil.copytree(
@@ -153,15 +154,17 @@
     path = folder / "ironhinge" / fault.module
     text = path.read_text()
     if text.count(fault.original) != 1:
-        raise FaultTextError(f"{fault.name}: its text stands {text.count(fault.original)} times in {path}")
+        raise FaultTextError(
+            f"{fault.name}: its source text occurs {text.count(fault.original)} times in {path}"
+        )
     path.write_text(text.replace(fault.original, fault.replacement))
 
 
 def search(fault: PlantedFault, seeds: int) -> SearchResult:
-    """Plays seeds on a copy with the fault until one finds something.
+    """Runs the soak on a copy with the fault, up to the first seed that fails.
 
     Raises:
-        SoakFailedError: The soak itself failed.
+        SoakFailedError: The soak ended without a result.
     """
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="ironhinge-planted-") as name:
@@ -186,11 +189,17 @@
 
 
 @click.command()
-@click.option("--seeds", type=click.IntRange(1), default=10, show_default=True, help="Seeds for each fault.")
-@click.option("--only", help="Plants just the fault of that name.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object on the last line.")
+@click.option(
+    "--seeds",
+    type=click.IntRange(1),
+    default=10,
+    show_default=True,
+    help="Maximum number of seeds per fault.",
+)
+@click.option("--only", help="Plant only the fault of this name.")
+@click.option("--json", "as_json", is_flag=True, help="Print a JSON object as the last line.")
 def main(seeds: int, only: str | None, as_json: bool) -> None:
-    """Plant each fault in a copy and play SEEDS seeds there."""
+    """Plant each fault in a copy and run up to SEEDS soak seeds there."""
     results = []
     for fault in FAULTS:
         if only is None or fault.name == only:
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,9 +1,9 @@
-"""The soak: many seeds of real directors under faults, each judged from the clients' and servers' records.
+"""Runs the soak: real directors under faults for many seeds, each audited from clients' and servers' records.
 
     python -m benchmarks.soak --seeds 50 [--first 1] [--seconds 8] [--jobs 3] [--json]
 
-A seed that failed is played again with `--seeds 1 --first SEED`; `--logs FOLDER` keeps its directors' logs.
-Code 1 where a rule does not hold.
+To run a failed seed again, use `--seeds 1 --first SEED`; `--logs FOLDER` keeps its directors' logs. The exit
+code is 1 if a rule was violated.
 """
 
 from __future__ import annotations
@@ -18,11 +18,18 @@
 import click
 
 TOTALS = ("requests", "answered", "served", "attempts", "crossed")
-VIOLATIONS = ("lost", "duplicates", "late", "after_client_left", "broken_rules", "crashes")  # must be 0
+VIOLATIONS = (
+    "lost",
+    "duplicates",
+    "late",
+    "after_client_left",
+    "broken_rules",
+    "crashes",
+)  # counts that must be 0
 
 
 def _run_seed(seed: int, seconds: float, logs: str | None) -> dict[str, Any]:
-    """Play one seed; runs in a process of the pool."""
+    """Run one seed and return its report; runs in a process of the pool."""
     from ironhinge.lab.soak.plan import draw_plan
     from ironhinge.lab.soak.run import run_plan
 
@@ -39,17 +46,29 @@
 
 
 @click.command()
-@click.option("--seeds", type=click.IntRange(1), default=50, show_default=True, help="How many.")
-@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="The first of them.")
-@click.option("--seconds", type=click.FloatRange(6.0), default=8.0, show_default=True, help="Of each seed.")
-@click.option("--jobs", type=click.IntRange(1), default=3, show_default=True, help="Seeds played at a time.")
-@click.option("--logs", type=click.Path(file_okay=False), help="Keeps the directors' logs of failed seeds.")
-@click.option("--stop-at-first", is_flag=True, help="Plays no further seeds after one that failed.")
-@click.option("--json", "as_json", is_flag=True, help="The sums as one JSON object on the last line.")
-def main(  # noqa: PLR0913 - one argument for each option
+@click.option("--seeds", type=click.IntRange(1), default=50, show_default=True, help="Number of seeds.")
+@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="The first seed.")
+@click.option(
+    "--seconds", type=click.FloatRange(6.0), default=8.0, show_default=True, help="Duration per seed."
+)
+@click.option(
+    "--jobs",
+    type=click.IntRange(1),
+    default=3,
+    show_default=True,
+    help="Number of seeds that run in parallel.",
+)
+@click.option(
+    "--logs",
+    type=click.Path(file_okay=False),
+    help="Keep the directors' logs of failed seeds in this folder.",
+)
+@click.option("--stop-at-first", is_flag=True, help="Start no further seeds after a failed one.")
+@click.option("--json", "as_json", is_flag=True, help="Print the totals as a JSON object on the last line.")
+def main(  # noqa: PLR0913 - one argument per option
     seeds: int, first: int, seconds: float, jobs: int, logs: str | None, stop_at_first: bool, as_json: bool
 ) -> None:
-    """Play SEEDS seeds and judge them."""
+    """Run and audit SEEDS seeds."""
     began = time.monotonic()
     totals: dict[str, int] = dict.fromkeys((*TOTALS, *VIOLATIONS), 0)
     failed = []
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -1,8 +1,9 @@
-"""What the account of traffic costs, how far off it is, and what reservations for streams are worth.
+"""Measures the cost and accuracy of traffic accounting, and the benefit of reservations for streams.
 
     python -m benchmarks.traffic [--quick]
 
-Everything is a ratio within one run: with the account and without, pair by pair, the two in turn.
+Cost is measured in pairs of runs, with accounting and without it, in alternating order, and given as the ratio
+within each pair.
 """
 
 from __future__ import annotations
@@ -38,21 +39,21 @@
 DONE, FILLED = interface.AttemptResult.DONE, interface.CacheStatus.FILLED_FROM_SOURCE
 PARENTS = 6
 PARENT_KIND, ORIGIN_KIND = 1, 2
-WARM_UP_FILLS = 60_000  # each with a name of its own, within a minute
-FILL_INTERVAL = 10  # clock units
-FILLS_PER_TICK = 100
-LOAD_SCALE = 6.0
+WARM_UP_FILLS = 60_000  # each of another object, within one minute of simulated time
+FILL_INTERVAL = 10  # clock units between two fills
+FILLS_PER_TICK = 100  # fills between two clock ticks
+LOAD_SCALE = 6.0  # multiple of the scenario's load
 FIRST_SEED = 7
 DIRECTORS = 2
 
 
 def print_progress(text: str) -> None:
-    """Writes a line to stderr; stdout is for the result."""
+    """Writes a line to stderr; stdout is reserved for the result."""
     print(text, file=sys.stderr, flush=True)
 
 
 def make_deployment() -> interface.Deployment:
-    """A deployment of six parents in two hubs and two request classes, of which one has segments."""
+    """Returns a deployment with two hubs and two request classes, of which one is segmented."""
     request_class = interface.RequestClass(
         latency_target=4000,
         latency_target_stretch=1.6,
@@ -84,7 +85,7 @@
 
 
 def make_ledger() -> TrafficLedger:
-    """A ledger that knows of one cache and the parents."""
+    """Returns a ledger with one cache and `PARENTS` parents as endpoints."""
     operations = load_texts([("bench", SETTINGS)]).operations
     assert operations.traffic is not None
     ledger = TrafficLedger(operations.traffic, make_deployment(), IDENTITY, 0, ClockReading(0, UNIX_MS))
@@ -99,7 +100,7 @@
 
 
 def run_fill(ledger: TrafficLedger, index: int) -> None:
-    """One fill of a new object: the check of its budgets, its attempt and its end."""
+    """Runs a fill of a new object through the ledger: budget check, start and end of the attempt."""
     now, source = index * FILL_INTERVAL, f"p{index % PARENTS}"
     request = interface.RequestReceived(
         f"r{index}", index, 0, 0, 100.0, 20_000, index % 2, False, False, connection_id=index
@@ -112,7 +113,7 @@
 
 
 def measure_ledger(fills: int) -> dict[str, float]:
-    """Microseconds a fill in the ledger alone, and the memory that a minute of new names leaves behind."""
+    """Measures the ledger alone: microseconds per fill, and memory retained after a minute of new objects."""
     ledger = make_ledger()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -130,7 +131,7 @@
 
 
 def measure_pairs(pairs: int, seconds: float) -> dict[str, Any]:
-    """CPU and memory of whole directors, with the account and budgets on and off, in turn."""
+    """Measures CPU and memory of directors with accounting and budgets on and off, in alternating order."""
     ratios: list[float] = []
     memory: list[int] = []
     cpu: dict[bool, list[float]] = {False: [], True: []}
@@ -154,7 +155,7 @@
 
 
 def measure_accuracy(seeds: int, seconds: float) -> dict[str, Any]:
-    """How far the report is from what hubs carried, and whether budgets held."""
+    """Measures how far reported bytes differ from the bytes that hubs carried, and whether budgets held."""
     results: dict[str, Any] = {}
     for name in ("calm", "hub-loss", "stream-budget"):
         runs = [
@@ -174,7 +175,10 @@
 
 
 def measure_streams(seeds: int, seconds: float) -> dict[str, Any]:
-    """Streams begun that got all their segments, with reservations and without, at half of the demand."""
+    """Measures the share of started streams that got all segments, with reservations and without.
+
+    The budget is half of the demand.
+    """
     results = {}
     for name in ("stream-budget", "stream-plain"):
         runs = [
