--- a/ironhinge/lab/injection/sitecustomize.py
+++ b/ironhinge/lab/injection/sitecustomize.py
@@ -36,7 +36,7 @@
 MIN_SHORT_CALL_BYTES, MAX_SHORT_CALL_BYTES = 1, 40  # that a short call transfers
 NANOSECONDS_PER_SECOND = 1e9
 NO_LIMIT = 1 << 30  # bytes: more than any call transfers
-ACCEPTED, OUTGOING, ANY_SIDE = "accepted", "made", "any"
+ACCEPTED, OPENED, ANY_SIDE = "accepted", "made", "any"
 
 
 class FaultScript:
@@ -109,7 +109,7 @@
     """A socket whose calls fail by the script, which `install` sets."""
 
     script: FaultScript
-    side = OUTGOING
+    side = OPENED
 
     def _inject(self, call: str) -> None:
         if self.family == socket.AF_INET:
@@ -194,7 +194,7 @@
     def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
         """Open a socket, or wrap a descriptor; only opening can fail."""
         if fileno is None and family in (-1, socket.AF_INET):
-            self.script.raise_fault("socket", OUTGOING)
+            self.script.raise_fault("socket", OPENED)
         super().__init__(family, type, proto, fileno)
 
 
