--- a/benchmarks/disk_burst.py
+++ b/benchmarks/disk_burst.py
@@ -1,4 +1,4 @@
-"""How much a burst of new large objects lowers the hit ratio of small ones, by admission policy.
+"""Measures how much a burst of new large objects lowers the hit ratio of small ones, by admission policy.
 
     python -m benchmarks.disk_burst [--quick]
 
--- a/benchmarks/disk_crash.py
+++ b/benchmarks/disk_crash.py
@@ -29,7 +29,7 @@
 from ironhinge.lab.disks import FaultPlan, MemoryDirectory, PowerCutError
 
 IDENTITY = b"bench"
-RETENTION_MS = 1 << 50  # no start of a store drops copies for purges that it may have missed
+RETENTION_MS = 1 << 50  # so long that no start drops copies because it may have missed purges
 LIMITS = StoreLimits(4_000_000, 600_000, 20_000, RETENTION_MS)
 SMALL_LIMITS = StoreLimits(60_000, 9000, 200, RETENTION_MS)
 OBJECTS, SMALL_OBJECTS = 200, 20
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -269,7 +269,7 @@
 
 
 def _measure_peaks(usage: ResourceUsage, pid: int) -> None:
-    usage.descriptors = max(usage.descriptors, len(os.listdir(f"/proc/{pid}/fd")))  # noqa: PTH208 - names do
+    usage.descriptors = max(usage.descriptors, len(os.listdir(f"/proc/{pid}/fd")))  # noqa: PTH208 - names suffice
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM"):
             usage.memory_mb = int(line.split()[1]) / 1024
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -18,14 +18,7 @@
 import click
 
 TOTALS = ("requests", "answered", "served", "attempts", "crossed")
-VIOLATIONS = (
-    "lost",
-    "duplicates",
-    "late",
-    "after_client_left",
-    "broken_rules",
-    "crashes",
-)  # counts that must be 0
+VIOLATIONS = ("lost", "duplicates", "late", "after_client_left", "broken_rules", "crashes")  # must be 0
 
 
 def _run_seed(seed: int, seconds: float, logs: str | None) -> dict[str, Any]:
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.traffic [--quick]
 
-Cost is measured in pairs of runs, with accounting and without it, in alternating order, and given as the ratio
-within each pair.
+Cost is measured in pairs of runs, with accounting and without it, in alternating order, and given as the
+ratio within each pair.
 """
 
 from __future__ import annotations
--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -1,10 +1,10 @@
 """Audits a run: checks the records of clients and stand-ins (fake servers) against the operators' rules.
 
-The audit uses nothing but these records and shares no code with the director. Each limit is a number of the
-operators' documentation, whose rule is given beside the constant, plus the delay of the run's own proxies. A
-director that was stopped by SIGSTOP gets no extra time, as the documentation grants none. When the recording
-process itself runs late, the times that it records are too late by its lag; the attempt, drain and purge
-checks subtract that lag.
+The audit uses only the plan and these records and shares no code with the director. Each limit is a number
+of the operators' documentation, whose rule is given beside the constant, plus the delay of the run's own
+proxies. A director that was stopped by SIGSTOP gets no extra time, as the documentation grants none. When the
+recording process itself runs late, the times that it records are too late by its lag; the attempt, drain and
+purge checks subtract that lag.
 """
 
 from __future__ import annotations
@@ -42,7 +42,9 @@
 
 # seconds
 SLACK = 0.05  # every time limit is extended by 50 ms
-ANSWER_GRACE = 0.5  # an answer up to 0.5 s after the client's timeout has no value; a later one is lost
+ANSWER_GRACE = (
+    0.5  # until 0.5 s after the client's timeout an answer only has no value; later or never, it is lost
+)
 CANCEL_GRACE = 0.1  # an attempt started over 0.1 s after the client closed or cancelled is a lost request
 DEADLINE_SLACK = 0.15  # the deadline sent to a server may exceed the client's remaining time by 0.15 s
 CLOSE_CROSSING_WINDOW = 0.05  # a request within 50 ms of the director's close crosses it, and is sent again
--- a/ironhinge/lab/soak/plan.py
+++ b/ironhinge/lab/soak/plan.py
@@ -32,8 +32,8 @@
     "setsockopt": ("ENOBUFS", "ENOMEM"),
 }
 
-# probabilities, per director for system calls and the clock, per seed for discovery and paths
-CALL_OUTAGE_SHARE = 0.3  # of an outage: every call of one kind fails for a short time
+# probabilities per director (system calls, clock) or per seed (discovery, paths)
+CALL_OUTAGE_SHARE = 0.3  # every call of one kind fails for a short time
 CLOCK_STEP_SHARE = 0.6
 SHORT_CALLS_SHARE = 0.5
 DISCOVERY_OUTAGE_SHARE = 0.4
--- a/ironhinge/lab/soak/readiness.py
+++ b/ironhinge/lab/soak/readiness.py
@@ -18,7 +18,7 @@
 QUERY = wire.encode_frame(wire.FrameType.READINESS_QUERY, 0, b"\0")
 
 
-async def is_ready(port: int, timeout: float) -> bool:  # noqa: ASYNC109 - a timeout of each step
+async def is_ready(port: int, timeout: float) -> bool:  # noqa: ASYNC109 - a timeout per step
     """Return whether a director reports on a new connection that it is ready."""
     try:
         reader, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", port), timeout)
--- a/ironhinge/lab/soak/timeline.py
+++ b/ironhinge/lab/soak/timeline.py
@@ -6,7 +6,7 @@
 
 READ_CLASSES = ("read", "part")  # many requests read the same object, so executions cannot be matched to one
 
-Entry = tuple[float, str]  # time, and what happened
+Entry = tuple[float, str]  # time and description
 
 
 def timeline(trace: str, records: Records) -> list[str]:
--- a/ironhinge/lab/soak/wire.py
+++ b/ironhinge/lab/soak/wire.py
@@ -31,7 +31,7 @@
 
 
 class EventType(IntEnum):
-    """Types of events of discovery."""
+    """Types of discovery events."""
 
     HEARTBEAT = 0
     ENDPOINTS = 2
