--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -42,9 +42,7 @@
 
 # seconds
 SLACK = 0.05  # every time limit is extended by 50 ms
-ANSWER_GRACE = (
-    0.5  # until 0.5 s after the client's timeout an answer only has no value; later or never, it is lost
-)
+ANSWER_GRACE = 0.5  # up to 0.5 s after the client's timeout an answer has no value; later or never: lost
 CANCEL_GRACE = 0.1  # an attempt started over 0.1 s after the client closed or cancelled is a lost request
 DEADLINE_SLACK = 0.15  # the deadline sent to a server may exceed the client's remaining time by 0.15 s
 CLOSE_CROSSING_WINDOW = 0.05  # a request within 50 ms of the director's close crosses it, and is sent again
