--- a/ironhinge/lab/soak/run.py
+++ b/ironhinge/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one plan with stand-ins, directors as processes, clients and faults, and has the audit judge it."""
+"""Runs one plan: starts stand-ins and director processes, applies load and faults, and audits the records."""
 
 from __future__ import annotations
 
@@ -13,56 +13,56 @@
 from typing import Any
 
 from ..errors import DirectorStartError
-from .audit import Audit, Finding, Rule, Verdict
+from .audit import Audit, AuditResult, Finding, Rule
 from .clients import Client, ClientTarget
 from .director_config import MEMORY_LIMIT_MB, known_updates, platform_settings
 from .directors import Director, time_to_kill
 from .discovery import Discovery
-from .faults import FaultPlayer
+from .faults import FaultInjector
 from .plan import DIRECT_PATH, FaultKind, NetworkPath, Plan
 from .readiness import hold_idle_connections
 from .records import Notification, NotificationKind, Records
 from .report import build_report
 from .servers import EDGE_ZONE, HUB_ZONE, Fleet, Node, NodeKind, NodeState
 
-MEASURE_INTERVAL = 0.1  # seconds
-LAG_TOLERANCE = 0.02  # seconds that this process may be late without a record of it
-EXIT_TIMEOUT = 6.0  # seconds after SIGTERM, when no client is left
-KILL_MARGIN = 0.3  # seconds for which clients go on after a kill
-FORCED_EXIT = -1  # exit code recorded for a director that had to be killed
-LOG_EXCERPT = 500  # characters of each log in an error message
+MEASURE_INTERVAL = 0.1  # seconds between measurements of the directors' resource usage
+LAG_TOLERANCE = 0.02  # seconds: smaller lags of this process are not recorded
+EXIT_TIMEOUT = 6.0  # seconds after SIGTERM in which a director without clients has to exit
+KILL_MARGIN = 0.3  # seconds for which clients go on sending after a kill
+FORCED_EXIT = -1  # exit code recorded for a director that did not exit within EXIT_TIMEOUT
+LOG_EXCERPT = 500  # last characters of each log that an error message shows
 
 
 class SoakRun:
-    """The processes, sockets and records of one seed."""
+    """The processes, sockets and records of one run."""
 
     def __init__(self, plan: Plan) -> None:
-        """Create a run; nothing is started yet, but its temporary folder exists."""
+        """Create a run and its temporary folder; nothing is started yet."""
         self.plan = plan
         self.records = Records()
         self.folder = Path(tempfile.mkdtemp(prefix="ironhinge-soak-"))
         self.fleet = Fleet(plan, self.records)
-        # each director has a discovery of its own, so that what it was notified of is known
+        # one discovery service per director, so that its notifications can be recorded separately
         self.discoveries: list[Discovery] = []
         self.directors = [Director(self, number) for number in range(plan.director_count)]
         self.caches: list[Node] = []
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def execute(self) -> Verdict:
-        """Play the plan and judge the records.
+    async def execute(self) -> AuditResult:
+        """Run the plan and audit the records.
 
         Raises:
-            DirectorStartError: A director did not come up at the start.
+            DirectorStartError: A director did not become ready at the start.
         """
         try:
             await self._start()
-            await self._play()
+            await self._run_load_and_faults()
         finally:
             await self._stop()
-        verdict = Audit(self.plan, self.records).judge()
+        audit_result = Audit(self.plan, self.records).check_all()
         for text in self.fleet.malformed_commands:
-            verdict.findings.append(Finding(Rule.MALFORMED_COMMAND, text))
-        return verdict
+            audit_result.findings.append(Finding(Rule.MALFORMED_COMMAND, text))
+        return audit_result
 
     # Start and stop
 
@@ -75,13 +75,15 @@
         for node in (origin, parent, *self.caches):
             await node.start(self.plan.node_path if node in self.caches else DIRECT_PATH)
         for director in self.directors:
-            await self._start_paths_of(director)
+            await self._start_discovery_and_proxies(director)
         await asyncio.gather(*(director.start() for director in self.directors))
         if not all(director.accepting for director in self.directors):
-            raise DirectorStartError(f"a director did not come up: {self._log_excerpts()}")
+            raise DirectorStartError(
+                f"a director did not become ready; the logs end with: {self._log_excerpts()}"
+            )
 
-    async def _start_paths_of(self, director: Director) -> None:
-        """Start a director's discovery, and the proxies between its clients and it."""
+    async def _start_discovery_and_proxies(self, director: Director) -> None:
+        """Start a director's discovery service, and the proxies between the director and its clients."""
         ports = self.fleet.ports
         discovery = Discovery(self.records, ports, director.number, director.current_incarnation)
         await discovery.start()
@@ -97,7 +99,7 @@
         return "".join(log.read_text()[-LOG_EXCERPT:] for log in logs)
 
     def configuration(self, director: Director) -> dict[str, Any]:
-        """Return a director's configuration as of now, and record what it notifies of."""
+        """Return a director's current configuration, and record the drains that it contains."""
         updates = known_updates(self.fleet, director.discovery)
         for node in self.fleet.nodes.values():
             if node.state == NodeState.DRAINING:
@@ -131,22 +133,22 @@
         self.fleet.stop_proxies()
 
     def remove_folder(self) -> None:
-        """Remove the temporary folder with the logs."""
+        """Remove the temporary folder, which contains the logs."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
     # Load and faults
 
-    async def _play(self) -> None:
+    async def _run_load_and_faults(self) -> None:
         began = time.monotonic()
-        deadline = began + self._load_seconds()
+        deadline = began + self._load_duration()
         self._tasks.append(asyncio.ensure_future(self._measure_processes()))
         self._tasks.append(asyncio.ensure_future(self._measure_lag()))
-        player = FaultPlayer(self.plan, self.records, self.fleet, self.caches, self.directors)
-        faults = [asyncio.ensure_future(player.apply(event, began)) for event in self.plan.fault_events]
+        injector = FaultInjector(self.plan, self.records, self.fleet, self.caches, self.directors)
+        faults = [asyncio.ensure_future(injector.apply(event, began)) for event in self.plan.fault_events]
         clients: list[asyncio.Task[None]] = []
         for director in self.directors:
             for _ in range(self.plan.clients_per_director):
-                client = self._client(director, len(clients))
+                client = self._new_client(director, len(clients))
                 clients.append(asyncio.ensure_future(client.run(deadline)))
             if self.plan.idle_connections:
                 self._tasks.append(asyncio.ensure_future(self._hold_idle_connections(director, deadline)))
@@ -158,8 +160,12 @@
             if director.accepting and director.record is not None:
                 await self._shut_down(director)
 
-    def _load_seconds(self) -> float:
-        """Return how long clients send: until after the last kill, as they use connections until then."""
+    def _load_duration(self) -> float:
+        """Return the seconds for which clients send: at least until `KILL_MARGIN` after the last kill.
+
+        A director that does not exit on SIGTERM is killed `time_to_kill` seconds later. Until then, clients
+        go on using its connections.
+        """
         kills = [
             event.at + time_to_kill(self.plan) + KILL_MARGIN
             for event in self.plan.fault_events
@@ -168,26 +174,31 @@
         return max([self.plan.seconds, *kills])
 
     async def _shut_down(self, director: Director) -> None:
-        """End a director at the planned end of a run: without clients it has to exit by itself."""
+        """Send SIGTERM at the end of the run; without clients the director has to exit within `EXIT_TIMEOUT`.
+
+        If it does not, record `FORCED_EXIT` as its exit code and kill it.
+        """
         assert director.record is not None
-        assert director.exit_watch is not None
+        assert director.exit_task is not None
         director.record.terminated_at = time.monotonic()
         director.send(signal.SIGTERM)
         try:
-            await asyncio.wait_for(asyncio.shield(director.exit_watch), EXIT_TIMEOUT)
+            await asyncio.wait_for(asyncio.shield(director.exit_task), EXIT_TIMEOUT)
         except TimeoutError:
             director.record.exit_code = FORCED_EXIT
             director.send(signal.SIGKILL)
 
     def _client_port(self, director: Director, path: NetworkPath) -> int | None:
-        """Return the port at which a director can be reached over a path now, or None."""
+        """Return a director's current port for a path, or None while it cannot be reached."""
         if not director.accepting:
             return None
         return director.client_ports[self.plan.client_paths.index(path)]
 
-    def _client(self, director: Director, number: int) -> Client:
+    def _new_client(self, director: Director, number: int) -> Client:
         port = functools.partial(self._client_port, director)
-        target = ClientTarget(director.number, port, director.current_incarnation, director.on_client_wrote)
+        target = ClientTarget(
+            director.number, port, director.current_incarnation, director.on_request_written
+        )
         return Client(self.plan, self.records, number, target)
 
     async def _hold_idle_connections(self, director: Director, deadline: float) -> None:
@@ -202,7 +213,7 @@
             await asyncio.sleep(MEASURE_INTERVAL)
 
     async def _measure_lag(self) -> None:
-        """Record how late this process is: its own times are off by as much."""
+        """Record how late this process wakes from a sleep: recorded times can be late by as much."""
         while True:
             due = time.monotonic() + LAG_TOLERANCE / 2
             await asyncio.sleep(LAG_TOLERANCE / 2)
@@ -213,20 +224,20 @@
 
 
 def run_plan(plan: Plan, log_folder: Path | None = None) -> dict[str, Any]:
-    """Play a plan and return its report.
+    """Run a plan and return its report.
 
     Args:
-        plan: What to play.
-        log_folder: Where the directors' logs are copied to if the audit has findings.
+        plan: The plan to run.
+        log_folder: Folder to which the directors' logs are copied if the audit has findings.
 
     Raises:
-        DirectorStartError: A director did not come up at the start.
+        DirectorStartError: A director did not become ready at the start.
     """
     run = SoakRun(plan)
     try:
-        verdict = asyncio.run(run.execute())
-        report = build_report(plan, run.records, verdict)
-        if log_folder is not None and verdict.findings:
+        audit_result = asyncio.run(run.execute())
+        report = build_report(plan, run.records, audit_result)
+        if log_folder is not None and audit_result.findings:
             shutil.copytree(run.folder, log_folder / str(plan.seed), dirs_exist_ok=True)
         return report
     finally:
