--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -146,7 +146,7 @@
             if self._drops_input():  # the previous message may have shut down our side
                 return
             if message is messages[-1] and not self.wire.buffered:
-                connection.begin_at_last_data()
+                connection.use_backlog_data_time()
             self._record_usage(message)
             self._on_message(message)
 
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -327,7 +327,7 @@
             return self.last_empty_at
         return max(self.last_empty_at, self.manager.selector.empty_until(self.polled_descriptor))
 
-    def begin_at_last_data(self) -> None:
+    def use_backlog_data_time(self) -> None:
         """Dates the next message by the last data that arrived before the accept, if no more is unread.
 
         The receiver calls this before the last complete message: a message is complete when its last bytes
