--- a/ironhinge/net/open_request.py
+++ b/ironhinge/net/open_request.py
@@ -70,7 +70,7 @@
         self.attempt_number = request.attempt_count
         self.source = source  # the upstream that a miss is filled from
         self.oldest_copy_unix_ms = 0  # a copy produced earlier must not be served; 0: no limit
-        self.leaves_copy = not request.received.is_write
+        self.answer_is_copy = not request.received.is_write
 
     def is_outdated(self) -> bool:
         """Returns whether a change of the endpoint list since the command rules this attempt out.
--- a/ironhinge/net/upstream.py
+++ b/ironhinge/net/upstream.py
@@ -39,11 +39,11 @@
     """An attempt or a health check that is sent to an upstream."""
 
     __slots__ = (
+        "answer_is_copy",
         "connection",
         "deadline",
         "frame",
         "is_finished",
-        "leaves_copy",
         "operation_id",
         "start_deadline",
         "started_at",
@@ -58,7 +58,7 @@
         self.started_at = started_at
         self.deadline = started_at
         self.start_deadline = 0  # not sent after this, as its idempotency key may be forgotten; 0: no limit
-        self.leaves_copy = False  # the body of its answer is a copy, and needs a tag and a date
+        self.answer_is_copy = False  # the body of its answer is a copy, so a tag and a date are required
         self.connection: UpstreamConnection | None = None
         self.frame: Frame | None = None
         self.is_finished = False
@@ -115,7 +115,7 @@
     ) -> upstream_wire.UnparsableError | None:
         """Returns the error if an answer can't belong to this operation."""
         lacks_tag = not (answer.produced_unix_ms and answer.has_tag)
-        if operation.leaves_copy and answer.end is AttemptEnd.SERVED and lacks_tag:
+        if operation.answer_is_copy and answer.end is AttemptEnd.SERVED and lacks_tag:
             return upstream_wire.UnparsableError("copy without an entity tag or a date")
         if (answer.end in HEALTH_CHECK_ENDS) is not operation.is_health_check:
             return upstream_wire.UnparsableError(f"answer {answer.end.name} does not match its command")
