--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -1,7 +1,7 @@
 """One TCP connection: reads into a ring buffer, and writes queued frames through another.
 
 A connection never interprets the bytes: it passes data, and the end of the connection, to its `Receiver`. An
-error in its tasks closes this connection only. `ConnectionHost` is the interface of its owner.
+error in its tasks closes this connection only. `ConnectionOwner` is the interface of its owner.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from loguru import logger
 
 from .attempt_end import AttemptEnd
-from .connection_protocols import NULL_RECEIVER, ConnectionHost, NullReceiver, Receiver
+from .connection_protocols import NULL_RECEIVER, ConnectionOwner, NullReceiver, Receiver
 from .frame import Frame, Pieces
 from .ring_buffer import RingBuffer
 from .system_calls import Backoff, Remedy
 
-__all__ = ["NULL_RECEIVER", "Connection", "ConnectionHost", "Frame", "NullReceiver", "Pieces", "Receiver"]
+__all__ = ["NULL_RECEIVER", "Connection", "ConnectionOwner", "Frame", "NullReceiver", "Pieces", "Receiver"]
 
 READS_PER_TURN = 8  # reads of one connection before other tasks run
 MAX_IMMEDIATE_READS = 4  # reads by `read_now`: a read may be short, or fail temporarily
@@ -36,8 +36,8 @@
 class Connection:
     """One connection; owns its socket, its buffers and its tasks."""
 
-    def __init__(self, host: ConnectionHost, receiver: Receiver, inbound_size: int, outbound_size: int):
-        self.manager = host
+    def __init__(self, owner: ConnectionOwner, receiver: Receiver, inbound_size: int, outbound_size: int):
+        self.owner = owner
         self.receiver = receiver
         self.sock: socket.socket | None = None
         self.inbound = RingBuffer(inbound_size)
@@ -72,12 +72,12 @@
         expires_at: float | None = None,
         render: Callable[[], Pieces] | None = None,
     ) -> Frame:
-        """Queues a frame; it is sent at the host's next flush."""
+        """Queues a frame; it is sent at its owner's next flush."""
         frame = Frame(pieces, tag, expires_at, render)
         if not self.is_closed:
             self.pending_frames.append(frame)
             self._count_queued(frame.size)
-            self.manager.unflushed[self] = None
+            self.owner.unflushed[self] = None
         return frame
 
     def write_now(self, pieces: Pieces) -> bool:
@@ -88,7 +88,7 @@
 
     def _count_queued(self, size: int) -> None:
         self.queued_bytes += size
-        self.manager.queued_bytes += size
+        self.owner.queued_bytes += size
 
     def withdraw(self, frame: Frame) -> bool:
         """Removes a frame from the queue; False if part of it has been written already."""
@@ -112,7 +112,7 @@
         """Sends what the system accepts now, and starts a task that waits to send the rest."""
         if self.sock is None or not self.is_connected or self.is_closed or self.write_wait_scope is not None:
             return
-        calls = self.manager.calls
+        calls = self.owner.calls
         if not self.no_delay:
             self.no_delay = calls.enable_no_delay(self.sock)
         remedy = self._send_all()
@@ -122,7 +122,7 @@
         if remedy in (Remedy.WAIT, Remedy.PAUSE):
             self._requeue_unsent_frames()
             self.write_wait_scope = anyio.CancelScope()
-            self.manager.task_group.start_soon(self._wait_to_write, remedy)
+            self.owner.task_group.start_soon(self._wait_to_write, remedy)
         elif remedy is not Remedy.DONE:
             self.close(AttemptEnd.RESET)
 
@@ -135,7 +135,7 @@
             if not data:
                 break
             latest = inf if is_rerendered else self.rendered_at + MAX_RENDERED_AGE
-            count, remedy = self.manager.calls.send(self.sock, data, latest)
+            count, remedy = self.owner.calls.send(self.sock, data, latest)
             if remedy is Remedy.LATE:
                 self._requeue_unsent_frames()  # the rendered time remaining is out of date
                 is_rerendered = True  # only once: on a slow machine, rendering alone may take that long
@@ -212,12 +212,12 @@
             if remedy is Remedy.PAUSE:
                 await anyio.sleep(self._next_pause())
             else:
-                await self.manager.calls.writable(self.sock)
+                await self.owner.calls.writable(self.sock)
 
         await self.run_task(wait, self.write_wait_scope or self.cancel_scope)
         self.write_wait_scope = None
         self.send_pending()
-        self.manager.flush()
+        self.owner.flush()
 
     def _next_pause(self) -> float:
         if self.backoff is None:
@@ -231,24 +231,24 @@
         """
         if not self.is_finishing and not self.is_closed:
             self.is_finishing = True
-            self.manager.finishing_count += 1
-            self.manager.unflushed[self] = None
+            self.owner.finishing_count += 1
+            self.owner.unflushed[self] = None
 
     def close(self, end: AttemptEnd) -> None:
         """Closes the connection now and notifies its receiver, once."""
         if self.is_closed:
             return
         self.is_closed = True
-        self.manager.finishing_count -= self.is_finishing
+        self.owner.finishing_count -= self.is_finishing
         self.cancel_scope.cancel()
         if self.write_wait_scope is not None:
             self.write_wait_scope.cancel()
         if self.sock is not None:
             # fails if the peer has closed already, which does not matter
-            self.manager.calls.shut_down(self.sock, socket.SHUT_RDWR)
+            self.owner.calls.shut_down(self.sock, socket.SHUT_RDWR)
         self._release_socket()
-        self.manager.unflushed.pop(self, None)
-        self.manager.connections.pop(self, None)
+        self.owner.unflushed.pop(self, None)
+        self.owner.connections.pop(self, None)
         self.receiver.on_closed(self, end)
         self._count_queued(-self.queued_bytes)
         self.pending_frames.clear()
@@ -260,22 +260,22 @@
     def _release_socket(self) -> None:
         """Closes the socket once no task waits on it, as its descriptor may be reused immediately."""
         if self.is_closed and not self.task_count and self.sock is not None:
-            self.manager.calls.close(self.sock)
+            self.owner.calls.close(self.sock)
             self.sock = None
-            self.manager.open_sockets -= 1
+            self.owner.open_sockets -= 1
 
     def has_unread(self) -> bool:
         """Whether there are unread bytes; also True if that can't be determined."""
         if self.sock is None:
             return False
-        has_data, remedy = self.manager.calls.peek(self.sock)
+        has_data, remedy = self.owner.calls.peek(self.sock)
         return has_data or remedy not in (Remedy.DONE, Remedy.WAIT, Remedy.BROKEN)
 
     def peer_has_closed(self) -> bool:
         """Whether the peer has closed or reset the connection, as far as a peek at the socket shows."""
         if self.sock is None:
             return False
-        has_data, remedy = self.manager.calls.peek(self.sock)
+        has_data, remedy = self.owner.calls.peek(self.sock)
         return remedy is Remedy.BROKEN or (remedy is Remedy.DONE and not has_data)
 
     async def read_loop(self) -> None:
@@ -296,7 +296,7 @@
             reads += 1
             if self.is_finishing:
                 continue
-            self.manager.flush()
+            self.owner.flush()
             if self.is_closed:
                 return
             if count < self.last_read_size and monotonic() < self.last_empty_at + MAX_EMPTY_AGE:
@@ -308,9 +308,9 @@
         assert self.sock is not None
         self.polled_descriptor = self.sock.fileno()
         try:
-            await self.manager.calls.readable(self.sock)
+            await self.owner.calls.readable(self.sock)
         finally:
-            empty_until = self.manager.selector.end_polling(self.polled_descriptor)
+            empty_until = self.owner.selector.end_polling(self.polled_descriptor)
             self.polled_descriptor = None
             if empty_until > self.last_empty_at:
                 self.last_empty_at = empty_until
@@ -325,7 +325,7 @@
         """
         if self.polled_descriptor is None:
             return self.last_empty_at
-        return max(self.last_empty_at, self.manager.selector.empty_until(self.polled_descriptor))
+        return max(self.last_empty_at, self.owner.selector.empty_until(self.polled_descriptor))
 
     def use_backlog_data_time(self) -> None:
         """Dates the next message by the last data that arrived before the accept, if no more is unread.
@@ -368,7 +368,7 @@
         began_at = monotonic()
         buffer = ring.writable()
         self.last_read_size = len(buffer)
-        count, remedy = self.manager.calls.receive(self.sock, buffer)
+        count, remedy = self.owner.calls.receive(self.sock, buffer)
         if remedy is Remedy.WAIT:
             self.last_empty_at = began_at
         if remedy in (Remedy.WAIT, Remedy.PAUSE):
@@ -399,7 +399,7 @@
         except Exception:  # noqa: BLE001 - an error on one connection must not end the tasks of others
             logger.exception("connection_task_failed")
             self.close(AttemptEnd.UNPARSABLE)
-            self.manager.flush()
+            self.owner.flush()
         finally:
             self.task_count -= 1
             self._release_socket()
--- a/ironhinge/net/connection_protocols.py
+++ b/ironhinge/net/connection_protocols.py
@@ -14,7 +14,7 @@
     from .connection import Connection
 
 
-class ConnectionHost(Protocol):
+class ConnectionOwner(Protocol):
     """The owner of connections, as a connection uses it; all its connections share the counts."""
 
     calls: SocketCalls
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -122,12 +122,12 @@
         assert begun == frames[: len(begun)]
         last = link.write([b"last"])
         link.finish()
-        link.manager.flush()
+        link.owner.flush()
         data = await all_of(peer)
         expected = b"".join(bytes([65 + i]) * 3000 + b"." for i in range(len(begun)))
         assert data == expected + b"last"
         assert link.is_written(last)
-        assert not link.manager.queued_bytes
+        assert not link.owner.queued_bytes
 
     connected(scene)
 
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -137,7 +137,7 @@
         heard.link.write((), render=render)
         heard.link.send_pending()
         heard.link.finish()
-        heard.link.manager.flush()
+        heard.link.owner.flush()
         assert await all_of(peer) == b"command"
 
     connected(scene)
