--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Sends the final answer of a request that is still open."""
 
-    def forget_if_done(self, request: OpenRequest) -> None:
+    def delete_if_done(self, request: OpenRequest) -> None:
         """Deletes the request if it has been answered and has no attempt in flight."""
 
 
@@ -233,7 +233,7 @@
             self._owner.send_final_answer(request.request_id, client_wire.DONE, {}, answer.body)
         elif end is AttemptEnd.NOT_MODIFIED:
             self._owner.send_final_answer(request.request_id, client_wire.DONE, NOT_MODIFIED_FIELDS)
-        self._owner.forget_if_done(request)
+        self._owner.delete_if_done(request)
         if self.local_store is not None and body_size and answer is not None:
             self.recent_answers[request.request_id] = request.received, answer
         event = AttemptFinished(
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -201,7 +201,7 @@
             # Done even if the settings forbid cancellation: they mean attempts that have begun, and this one
             # still waits for its connection or behind a blocked socket.
             self.attempts.finish_operation(request.attempt, AttemptEnd.NOT_SENT)
-        self.forget_if_done(request)
+        self.delete_if_done(request)
 
     def fail(self, request: OpenRequest) -> None:
         """Fails a request whose client connection is being closed; to the router, its client disconnects."""
@@ -226,9 +226,9 @@
             "request_finished request={} outcome={} attempts={}", request_id, outcome, request.attempt_count
         )
         request.client.send_answer(request, code, fields, body)
-        self.forget_if_done(request)
+        self.delete_if_done(request)
 
-    def forget_if_done(self, request: OpenRequest) -> None:
+    def delete_if_done(self, request: OpenRequest) -> None:
         """Removes a request that is closed and has no attempt in flight."""
         if request.is_closed and request.attempt is None:
             self.requests.pop(request.request_id, None)
