--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -119,7 +119,7 @@
         if request.is_closed or command.deadline <= now:
             self.finish_operation(attempt, AttemptEnd.NOT_SENT)
             return
-        fields = command_fields(request.passed, command)
+        fields = command_fields(request.forwarded, command)
         self._start(attempt, command.deadline, lambda: self._render_command(attempt, fields))
         if command.start_deadline:
             attempt.start_deadline = command.start_deadline
@@ -256,7 +256,7 @@
         attempt: Attempt, end: AttemptEnd, answer: upstream_wire.UpstreamAnswer | None
     ) -> AttemptEnd:
         """Returns how an attempt ended; `ERROR` if its answer must not be passed on."""
-        held_tag = attempt.request.passed.held_tag
+        held_tag = attempt.request.forwarded.held_tag
         if end is AttemptEnd.NOT_MODIFIED and (answer is None or not held_tag or answer.tag != held_tag):
             return AttemptEnd.ERROR  # the answer does not confirm the tag of the client's copy
         if answer is not None and 0 < answer.produced_unix_ms < attempt.oldest_copy_unix_ms:
--- a/ironhinge/net/client_request.py
+++ b/ironhinge/net/client_request.py
@@ -1,7 +1,7 @@
 """Parses the fields of a client's request, and maps their names on the wire to those of the code.
 
 The fields arrive as text. The router gets them parsed, as a `RequestReceived`; fields that are forwarded to
-upstreams unchanged become `PassedFields`.
+upstreams unchanged become `ForwardedFields`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     """A field of a request is not acceptable; the text names the field and what was expected."""
 
 
-class PassedFields(NamedTuple):
+class ForwardedFields(NamedTuple):
     """The fields of a client's request that are forwarded to upstreams unchanged."""
 
     route: str
@@ -37,7 +37,7 @@
     """A client's request whose fields have been checked."""
 
     received: RequestReceived
-    passed: PassedFields
+    forwarded: ForwardedFields
 
 
 def read_request(
@@ -85,5 +85,5 @@
         connection_id=connection_id,
     )
     return ClientRequest(
-        received, PassedFields(route, fields["entity"], fields.get("part"), fields.get("nonce"), held_tag)
+        received, ForwardedFields(route, fields["entity"], fields.get("part"), fields.get("nonce"), held_tag)
     )
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -305,7 +305,7 @@
             copy = await self.local_store.read(request.received) if self.local_store is not None else None
             if copy is not None:
                 served = True
-                client_has_copy = request.passed.held_tag == copy.tag.decode(errors="replace")
+                client_has_copy = request.forwarded.held_tag == copy.tag.decode(errors="replace")
                 fields, body = (NOT_MODIFIED_FIELDS, b"") if client_has_copy else ({}, copy.body)
                 self.send_final_answer(request.request_id, client_wire.DONE, fields, body)
         except Exception:  # noqa: BLE001 - the router sends the request to a cache instead
--- a/ironhinge/net/open_request.py
+++ b/ironhinge/net/open_request.py
@@ -33,8 +33,8 @@
         "client",
         "client_disconnected",
         "deadline",
+        "forwarded",
         "is_closed",
-        "passed",
         "received",
         "request_id",
         "stream",
@@ -44,7 +44,7 @@
         self, request: ClientRequest, client: AnswerReceiver, stream: int, body: bytes, deadline: int
     ):
         self.received: RequestReceived = request.received
-        self.passed = request.passed
+        self.forwarded = request.forwarded
         self.request_id = request.received.request_id
         self.client = client
         self.stream = stream
--- a/ironhinge/net/upstream_command.py
+++ b/ironhinge/net/upstream_command.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..interface import SendAttempt, SendAttemptWithFill
-from .client_request import PassedFields
+from .client_request import ForwardedFields
 from .clock import MILLISECOND
 
 HINT_SEPARATOR = "+"
@@ -17,21 +17,21 @@
     return max(1, command.max_copy_age // MILLISECOND)
 
 
-def command_fields(passed: PassedFields, command: SendAttempt | SendAttemptWithFill) -> dict[str, str]:
+def command_fields(forwarded: ForwardedFields, command: SendAttempt | SendAttemptWithFill) -> dict[str, str]:
     """Returns the fields of a command, in the order in which they are written.
 
     The time remaining is empty here; `set_time_remaining` sets it just before the command is written.
     """
-    fields = {"kind": passed.route, "obj": passed.entity}
-    if passed.part is not None:
-        fields["seg"] = passed.part
-    if passed.nonce is not None:
-        fields["token"] = passed.nonce
+    fields = {"kind": forwarded.route, "obj": forwarded.entity}
+    if forwarded.part is not None:
+        fields["seg"] = forwarded.part
+    if forwarded.nonce is not None:
+        fields["token"] = forwarded.nonce
     fields[TIME_REMAINING] = ""
     if isinstance(command, SendAttemptWithFill):
         _add_fill_fields(fields, command)
-    if passed.held_tag:
-        fields["got"] = passed.held_tag
+    if forwarded.held_tag:
+        fields["got"] = forwarded.held_tag
     return fields
 
 
