--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -89,10 +89,10 @@
         self.attempts.catch_up_with_discovery = self.discovery.catch_up
         self.gossip = Gossip(config, manager.calls, self)
         router = Router(config.deployment, config.seed)
-        self.decisions = DecisionLoop(
+        self.decision_loop = DecisionLoop(
             router, self.clock, self._on_decision_error, self.attempts.recent_answers.clear
         )
-        self.decisions.handlers = self._command_handlers()
+        self.decision_loop.handlers = self._command_handlers()
         self.attempts.pool = self.pool
         self.attempts.timers = self.timers
         self._attach_extensions(traffic_account, local_store)
@@ -106,8 +106,8 @@
             traffic_account
         )
         self.local_store = self.attempts.local_store = self.discovery.local_store = local_store
-        self.decisions.router.fill_budget = traffic_account
-        self.decisions.router.local_store = local_store
+        self.decision_loop.router.fill_budget = traffic_account
+        self.decision_loop.router.local_store = local_store
 
     def _command_handlers(self) -> dict[type, Callable[[Any], None]]:
         return {
@@ -138,7 +138,7 @@
 
     def report(self, event: Event) -> None:
         """Passes an event to the router and executes the commands that it returns."""
-        self.decisions.report(event)
+        self.decision_loop.report(event)
 
     def _on_decision_error(self, request_id: str) -> None:
         self.diagnostics.counters["decision_faults"] += 1
@@ -166,7 +166,7 @@
             return
         client.open_requests[request.stream] = self.requests[request.request_id] = request
         self.diagnostics.counters["requests"] += 1
-        self.decisions.report_request(request.received, request.deadline)
+        self.decision_loop.report_request(request.received, request.deadline)
 
     def _open_request(
         self,
--- a/ironhinge/net/shutdown.py
+++ b/ironhinge/net/shutdown.py
@@ -34,7 +34,9 @@
     """
     clock = director.clock
     logger.info("shutdown_started {}", director.summary())
-    time_to_kill = min(director.decisions.router.longest_client_timeout, CLIENT_TIMEOUT_LIMIT) + KILL_GRACE
+    time_to_kill = (
+        min(director.decision_loop.router.longest_client_timeout, CLIENT_TIMEOUT_LIMIT) + KILL_GRACE
+    )
     started_at = clock.now()
     answer_deadline = started_at + time_to_kill - FINAL_WRITE_TIME
     director.begin_shutdown(time_to_kill - FINAL_WRITE_TIME)
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -83,7 +83,7 @@
     async def run(selector):
         async with anyio.create_task_group() as tasks:
             director = Director(told, ConnectionManager(tasks, told.limits, selector))
-            director.decisions.router = (
+            director.decision_loop.router = (
                 script(told.deployment, told.seed) if isinstance(script, type) else script
             )
             director.gossip.sock = datagrams
