--- a/ironhinge/cli.py
+++ b/ironhinge/cli.py
@@ -224,9 +224,9 @@
     service is used, and new settings are applied as a whole, or not at all if any of them is invalid.
     """
     from .net.clock import Clock
-    from .net.service import Service, hold_signals, run
+    from .net.service import Service, block_signals, run
 
-    hold_signals()
+    block_signals()
 
     logger.remove()
     logger.add(sys.stderr, level=log_level.upper(), format=LOG_FORMAT, diagnose=False, backtrace=False)
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -73,7 +73,7 @@
             await anyio.sleep(RESTART_PAUSE)
 
 
-def hold_signals() -> None:
+def block_signals() -> None:
     """Blocks the handled signals until `run` can receive them.
 
     A signal during start-up must neither end the process nor be lost.
