--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -28,7 +28,7 @@
 from .discovery_wire import Keepalive
 from .extensions import LocalCopyStore, TrafficAccount
 from .open_request import Attempt
-from .system_calls import spread
+from .system_calls import with_jitter
 from .upstream import Upstream
 from .upstream_pool import UpstreamPool
 
@@ -172,7 +172,7 @@
             if self._config.discovery_address == address:
                 logger.warning("discovery_connection_lost address={}:{}", *address)
                 pause = MIN_RECONNECT_PAUSE if current.has_received else min(MAX_RECONNECT_PAUSE, 2 * pause)
-                await anyio.sleep(spread(pause))
+                await anyio.sleep(with_jitter(pause))
 
     async def _wait_until_closed(self, current: DiscoveryConnection) -> None:
         """Waits until a connection is closed; closes it after `SILENCE_TIMEOUT` without a frame."""
--- a/ironhinge/net/system_calls.py
+++ b/ironhinge/net/system_calls.py
@@ -181,7 +181,7 @@
     return REMEDIES.get((call, error), UNKNOWN_ERROR_REMEDY)
 
 
-def spread(pause: float) -> float:
+def with_jitter(pause: float) -> float:
     """Adds jitter: returns a random value between half of `pause` and all of it, in the same unit.
 
     Tasks that wait for the same thing must not all wake at the same moment.
@@ -209,4 +209,4 @@
         """Returns the seconds to pause now, and doubles the next pause."""
         pause = self.pause
         self.pause = min(MAX_PAUSE, 2 * pause)
-        return spread(pause)
+        return with_jitter(pause)
