--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -164,7 +164,7 @@
             return remedy
         with anyio.move_on_after(max(0.0, deadline - monotonic())) as scope:
             await self.calls.writable(connection.sock)
-        return Remedy.UNREACHABLE if scope.cancelled_caught else self.calls.connected(connection.sock)
+        return Remedy.UNREACHABLE if scope.cancelled_caught else self.calls.connect_result(connection.sock)
 
     async def _open_socket(self, connection: Connection, may_use_reserve: bool) -> Remedy:
         """Opens a socket for a connection; the remedy says why if `connection.sock` is still None."""
--- a/ironhinge/net/socket_calls.py
+++ b/ironhinge/net/socket_calls.py
@@ -67,7 +67,7 @@
             error = raised.errno or 0
         return self._connect_error(error)
 
-    def connected(self, sock: socket.socket) -> Remedy:
+    def connect_result(self, sock: socket.socket) -> Remedy:
         """Returns the result of a connect that was in progress."""
         try:
             return self._connect_error(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
