--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -92,7 +92,7 @@
     requests: int = 0  # written to a connection completely
     answered: int = 0
     served: int = 0
-    crossed_close: int = 0  # requests that crossed a close: the protocol has the client resend them
+    closed_before_read: int = 0  # the director closed the connection: the protocol has the client resend
     attempts: int = 0  # commands that nodes received
 
     def count(self, *rules: Rule) -> int:
@@ -164,15 +164,15 @@
         ended_at = connection.ended_at
         if ended_at is None:
             reason = "never answered"
-        elif self._crossed_close(request, written_at, ended_at):
-            self.result.crossed_close += 1
+        elif self._was_closed_before_read(request, written_at, ended_at):
+            self.result.closed_before_read += 1
             return
         else:
             reason = f"connection ended ({connection.ending}) {ended_at - written_at:.3f} s after the request"
         process_name = f"process {incarnation.number} of director {incarnation.director}"
         self._add_finding(Rule.LOST, f"{reason}, {process_name}", request.trace)
 
-    def _crossed_close(self, request: RequestRecord, written_at: float, ended_at: float) -> bool:
+    def _was_closed_before_read(self, request: RequestRecord, written_at: float, ended_at: float) -> bool:
         """Return whether a request was written while the director's close of its connection was in flight.
 
         Counts only where the director had announced the close and no other request was open.
--- a/ironhinge/lab/soak/report.py
+++ b/ironhinge/lab/soak/report.py
@@ -31,7 +31,7 @@
         "answered": audit_result.answered,
         "served": audit_result.served,
         "attempts": audit_result.attempts,
-        "crossed": audit_result.crossed_close,
+        "crossed": audit_result.closed_before_read,
         "lost": audit_result.count(Rule.LOST, Rule.DUPLICATE_ANSWER),
         "duplicates": audit_result.count(Rule.DUPLICATE_EXECUTION),
         "late": audit_result.count(Rule.LATE),
