--- a/ironhinge/settings/records.py
+++ b/ironhinge/settings/records.py
@@ -61,7 +61,7 @@
     source_zone: str | None = msgspec.field(name="out_of", default=None)
 
 
-class Keep(msgspec.Struct, frozen=True):
+class SnapshotSettings(msgspec.Struct, frozen=True):
     """Where and how often snapshots of the traffic account are stored."""
 
     folder: str
@@ -75,7 +75,7 @@
     host: str
 
 
-class Share(msgspec.Struct, frozen=True):
+class QuotaSharing(msgspec.Struct, frozen=True):
     """How directors exchange unused budget with each other."""
 
     every: Span
@@ -90,9 +90,9 @@
     distributions: bool
     prices: tuple[Price, ...]
     budgets: dict[str, Budget] = {}
-    keep: Keep | None = None
+    keep: SnapshotSettings | None = None
     metrics: Metrics | None = None
-    share: Share | None = None
+    share: QuotaSharing | None = None
 
 
 class Disk(msgspec.Struct, frozen=True):
--- a/ironhinge/traffic/quota_exchange.py
+++ b/ironhinge/traffic/quota_exchange.py
@@ -50,7 +50,7 @@
     """Requests quota from peers and grants them the surplus of this director."""
 
     def __init__(
-        self, config: records.Share, budgets: Mapping[str, Budget], peer_index: int, incarnation: int
+        self, config: records.QuotaSharing, budgets: Mapping[str, Budget], peer_index: int, incarnation: int
     ):
         self._config, self._peer_index, self._incarnation = config, peer_index, incarnation
         self._budgets = {budget_key(name): budget for name, budget in budgets.items()}
