--- a/ironhinge/lab/report.py
+++ b/ironhinge/lab/report.py
@@ -124,7 +124,7 @@
     return {
         "reported_bytes": reported,
         "reported_by_way": account.by("way"),
-        "guessed_bytes": account.guessed(),
+        "guessed_bytes": account.estimated(),
         "forced_bytes": account.by("forced").get("forced", 0),
         "off_share": round(abs(reported / max(1, sum(route_bytes.values())) - 1), 5),
         "snapshots_wrong": unreadable,
--- a/ironhinge/traffic/account.py
+++ b/ironhinge/traffic/account.py
@@ -41,7 +41,7 @@
 
     fills: int
     transferred: int  # bytes
-    guessed: int = 0  # part of `transferred` that is estimated
+    estimated: int = 0  # part of `transferred` that is estimated
     from_origin: int = 0  # bytes that hubs fetched from the origin for these fills
 
 
@@ -51,20 +51,20 @@
 
     fills: int = 0
     transferred: int = 0
-    guessed: int = 0
+    estimated: int = 0
     from_origin: int = 0
 
     def add(self, amount: TransferAmount) -> None:
         """Adds one amount."""
-        fills, transferred, guessed, from_origin = amount
+        fills, transferred, estimated, from_origin = amount
         self.fills += fills
         self.transferred += transferred
-        self.guessed += guessed
+        self.estimated += estimated
         self.from_origin += from_origin
 
     def amount(self) -> TransferAmount:
         """Returns the current sums."""
-        return TransferAmount(self.fills, self.transferred, self.guessed, self.from_origin)
+        return TransferAmount(self.fills, self.transferred, self.estimated, self.from_origin)
 
 
 class TransferRecord(NamedTuple):
@@ -73,7 +73,7 @@
     kind: TransferKind
     fills: int
     transferred: int
-    guessed: int
+    estimated: int
     from_origin: int
 
 
@@ -88,7 +88,7 @@
     diverted: int  # 0 or 1
     fills: int
     transferred: int
-    guessed: int
+    estimated: int
     from_origin: int
 
     def kind(self) -> TransferKind:
@@ -104,7 +104,7 @@
 
     def amount(self) -> TransferAmount:
         """Returns the sums, which are stored in the last four numbers."""
-        return TransferAmount(self.fills, self.transferred, self.guessed, self.from_origin)
+        return TransferAmount(self.fills, self.transferred, self.estimated, self.from_origin)
 
 
 def _stored(kind: TransferKind, totals: TransferTotals) -> StoredTransfer:
@@ -117,7 +117,7 @@
         int(kind.diverted),
         totals.fills,
         totals.transferred,
-        totals.guessed,
+        totals.estimated,
         totals.from_origin,
     )
 
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -285,12 +285,12 @@
                 self.requests_with_transfers.pop(event.request_id, None)
             return
         # before `_record_answer`, so that the attempt's own answer does not affect the estimate
-        transferred, guessed = self.estimator.transferred(attempt, event)
+        transferred, estimated = self.estimator.transferred(attempt, event)
         if event.result == _DONE and event.body_size:
             self._record_answer(now, attempt, event.body_size, event)
         if transferred:
             origin_bytes = attempt.origin_bytes(event, transferred)
-            amount = TransferAmount(1, transferred, guessed, origin_bytes)
+            amount = TransferAmount(1, transferred, estimated, origin_bytes)
             self.account.add(self.calendar.advance(now), attempt.kind(event), amount)
         attempt.settle(transferred)
         self._track_transfers(event, transferred)
--- a/ironhinge/traffic/report.py
+++ b/ironhinge/traffic/report.py
@@ -38,7 +38,7 @@
     diversion: str
     fills: int
     transferred: int
-    guessed: int
+    estimated: int
     from_origin: int
 
     @property
@@ -86,9 +86,9 @@
         """Returns the transferred bytes."""
         return sum(line.transferred for line in self.lines)
 
-    def guessed(self) -> int:
+    def estimated(self) -> int:
         """Returns the part of the transferred bytes that is estimated."""
-        return sum(line.guessed for line in self.lines)
+        return sum(line.estimated for line in self.lines)
 
     def from_origin(self) -> int:
         """Returns the bytes that hubs fetched from the origin for the fills."""
--- a/ironhinge/traffic/report_formats.py
+++ b/ironhinge/traffic/report_formats.py
@@ -41,7 +41,7 @@
         "start": report.start_ms,
         "directors": [snapshot.director for snapshot in report.snapshots],
         "total_bytes": report.total(),
-        "guessed_bytes": report.guessed(),
+        "guessed_bytes": report.estimated(),
         "behind_hubs_bytes": report.from_origin(),
         "fills": report.fills(),
         "forced_share": report.diverted_share(),
@@ -88,7 +88,7 @@
     lines = [
         f"{report.window} from {report.start_ms}, {len(report.snapshots)} directors: "
         f"{format_size(report.total())} in {report.fills()} fills, "
-        f"{format_size(report.guessed())} of it guessed, {100 * report.diverted_share():.1f}% forced"
+        f"{format_size(report.estimated())} of it guessed, {100 * report.diverted_share():.1f}% forced"
     ]
     if report.unknown_ms():
         seconds = report.unknown_ms() / MS_PER_SECOND
--- a/ironhinge/traffic/size_estimator.py
+++ b/ironhinge/traffic/size_estimator.py
@@ -2,11 +2,11 @@
 
 If the cache status of an answer says that it was filled, the fill transferred the bytes of the answer. Hits
 and joined fills transferred none (the bytes are counted for the attempt that started the fill). Other bytes
-are estimated, and counted as `guessed` too: those of an answer "not modified", which has no body; of a
+are estimated, and counted as `estimated` too: those of an answer "not modified", which has no body; of a
 revalidation while a stale copy is served; and of a fill that broke off or whose client disconnected. The
 estimate is the size given by the request or else the largest recent size of its class; for an unfinished
 fill, it is multiplied by the share that should have been transferred in its duration. The bytes of an answer
-without a cache status are counted as `guessed` as well, because the answer may have been a hit.
+without a cache status are counted as `estimated` as well, because the answer may have been a hit.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
     """The bytes that an attempt transferred, and how many of them are estimated."""
 
     total: int
-    guessed: int
+    estimated: int
 
 
 _NO_TRANSFER = TransferredBytes(0, 0)
@@ -164,8 +164,8 @@
         if event.result == _TIMEOUT and self._is_unresponsive(attempt):
             return _NO_TRANSFER
         estimator = self.classes[attempt.request.class_index]
-        guess = int(size * estimator.transferred_share(size, event.duration))
-        return TransferredBytes(guess, guess)
+        estimate = int(size * estimator.transferred_share(size, event.duration))
+        return TransferredBytes(estimate, estimate)
 
     def _transferred_when_done(
         self, attempt: AttemptInFlight, event: AttemptEnded, size: float
--- a/tests/test_traffic_account.py
+++ b/tests/test_traffic_account.py
@@ -75,7 +75,7 @@
     end(warm, 300, "r", **ending)
     found = warm.account.transfers("period")
     assert transferred(warm) - before == booked
-    assert sum(record.guessed for record in found) == guessed
+    assert sum(record.estimated for record in found) == guessed
     assert not warm.attempts
 
 
