--- a/ironhinge/traffic/metrics.py
+++ b/ironhinge/traffic/metrics.py
@@ -42,11 +42,9 @@
 
 def _transfer_families(ledger: TrafficLedger) -> list[Metric]:
     transferred = CounterMetricFamily(
-        "ironhinge_crossed_bytes", "Bytes transferred by fills.", labels=TRANSFER_LABELS
-    )
-    fills = CounterMetricFamily(
-        "ironhinge_crossed_fills", "Fills that transferred bytes.", labels=TRANSFER_LABELS
+        "ironhinge_crossed_bytes", "Bytes that fills carried.", labels=TRANSFER_LABELS
     )
+    fills = CounterMetricFamily("ironhinge_crossed_fills", "Fills that carried them.", labels=TRANSFER_LABELS)
     for kind, totals in _totals_by_kind(ledger).items():
         values = _label_values(ledger, kind)
         transferred.add_metric(values, totals.transferred)
@@ -55,19 +53,11 @@
 
 
 def _budget_families(ledger: TrafficLedger) -> list[Metric]:
-    refusals = CounterMetricFamily(
-        "ironhinge_budget_refusals", "Refusals of fills because a budget had no room.", labels=BUDGET_LABELS
-    )
-    spent = GaugeMetricFamily(
-        "ironhinge_budget_spent_bytes",
-        "Bytes spent in this billing period, without the emergency allowance.",
-        labels=BUDGET_LABELS,
-    )
-    emergency = GaugeMetricFamily(
-        "ironhinge_budget_drawn_bytes",
-        "Bytes spent from the emergency allowance in this billing period.",
-        labels=BUDGET_LABELS,
-    )
+    # refusals of fills because a budget had no room
+    refusals = CounterMetricFamily("ironhinge_budget_refusals", "Times without room.", labels=BUDGET_LABELS)
+    # bytes spent in this billing period: without the emergency allowance, and from that allowance
+    spent = GaugeMetricFamily("ironhinge_budget_spent_bytes", "Of this period.", labels=BUDGET_LABELS)
+    emergency = GaugeMetricFamily("ironhinge_budget_drawn_bytes", "Of its allowance.", labels=BUDGET_LABELS)
     for name, usage in ledger.budget_set.usage().items():
         refusals.add_metric([name], usage.refusals)
         spent.add_metric([name], usage.spent)
