--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -6,8 +6,7 @@
 per second in all, and discovery publishes a change of one node ten times per second. Each node is a listening
 socket of its own, all in this process. The first fleet is the baseline: the operators' limits for the other
 fleets are computed from its usage. With --json, the last line is a JSON object with `measured`, `allowed` and
-`held` for each other fleet and limit, and `all_held` for all of them. The exit code is 1 if a limit does not
-hold.
+`held` per other fleet and limit, and `all_held` for all of them. The exit code is 1 if one does not hold.
 """
 
 from __future__ import annotations
--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -92,7 +92,8 @@
     requests: int = 0  # written to a connection completely
     answered: int = 0
     served: int = 0
-    closed_before_read: int = 0  # the director closed the connection: the protocol has the client resend
+    # requests written while the director's close was in flight: the protocol has the client resend them
+    closed_before_read: int = 0
     attempts: int = 0  # commands that nodes received
 
     def count(self, *rules: Rule) -> int:
--- a/ironhinge/net/client_request.py
+++ b/ironhinge/net/client_request.py
@@ -43,19 +43,12 @@
 def read_request(
     fields: dict[str, str], names: SettingsNames, deployment: Deployment, connection_id: int, margin: int
 ) -> ClientRequest:
-    """Parses and checks a request's fields.
+    """Parses and checks a request's fields, which have their names on the wire as keys.
 
-    Args:
-        fields: The fields by their names on the wire.
-        names: The names of the request classes, among others.
-        deployment: The configuration of the router.
-        connection_id: Number of the client connection.
-        margin: Subtracted from the time that the client still waits, in tenths of a millisecond: see
-            `LoopMonitor.deadline_margin`.
+    `margin`, in ticks, is subtracted from the client's remaining time: see `LoopMonitor.deadline_margin`.
 
     Raises:
-        ValueError: A field is missing or not acceptable (`RequestFieldError`, or `FieldError` from
-            `client_wire`); the text names it.
+        RequestFieldError, client_wire.FieldError: A field is missing or not acceptable; the text names it.
     """
     request_id = client_wire.hex_id_of(fields, "trace")
     route = client_wire.text_of(fields, "route")
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -55,8 +55,7 @@
         self.discarded_bytes = 0  # bytes that arrived after `finish`
         self.last_received_at = 0.0  # when data last arrived, in monotonic seconds
         self.last_read_size = 0  # buffer size of the latest read
-        # the next data read arrived after this (monotonic seconds); see `empty_until`
-        self.last_empty_at = monotonic()
+        self.last_empty_at = monotonic()  # the next data read arrived after this; see `empty_until`
         self.polled_descriptor: int | None = None  # set while the read loop waits for input
         # when the last data arrived that the system received before the accept (monotonic seconds)
         self.backlog_data_at: float | None = None
@@ -72,7 +71,7 @@
         expires_at: float | None = None,
         render: Callable[[], Pieces] | None = None,
     ) -> Frame:
-        """Queues a frame; it is sent at its owner's next flush."""
+        """Queues a frame; it is sent at the next flush of the owner."""
         frame = Frame(pieces, tag, expires_at, render)
         if not self.is_closed:
             self.pending_frames.append(frame)
@@ -316,12 +315,9 @@
                 self.last_empty_at = empty_until
 
     def empty_until(self) -> float:
-        """Returns the latest time at which the connection is known to have had nothing unread.
+        """Returns the latest time (monotonic seconds) when the connection was known to have nothing unread.
 
         Data that is read now arrived after that time, even if the process was stopped in between.
-
-        Returns:
-            Monotonic seconds.
         """
         if self.polled_descriptor is None:
             return self.last_empty_at
@@ -360,8 +356,7 @@
     def _read_once(self) -> tuple[int, Remedy]:
         """Reads once and passes the data to the receiver; closes the connection if the peer has closed it.
 
-        Returns:
-            The number of bytes read, and DONE, or the remedy that says why there are none.
+        Returns the number of bytes read, and DONE, or the remedy that says why there are none.
         """
         assert self.sock is not None
         ring = self.inbound
--- a/ironhinge/net/extensions.py
+++ b/ironhinge/net/extensions.py
@@ -54,7 +54,7 @@
         """Handles the end of an attempt; `body_size` is None if the answer carried no body."""
 
     def on_gossip(self, now: int, sender: int, data: bytes) -> bool:
-        """Returns whether the datagram belongs to the account; if so, it has been handled."""
+        """Handles a datagram if it is one of the traffic account's; returns whether it was."""
 
     async def run(self) -> None:
         """Runs the component's background tasks until it is cancelled."""
--- a/ironhinge/routing/attempts.py
+++ b/ironhinge/routing/attempts.py
@@ -29,16 +29,15 @@
     ) -> SendAttempt | SendAttemptWithFill:
         """Builds the command that sends a request to an upstream, and tracks the attempt.
 
+        It is `SendAttempt` if there is no fill source and the upstream is the origin, or a cache whose copies
+        no purge restricts; else `SendAttemptWithFill`. A parent without a source fills from the origin.
+
         Args:
             now: The current time.
             request: The request; it has no attempt in flight.
             upstream: The upstream to which it is sent.
             source: The source from which a miss is filled; the upstream itself for no fill.
             rank: The rank with which the upstream stores the copy.
-
-        Returns:
-            `SendAttempt` if there is no fill source and the upstream is the origin, or a cache whose copies
-            no purge restricts; else `SendAttemptWithFill`. A parent without a source fills from the origin.
         """
         deployment, origin = self._deployment, self._upstreams.origin
         deadline = attempt_deadline(now, request, deployment.min_batch_interval)
