--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Sends the final answer of a request that is still open."""
 
-    def forget_if_done(self, request: OpenRequest) -> None:
+    def delete_if_done(self, request: OpenRequest) -> None:
         """Deletes the request if it has been answered and has no attempt in flight."""
 
 
@@ -119,7 +119,7 @@
         if request.is_closed or command.deadline <= now:
             self.finish_operation(attempt, AttemptEnd.NOT_SENT)
             return
-        fields = command_fields(request.passed, command)
+        fields = command_fields(request.forwarded, command)
         self._start(attempt, command.deadline, lambda: self._render_command(attempt, fields))
         if command.start_deadline:
             attempt.start_deadline = command.start_deadline
@@ -233,7 +233,7 @@
             self._owner.send_final_answer(request.request_id, client_wire.DONE, {}, answer.body)
         elif end is AttemptEnd.NOT_MODIFIED:
             self._owner.send_final_answer(request.request_id, client_wire.DONE, NOT_MODIFIED_FIELDS)
-        self._owner.forget_if_done(request)
+        self._owner.delete_if_done(request)
         if self.local_store is not None and body_size and answer is not None:
             self.recent_answers[request.request_id] = request.received, answer
         event = AttemptFinished(
@@ -256,7 +256,7 @@
         attempt: Attempt, end: AttemptEnd, answer: upstream_wire.UpstreamAnswer | None
     ) -> AttemptEnd:
         """Returns how an attempt ended; `ERROR` if its answer must not be passed on."""
-        held_tag = attempt.request.passed.held_tag
+        held_tag = attempt.request.forwarded.held_tag
         if end is AttemptEnd.NOT_MODIFIED and (answer is None or not held_tag or answer.tag != held_tag):
             return AttemptEnd.ERROR  # the answer does not confirm the tag of the client's copy
         if answer is not None and 0 < answer.produced_unix_ms < attempt.oldest_copy_unix_ms:
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -89,10 +89,10 @@
         self.attempts.catch_up_with_discovery = self.discovery.catch_up
         self.gossip = Gossip(config, manager.calls, self)
         router = Router(config.deployment, config.seed)
-        self.decisions = DecisionLoop(
+        self.decision_loop = DecisionLoop(
             router, self.clock, self._on_decision_error, self.attempts.recent_answers.clear
         )
-        self.decisions.handlers = self._command_handlers()
+        self.decision_loop.handlers = self._command_handlers()
         self.attempts.pool = self.pool
         self.attempts.timers = self.timers
         self._attach_extensions(traffic_account, local_store)
@@ -106,8 +106,8 @@
             traffic_account
         )
         self.local_store = self.attempts.local_store = self.discovery.local_store = local_store
-        self.decisions.router.fill_budget = traffic_account
-        self.decisions.router.local_store = local_store
+        self.decision_loop.router.fill_budget = traffic_account
+        self.decision_loop.router.local_store = local_store
 
     def _command_handlers(self) -> dict[type, Callable[[Any], None]]:
         return {
@@ -138,7 +138,7 @@
 
     def report(self, event: Event) -> None:
         """Passes an event to the router and executes the commands that it returns."""
-        self.decisions.report(event)
+        self.decision_loop.report(event)
 
     def _on_decision_error(self, request_id: str) -> None:
         self.diagnostics.counters["decision_faults"] += 1
@@ -166,7 +166,7 @@
             return
         client.open_requests[request.stream] = self.requests[request.request_id] = request
         self.diagnostics.counters["requests"] += 1
-        self.decisions.report_request(request.received, request.deadline)
+        self.decision_loop.report_request(request.received, request.deadline)
 
     def _open_request(
         self,
@@ -201,7 +201,7 @@
             # Done even if the settings forbid cancellation: they mean attempts that have begun, and this one
             # still waits for its connection or behind a blocked socket.
             self.attempts.finish_operation(request.attempt, AttemptEnd.NOT_SENT)
-        self.forget_if_done(request)
+        self.delete_if_done(request)
 
     def fail(self, request: OpenRequest) -> None:
         """Fails a request whose client connection is being closed; to the router, its client disconnects."""
@@ -226,9 +226,9 @@
             "request_finished request={} outcome={} attempts={}", request_id, outcome, request.attempt_count
         )
         request.client.send_answer(request, code, fields, body)
-        self.forget_if_done(request)
+        self.delete_if_done(request)
 
-    def forget_if_done(self, request: OpenRequest) -> None:
+    def delete_if_done(self, request: OpenRequest) -> None:
         """Removes a request that is closed and has no attempt in flight."""
         if request.is_closed and request.attempt is None:
             self.requests.pop(request.request_id, None)
@@ -305,7 +305,7 @@
             copy = await self.local_store.read(request.received) if self.local_store is not None else None
             if copy is not None:
                 served = True
-                client_has_copy = request.passed.held_tag == copy.tag.decode(errors="replace")
+                client_has_copy = request.forwarded.held_tag == copy.tag.decode(errors="replace")
                 fields, body = (NOT_MODIFIED_FIELDS, b"") if client_has_copy else ({}, copy.body)
                 self.send_final_answer(request.request_id, client_wire.DONE, fields, body)
         except Exception:  # noqa: BLE001 - the router sends the request to a cache instead
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -55,7 +55,7 @@
     def empty_until(self):
         return time.monotonic() - self.unread_for
 
-    def begin_at_last_data(self): ...
+    def use_backlog_data_time(self): ...
 
     def catch_up(self, max_age): ...
 
@@ -83,7 +83,7 @@
     async def run(selector):
         async with anyio.create_task_group() as tasks:
             director = Director(told, ConnectionManager(tasks, told.limits, selector))
-            director.decisions.router = (
+            director.decision_loop.router = (
                 script(told.deployment, told.seed) if isinstance(script, type) else script
             )
             director.gossip.sock = datagrams
