--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,8 +28,8 @@
 )
 
 
-def deployment(**other):
-    vhosts = tuple(
+def new_deployment(**overrides):
+    request_classes = tuple(
         interface.RequestClass(
             4000,
             1.6,
@@ -47,8 +47,8 @@
         )
         for i, (idempotency, dedup_scope) in enumerate(IDEMPOTENCY)
     )
-    facts = {
-        "request_classes": vhosts,
+    fields = {
+        "request_classes": request_classes,
         "zone": 0,
         "router_count": 2,
         "local_router_count": 2,
@@ -84,36 +84,44 @@
         "min_batch_interval": 20,
         "prices": (),
     }
-    return interface.Deployment(**{**facts, **other})
+    return interface.Deployment(**{**fields, **overrides})
 
 
-def row(name, state="ready", started=0, weight=20.0):
-    kind = ORIGIN if name == "o" else PARENT if name[0] == "p" else 0
+def new_endpoint(endpoint_id, state="ready", started_at=0, weight=20.0):
+    kind = ORIGIN if endpoint_id == "o" else PARENT if endpoint_id[0] == "p" else 0
     return interface.Endpoint(
-        name, EndpointState(state), int(name[1:] or 0) % 2, 1 if kind else 0, started, weight, kind
+        endpoint_id,
+        EndpointState(state),
+        int(endpoint_id[1:] or 0) % 2,
+        1 if kind else 0,
+        started_at,
+        weight,
+        kind,
     )
 
 
-def router(facts=None, names=(*CACHES, "p0", "p1", "o")):
-    one = Router(facts or deployment(), 7)
-    one.handle(0, interface.InstanceStarted())
-    one.handle(0, interface.EndpointsUpdated(True, tuple(row(name) for name in names)))
-    return one
+def new_router(deployment=None, names=(*CACHES, "p0", "p1", "o")):
+    router = Router(deployment or new_deployment(), 7)
+    router.handle(0, interface.InstanceStarted())
+    router.handle(0, interface.EndpointsUpdated(True, tuple(new_endpoint(name) for name in names)))
+    return router
 
 
-def req(name, obj=1, vhost=0, size=500.0, left=25000, group=0):
-    return interface.RequestReceived(name, obj, 0, group, size, left, vhost, False, False)
+def request_received(request_id, object_id=1, class_index=0, size=500.0, time_remaining=25000, group=0):
+    return interface.RequestReceived(
+        request_id, object_id, 0, group, size, time_remaining, class_index, False, False
+    )
 
 
-def outcome(act, result, number=0, took=100, closed=None, note=0):
+def attempt_finished(command, result, attempt_number=0, duration=100, request_closed=None, cache_status=0):
     return interface.AttemptFinished(
-        act.request_id,
-        number,
-        act.endpoint_id,
+        command.request_id,
+        attempt_number,
+        command.endpoint_id,
         result,
-        took,
-        result == "done" if closed is None else closed,
-        note,
+        duration,
+        result == "done" if request_closed is None else request_closed,
+        cache_status,
         0,
         None,
     )
@@ -122,15 +130,24 @@
 class Rules:
     """What is allowed, worked out anew from the whole record at every action."""
 
-    def __init__(self, facts):
-        self.facts, self.rows, self.purges, self.came, self.sent, self.ended = facts, {}, [], {}, {}, {}
+    def __init__(self, deployment):
+        self.deployment, self.rows, self.purges, self.came, self.sent, self.ended = (
+            deployment,
+            {},
+            [],
+            {},
+            {},
+            {},
+        )
         self.works = {}  # sending times of each vhost's reqs
         self.loads = {}  # node: what was sent to it while cold
 
     def happened(self, now, what):
         if type(what) is interface.RequestReceived:
             self.came[what.request_id], self.sent[what.request_id] = (now, what), []
-            self.works.setdefault(what.class_index, []).append(what.size * 10_000 / self.facts.transfer_rate)
+            self.works.setdefault(what.class_index, []).append(
+                what.size * 10_000 / self.deployment.transfer_rate
+            )
         elif type(what) is interface.EndpointsUpdated:
             for one in what.endpoints:
                 self.rows[one.id] = one
@@ -163,7 +180,7 @@
         ]
 
     def harmless(self, name, now):
-        vhost, ran = self.facts.request_classes[self.came[name][1].class_index], self.ran(name)
+        vhost, ran = self.deployment.request_classes[self.came[name][1].class_index], self.ran(name)
         return (
             not ran
             or vhost.idempotency == Idempotency.IDEMPOTENT
@@ -172,9 +189,9 @@
 
     def dispatched(self, now, act):
         at, came = self.came[act.request_id]
-        vhost, before = self.facts.request_classes[came.class_index], self.sent[act.request_id]
+        vhost, before = self.deployment.request_classes[came.class_index], self.sent[act.request_id]
         assert act.request_id not in self.ended, "sent after the end"
-        assert len(before) < self.facts.max_attempts
+        assert len(before) < self.deployment.max_attempts
         assert all(one[2] for one in before), "two dispatches out together"
         assert now < act.deadline <= at + came.time_remaining
         ran = self.ran(act.request_id)
@@ -192,7 +209,7 @@
             when
             for when, what in self.purges
             if (what.object_id == came.object_id if what.object_id is not None else what.group == came.group)
-            and when + self.facts.purge_retention >= now
+            and when + self.deployment.purge_retention >= now
         ]
         if purges and act.endpoint_id != "o":
             assert type(act) is interface.SendAttemptWithFill, "an old copy would do"
@@ -202,23 +219,23 @@
         before.append([act.endpoint_id, now, None])
 
     def load(self, now, name, came, node):
-        one, facts, parent = self.rows[name], self.facts, self.rows[name].kind == PARENT
-        length = facts.parent_slow_start_duration if parent else facts.slow_start_duration
+        one, deployment, parent = self.rows[name], self.deployment, self.rows[name].kind == PARENT
+        length = deployment.parent_slow_start_duration if parent else deployment.slow_start_duration
         if not one.started_at or now >= one.started_at + length or one.kind == ORIGIN:
             return
         works = self.works[came.class_index]
-        work = came.size * 10_000 / self.facts.transfer_rate if parent else sum(works) / len(works)
+        work = came.size * 10_000 / self.deployment.transfer_rate if parent else sum(works) / len(works)
         loads = self.loads.setdefault((name, one.started_at), [])
         loads.append((now, work))
         least, multiple = (
-            (facts.parent_slow_start_min_share, facts.parent_overload_multiple)
+            (deployment.parent_slow_start_min_share, deployment.parent_overload_multiple)
             if parent
-            else (facts.slow_start_min_share, facts.overload_multiple)
+            else (deployment.slow_start_min_share, deployment.overload_multiple)
         )
         share = least + (1 - least) * max(0, now - one.started_at) / length
-        routers = facts.router_count if parent else facts.local_router_count
-        assert sum(work for when, work in loads if when > now - facts.overload_window) <= (
-            multiple * share * one.weight * facts.overload_window / routers
+        routers = deployment.router_count if parent else deployment.local_router_count
+        assert sum(work for when, work in loads if when > now - deployment.overload_window) <= (
+            multiple * share * one.weight * deployment.overload_window / routers
         ), "a cold node pushed over"
 
 
@@ -226,7 +243,7 @@
     """The next event from outside: a request, a client that leaves, a purge or a change of the list."""
     dice = chance.random()
     if dice < 0.7:
-        return req(
+        return request_received(
             f"r{number + 1}",
             chance.randrange(40),
             chance.randrange(4),
@@ -242,17 +259,17 @@
         return interface.PurgeNotified(object_id, chance.randrange(3), chance.randrange(3000))
     name = chance.choice([*CACHES, "p0", "p1", "o"])
     state = chance.choice(["ready", "ready", "draining", "gone"])
-    return interface.EndpointsUpdated(False, (row(name, state, chance.choice([0, now])),))
+    return interface.EndpointsUpdated(False, (new_endpoint(name, state, chance.choice([0, now])),))
 
 
-def play(seed, facts, steps=400):
+def play(seed, deployment, steps=400):
     """Plays random happenings against a router and the rules; returns how many reqs ended in each way."""
-    chance, rules, now, number = Random(seed), Rules(facts), 0, 0
-    one, out, names = Router(facts, seed), [], [*CACHES, "p0", "p1", "o"]
+    chance, rules, now, number = Random(seed), Rules(deployment), 0, 0
+    router, out, names = Router(deployment, seed), [], [*CACHES, "p0", "p1", "o"]
 
     def tell(what):
         rules.happened(now, what)
-        for act in one.handle(now, what):
+        for act in router.handle(now, what):
             rules.acted(now, act)
             if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
                 due = min(act.deadline, now + int(chance.expovariate(1 / 3000)) + 1)
@@ -267,7 +284,7 @@
                 )
 
     tell(interface.InstanceStarted())
-    tell(interface.EndpointsUpdated(True, tuple(row(name) for name in names)))
+    tell(interface.EndpointsUpdated(True, tuple(new_endpoint(name) for name in names)))
     while number < steps or out:
         then = now + chance.randrange(200)
         while out and min(out)[0] <= then:
@@ -279,7 +296,7 @@
                 "cancelled" if act.request_id in rules.ended else "timeout" if due[0] == until else result
             )
             tell(
-                outcome(
+                attempt_finished(
                     act,
                     result,
                     place,
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -23,10 +23,10 @@
     FakeNode,
     Program,
     configuration,
-    deployment,
     endpoint,
     free_port,
-    req,
+    new_deployment,
+    request_received,
 )
 
 TIMEOUT = 60  # seconds
@@ -162,9 +162,9 @@
 
     async def scenario():
         runner = Runner(Budgets(), lambda: 0)
-        context = TierContext("n0", deployment(), lambda: 0, lambda: NOW_MS, runner)
+        context = TierContext("n0", new_deployment(), lambda: 0, lambda: NOW_MS, runner)
         tier = DiskTier(disk, context, HangingDirectory)
-        request = req("r", 1)
+        request = request_received("r", 1)
         tier.store_copy(request, "t", NOW_MS - 5, b"bytes")
         tier.write_pending()
         assert tier.lookup(0, request) == 50
@@ -189,7 +189,7 @@
     messages = []
     sink = logger.add(lambda message: messages.append(message.record["message"]))
     try:
-        DiskTier(disk, TierContext("n0", deployment(), lambda: 0, lambda: NOW_MS, runner)).close()
+        DiskTier(disk, TierContext("n0", new_deployment(), lambda: 0, lambda: NOW_MS, runner)).close()
     finally:
         logger.remove(sink)
     (opened,) = [message for message in messages if message.startswith("store_opened ")]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -10,11 +10,7 @@
 from ironhinge.routing.request_state import RequestState
 from ironhinge.routing.upstream_registry import UpstreamRegistry
 
-from .helpers import CACHES, deployment
-from .helpers import outcome as finished
-from .helpers import req as received
-from .helpers import router as make_router
-from .helpers import row as endpoint
+from .helpers import CACHES, attempt_finished, new_deployment, new_endpoint, new_router, request_received
 
 
 def sent_command(commands):
@@ -25,16 +21,18 @@
 
 
 def test_congested_ingress_link_leaves_only_cache_lookups():
-    router = make_router()
+    router = new_router()
     commands = [
-        sent_command(router.handle(10 + i, received(f"b{i}", obj=i, size=2000, left=60000)))
+        sent_command(
+            router.handle(10 + i, request_received(f"b{i}", object_id=i, size=2000, time_remaining=60000))
+        )
         for i in range(20)
     ]
     for command in commands[:10]:
-        router.handle(25000, finished(command, "done", took=25000, note=2))
+        router.handle(25000, attempt_finished(command, "done", duration=25000, cache_status=2))
     # half of them are still in flight, and those that finished took six times their transfer time
     for i in range(8):
-        for command in router.handle(25001 + i, received(f"x{i}", obj=500 + i, size=2000)):
+        for command in router.handle(25001 + i, request_received(f"x{i}", object_id=500 + i, size=2000)):
             assert (
                 type(command) is interface.RejectRequest
                 or getattr(command, "source_id", command.endpoint_id) == command.endpoint_id
@@ -42,117 +40,123 @@
 
 
 def test_requests_that_nobody_can_serve_are_rejected_at_once():
-    router = make_router(names=())
-    (command,) = router.handle(5, received("a"))
+    router = new_router(names=())
+    (command,) = router.handle(5, request_received("a"))
     assert type(command) is interface.RejectRequest
     assert command.retry_after <= 10000
 
 
 def test_failing_parent_does_not_condemn_caches():
-    router, now = make_router(deployment(cache_status_level="hit")), 0
+    router, now = new_router(new_deployment(cache_status_level="hit")), 0
     for i in range(60):
         now += 100
-        command = sent_command(router.handle(now, received(f"a{i}", obj=i)))
+        command = sent_command(router.handle(now, request_received(f"a{i}", object_id=i)))
         if getattr(command, "source_id", "") == "p0":
-            retry = sent_command(router.handle(now + 80, finished(command, "error", took=80)))
-            router.handle(now + 90, finished(retry, "done", 1, note=2))
+            retry = sent_command(router.handle(now + 80, attempt_finished(command, "error", duration=80)))
+            router.handle(now + 90, attempt_finished(retry, "done", 1, cache_status=2))
         else:
-            router.handle(now + 90, finished(command, "done", note=1 if i % 2 else 2))
+            router.handle(now + 90, attempt_finished(command, "done", cache_status=1 if i % 2 else 2))
     assert router.upstreams.by_id["p0"].ejection_length
     assert not any(router.upstreams.by_id[name].ejection_length for name in CACHES)
 
 
 def test_resets_everywhere_eject_nobody():
-    router, now = make_router(), 0
+    router, now = new_router(), 0
     for i in range(120):
         now += 100
-        command = sent_command(router.handle(now, received(f"a{i}", obj=i)))
+        command = sent_command(router.handle(now, request_received(f"a{i}", object_id=i)))
         number = 0
         while i % 3 == 0 and number < 2:
             command, number = (
-                sent_command(router.handle(now + 10, finished(command, "reset", number))),
+                sent_command(router.handle(now + 10, attempt_finished(command, "reset", number))),
                 number + 1,
             )
-        router.handle(now + 50, finished(command, "done", number, note=1))
+        router.handle(now + 50, attempt_finished(command, "done", number, cache_status=1))
     assert not any(router.upstreams.by_id[name].ejection_length for name in CACHES)
 
 
 def test_unresponsive_upstream_is_passed_over_before_its_timeouts():
-    router = make_router()
-    first = sent_command(router.handle(10, received("a", obj=3)))
+    router = new_router()
+    first = sent_command(router.handle(10, request_received("a", object_id=3)))
     for i in range(9):
-        command = sent_command(router.handle(6000 + i, received(f"n{i}", obj=40 + i)))
+        command = sent_command(router.handle(6000 + i, request_received(f"n{i}", object_id=40 + i)))
         if command.endpoint_id != first.endpoint_id:
-            router.handle(6000 + i, finished(command, "done", note=1))
-    assert sent_command(router.handle(12000, received("z", obj=3))).endpoint_id != first.endpoint_id
+            router.handle(6000 + i, attempt_finished(command, "done", cache_status=1))
+    assert (
+        sent_command(router.handle(12000, request_received("z", object_id=3))).endpoint_id
+        != first.endpoint_id
+    )
 
 
 def test_origin_that_rejected_is_not_used_again_at_once():
-    router = make_router(names=(*CACHES, "o"))
-    command = sent_command(router.handle(10, received("a", obj=3)))
+    router = new_router(names=(*CACHES, "o"))
+    command = sent_command(router.handle(10, request_received("a", object_id=3)))
     assert command.source_id == "o"
-    for other in router.handle(300, finished(command, "full", took=250, note=6)):
+    for other in router.handle(300, attempt_finished(command, "full", duration=250, cache_status=6)):
         assert getattr(other, "source_id", None) != "o"
         assert getattr(other, "endpoint_id", None) != "o"
 
 
 def test_attempt_of_a_disconnected_client_counts_until_its_result():
-    router = make_router()
-    command = sent_command(router.handle(10, received("a")))
+    router = new_router()
+    command = sent_command(router.handle(10, request_received("a")))
     (cancel,) = router.handle(20, interface.ClientDisconnected("a"))
     upstream = router.upstreams.by_id[command.endpoint_id]
     assert cancel == interface.CancelAttempt("a", 0)
     assert "a" in upstream.in_flight
-    assert router.handle(30, finished(command, "cancelled", closed=True)) == []
+    assert router.handle(30, attempt_finished(command, "cancelled", request_closed=True)) == []
     assert not upstream.in_flight
 
 
 def test_late_notice_of_an_older_purge_loosens_nothing():
-    router = make_router()
+    router = new_router()
     router.handle(100000, interface.PurgeNotified(1, 0, 10))
     router.handle(100010, interface.PurgeNotified(1, 0, 5000))
-    assert 0 < sent_command(router.handle(100500, received("a"))).max_copy_age <= 510
+    assert 0 < sent_command(router.handle(100500, request_received("a"))).max_copy_age <= 510
 
 
 def test_unknown_purge_of_the_past_holds_on_a_young_clock():
-    router = make_router()
+    router = new_router()
     router.handle(10, interface.PurgeNotified(1, 0, 2000))
-    assert 0 < sent_command(router.handle(20, received("a"))).max_copy_age <= 2010
+    assert 0 < sent_command(router.handle(20, request_received("a"))).max_copy_age <= 2010
 
 
 def test_newcomer_without_a_start_time_is_warming_up():
-    router = make_router()
-    router.handle(1000, interface.EndpointsUpdated(False, (endpoint("c9"),)))
+    router = new_router()
+    router.handle(1000, interface.EndpointsUpdated(False, (new_endpoint("c9"),)))
     assert router.slow_start.is_warming_up(1000, router.upstreams.by_id["c9"])
 
 
 def test_rejected_clients_come_back_before_their_target():
-    router = make_router(names=())
-    (command,) = router.handle(5, received("a", size=500.0))
+    router = new_router(names=())
+    (command,) = router.handle(5, request_received("a", size=500.0))
     assert command.retry_after <= 4000 + 0.6 * 1000
 
 
 def test_half_failing_parent_is_not_ejected():
-    router, now = make_router(deployment(cache_status_level="hit")), 0
+    router, now = new_router(new_deployment(cache_status_level="hit")), 0
     for i in range(60):
         now += 100
-        command, number = sent_command(router.handle(now, received(f"a{i}", obj=i))), 0
+        command, number = sent_command(router.handle(now, request_received(f"a{i}", object_id=i))), 0
         if command.source_id == "p0" and i % 2:
-            command, number = sent_command(router.handle(now + 80, finished(command, "error", took=80))), 1
-        router.handle(now + 90, finished(command, "done", number, note=2))
+            command, number = (
+                sent_command(router.handle(now + 80, attempt_finished(command, "error", duration=80))),
+                1,
+            )
+        router.handle(now + 90, attempt_finished(command, "done", number, cache_status=2))
     assert not router.upstreams.by_id["p0"].ejection_length
 
 
 def test_client_retry_has_part_of_its_target_left():
-    router = make_router()
-    router.handle(10, received("a"))
-    router.handle(10, received("b")._replace(is_client_retry=True))
+    router = new_router()
+    router.handle(10, request_received("a"))
+    router.handle(10, request_received("b")._replace(is_client_retry=True))
     assert router.requests["b"].target_at < router.requests["a"].target_at
 
 
 def test_congested_cache_keeps_capacity_for_requests_that_follow():
-    router = make_router()
-    router.handle(10, received("s", size=1300.0))
+    router = new_router()
+    router.handle(10, request_received("s", size=1300.0))
     request, now = router.requests["s"], 10
     cache, ingress_link = router.upstreams.by_id["c0"], router.upstreams.ingress_link
     for path in (cache, ingress_link):  # both were seen to take three times the transfer time
@@ -165,31 +169,34 @@
 
 
 def test_source_that_rejects_after_the_target_is_ejected():
-    router, now = make_router(deployment(cache_status_level="hit")), 0
+    router, now = new_router(new_deployment(cache_status_level="hit")), 0
     for i in range(40):
         now += 6000
-        command, number = sent_command(router.handle(now, received(f"a{i}", obj=i))), 0
+        command, number = sent_command(router.handle(now, request_received(f"a{i}", object_id=i))), 0
         if command.source_id == "p0":
-            command, number = sent_command(router.handle(now + 5000, finished(command, "full", took=5000))), 1
-        router.handle(now + 5500, finished(command, "done", number, note=2))
+            command, number = (
+                sent_command(router.handle(now + 5000, attempt_finished(command, "full", duration=5000))),
+                1,
+            )
+        router.handle(now + 5500, attempt_finished(command, "done", number, cache_status=2))
     assert router.upstreams.by_id["p0"].ejection_length
     assert not any(router.upstreams.by_id[name].ejection_length for name in CACHES)
 
 
 def test_unresponsive_upstream_counts_as_warming_up_until_it_answers():
-    router = make_router()
-    held = sent_command(router.handle(10, received("a", obj=3)))
-    router.handle(12000, received("z", obj=3))
+    router = new_router()
+    held = sent_command(router.handle(10, request_received("a", object_id=3)))
+    router.handle(12000, request_received("z", object_id=3))
     upstream = router.upstreams.by_id[held.endpoint_id]
     assert router.slow_start.is_warming_up(12000, upstream)
-    router.handle(12500, finished(held, "done", took=12490))
+    router.handle(12500, attempt_finished(held, "done", duration=12490))
     assert not router.slow_start.is_warming_up(12500, upstream)
 
 
 def test_unresponsive_caches_cast_no_suspicion_on_their_source():
-    router = make_router(names=("c0", "p0", "o"))
-    sent_command(router.handle(10, received("a")))
-    router.handle(12000, received("b", obj=2))
+    router = new_router(names=("c0", "p0", "o"))
+    sent_command(router.handle(10, request_received("a")))
+    router.handle(12000, request_received("b", object_id=2))
     assert router.slow_start.is_warming_up(12000, router.upstreams.by_id["c0"])
     assert not router.slow_start.is_warming_up(12000, router.upstreams.by_id["p0"])
 
@@ -197,17 +204,17 @@
 def test_many_routers_together_keep_within_slow_start_and_use_it():
     """Each sees far less than a request in the overload window."""
     count, now, sent_at = 40, 200000, []
-    config = deployment(router_count=count, local_router_count=count, weight_kind="nominal")
-    routers = [make_router(config, ("c0",)) for _ in range(count)]
+    config = new_deployment(router_count=count, local_router_count=count, weight_kind="nominal")
+    routers = [new_router(config, ("c0",)) for _ in range(count)]
     for index, router in enumerate(routers):
         router.random.state += index * 0x9E3779B97F4A7C15
-        router.handle(now, interface.EndpointsUpdated(False, (endpoint("c0", started=now),)))
+        router.handle(now, interface.EndpointsUpdated(False, (new_endpoint("c0", started_at=now),)))
     for i in range(4000):
         now += 20
-        for command in routers[i * 7 % count].handle(now, received(f"a{i}", obj=i, size=500.0)):
+        for command in routers[i * 7 % count].handle(now, request_received(f"a{i}", object_id=i, size=500.0)):
             if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill):
                 sent_at.append(now)
-                routers[i * 7 % count].handle(now + 10, finished(command, "done", note=1))
+                routers[i * 7 % count].handle(now + 10, attempt_finished(command, "done", cache_status=1))
     start = 200000
     # in requests, but for the share of its capacity that the cache has reached
     limit = config.overload_multiple * 20.0 * config.overload_window / 1000
@@ -223,34 +230,34 @@
 
 
 def test_many_routers_remember_congestion_for_longer():
-    many, few = make_router(deployment(local_router_count=16)), make_router()
+    many, few = new_router(new_deployment(local_router_count=16)), new_router()
     assert many.congestion.half_life > 2 * few.congestion.half_life
 
 
 def test_first_requests_rank_lowest():
-    router = make_router(names=("c0", "p0", "o"))
-    ranks = [sent_command(router.handle(10 + i, received(f"a{i}"))).admission_rank for i in range(3)]
+    router = new_router(names=("c0", "p0", "o"))
+    ranks = [sent_command(router.handle(10 + i, request_received(f"a{i}"))).admission_rank for i in range(3)]
     assert ranks == [1, 3, 3]
 
 
 def test_parents_serve_only_cached_copies_after_two_rejections():
-    router = make_router(deployment(cache_status_level="hit", direct_to_source=False))
-    command = sent_command(router.handle(10, received("a")))
-    command = sent_command(router.handle(1000, finished(command, "full", took=990)))
+    router = new_router(new_deployment(cache_status_level="hit", direct_to_source=False))
+    command = sent_command(router.handle(10, request_received("a")))
+    command = sent_command(router.handle(1000, attempt_finished(command, "full", duration=990)))
     assert not command.source_cached_only
-    router.handle(1900, finished(command, "full", 1, took=900))
-    command = sent_command(router.handle(3300, received("b", obj=1)._replace(part=1)))
+    router.handle(1900, attempt_finished(command, "full", 1, duration=900))
+    command = sent_command(router.handle(3300, request_received("b", object_id=1)._replace(part=1)))
     assert command.source_cached_only
     assert command.source_id in ("p0", "p1")
-    command = router.handle(3310, finished(command, "miss"))[0]
+    command = router.handle(3310, attempt_finished(command, "miss"))[0]
     # no other parent is used
     assert type(command) is interface.SendAttempt or type(command) is interface.RejectRequest
 
 
 def test_unresponsive_upstream_counts_as_warming_up_only_briefly():
-    router = make_router()
-    held = sent_command(router.handle(10, received("a", obj=3)))
-    router.handle(12000, received("z", obj=3))
+    router = new_router()
+    held = sent_command(router.handle(10, request_received("a", object_id=3)))
+    router.handle(12000, request_received("z", object_id=3))
     later = 12000 + router.deployment.slow_start_duration // 2
     assert not router.slow_start.is_warming_up(later, router.upstreams.by_id[held.endpoint_id])
 
@@ -263,10 +270,13 @@
     """
 
     def sources(weight):
-        endpoints = [endpoint("c0"), endpoint("p0", weight=weight), endpoint("o")]
-        router = make_router(deployment(router_count=3), ())
+        endpoints = [new_endpoint("c0"), new_endpoint("p0", weight=weight), new_endpoint("o")]
+        router = new_router(new_deployment(router_count=3), ())
         router.handle(0, interface.EndpointsUpdated(True, tuple(endpoints)))
-        commands = [sent_command(router.handle(1 + i, received(f"a{i}", obj=i, size=1.0))) for i in range(60)]
+        commands = [
+            sent_command(router.handle(1 + i, request_received(f"a{i}", object_id=i, size=1.0)))
+            for i in range(60)
+        ]
         return [command.source_id for command in commands]
 
     assert sources(60.0) == ["p0"] * 60
@@ -275,32 +285,38 @@
 
 def test_more_in_flight_is_no_congestion_where_as_many_were_uncongested():
     """Guards against rejections while nothing is full and what is in flight swings (the incident r75352c)."""
-    router, now = make_router(names=(*CACHES, "p0", "o")), 10
+    router, now = new_router(names=(*CACHES, "p0", "o")), 10
     commands = [
-        sent_command(router.handle(now + i, received(f"a{i}", obj=i, size=2000, left=60000)))
+        sent_command(
+            router.handle(now + i, request_received(f"a{i}", object_id=i, size=2000, time_remaining=60000))
+        )
         for i in range(12)
     ]
     now += 4400
     for command in reversed(commands):
         now += 1
-        router.handle(now, finished(command, "done", took=4400, note=2))
+        router.handle(now, attempt_finished(command, "done", duration=4400, cache_status=2))
     commands = [
-        router.handle(now + i, received(f"b{i}", obj=50 + i, size=2000, left=60000)) for i in range(18)
+        router.handle(now + i, request_received(f"b{i}", object_id=50 + i, size=2000, time_remaining=60000))
+        for i in range(18)
     ]
     assert all(sent_command(each).source_id == "p0" for each in commands)
 
 
 def test_objects_that_every_upstream_fails_eject_none():
     """Guards against clients that request what does not exist: every upstream fails it alike."""
-    router, now = make_router(), 0
+    router, now = new_router(), 0
     for i in range(60):
         now += 100
-        commands, number = router.handle(now, received(f"a{i}", obj=i)), 0
+        commands, number = router.handle(now, request_received(f"a{i}", object_id=i)), 0
         while type(commands[0]) in (interface.SendAttempt, interface.SendAttemptWithFill):
             is_usable = i % 2 == 0  # every other request is for what does not exist
             command = commands[0]
             commands = router.handle(
-                now + 5, finished(command, "done" if is_usable else "error", number, took=5, note=1)
+                now + 5,
+                attempt_finished(
+                    command, "done" if is_usable else "error", number, duration=5, cache_status=1
+                ),
             )
             number += 1
             if is_usable:
@@ -309,8 +325,8 @@
 
 
 def test_a_request_lost_to_a_fault_leaves_nothing_behind(monkeypatch):
-    router = make_router()
-    sent_command(router.handle(10, received("a")))
+    router = new_router()
+    sent_command(router.handle(10, request_received("a")))
     monkeypatch.setattr("ironhinge.routing.router.CancelAttempt", None)  # calling it raises TypeError
     with pytest.raises(TypeError):
         router.handle(20, interface.ClientDisconnected("a"))
@@ -321,11 +337,11 @@
 
 def test_fills_that_time_out_do_not_slow_down_their_cache():
     """Guards the hits of caches while the origin stands still and all fills hang."""
-    router = make_router()
-    command = sent_command(router.handle(10, received("a", size=2000)))
+    router = new_router()
+    command = sent_command(router.handle(10, request_received("a", size=2000)))
     cache, source = router.upstreams.by_id[command.endpoint_id], router.upstreams.by_id[command.source_id]
     cache.failure_rate = 0.5  # it fails more than the source, and is held to have failed here too
-    router.handle(20010, finished(command, "timeout", took=20000))
+    router.handle(20010, attempt_finished(command, "timeout", duration=20000))
     slowdowns = [
         each.congestion.slowdown(
             20010, len(each.in_flight) + 1, router.congestion.half_life, router.congestion.prior
@@ -337,8 +353,8 @@
 
 def test_a_request_checks_few_caches_however_many_there_are(monkeypatch):
     """Guards the CPU of large fleets: caches that owe an answer or may be warming up, and the first few."""
-    router = make_router(
-        deployment(weight_kind="nominal"), [*(f"c{2 * i}" for i in range(2000)), "p0", "p1", "o"]
+    router = new_router(
+        new_deployment(weight_kind="nominal"), [*(f"c{2 * i}" for i in range(2000)), "p0", "p1", "o"]
     )
     checked, plain = [], Eligibility.is_eligible
 
@@ -347,20 +363,20 @@
         return plain(self, now, request, upstream)
 
     monkeypatch.setattr(Eligibility, "is_eligible", recording)
-    commands = [router.handle(1000 + i, received(f"r{i}", obj=i)) for i in range(20)]
+    commands = [router.handle(1000 + i, request_received(f"r{i}", object_id=i)) for i in range(20)]
     assert all(len(each) == 1 for each in commands)
     assert 0 < len(checked) < 20 * 25
 
 
 def test_a_cache_without_requests_warms_up_all_the_same():
     """What a check changes is checked with each request, wherever the cache stands in the order."""
-    router = make_router(names=(*CACHES, "p0", "o"))
-    router.handle(1000, interface.EndpointsUpdated(False, (endpoint("c2", started=1000),)))
+    router = new_router(names=(*CACHES, "p0", "o"))
+    router.handle(1000, interface.EndpointsUpdated(False, (new_endpoint("c2", started_at=1000),)))
     cache = router.upstreams.by_id["c2"]
-    router.handle(1001, received("a"))
+    router.handle(1001, request_received("a"))
     assert cache.tokens is not None
     assert cache in router.upstreams.maybe_warming
-    router.handle(1000 + router.deployment.slow_start_duration + 1, received("b"))
+    router.handle(1000 + router.deployment.slow_start_duration + 1, request_received("b"))
     assert cache.tokens is None
     assert cache not in router.upstreams.maybe_warming
 
@@ -368,19 +384,19 @@
 def orders_of(router, obj):
     """An object's candidate order, by id: as the router has it, and as it would be computed anew."""
     candidates = router.upstreams.candidates
-    key = RequestState(received("x", obj=obj), router.request_classes[0], 0, 1).hash_key
+    key = RequestState(request_received("x", object_id=obj), router.request_classes[0], 0, 1).hash_key
     computed = sorted(candidates.caches, key=lambda cache: score(key, cache.hash_key), reverse=True)
     return [cache.id for cache in candidates.in_order(key)], [cache.id for cache in computed]
 
 
 def test_remembered_orders_stay_right_while_caches_come_and_go():
     """Caches join, drain, come back and go for good, one at a time and many at once."""
-    router, random, ready = make_router(names=("c0", "p0", "o")), Random(4), set()
+    router, random, ready = new_router(names=("c0", "p0", "o")), Random(4), set()
     for step in range(400):
         for _ in range(random.choice([1, 1, 1, 90])):
             name = f"c{2 * random.randrange(150)}"
             state = random.choice(["ready", "ready", "draining", "gone"])
-            router.handle(step, interface.EndpointsUpdated(False, (endpoint(name, state),)))
+            router.handle(step, interface.EndpointsUpdated(False, (new_endpoint(name, state),)))
             ready = ready - {name} if state != "ready" else ready | {name}
         remembered, computed = orders_of(router, random.randrange(6))
         assert remembered == computed
@@ -392,8 +408,8 @@
 
 def test_a_change_of_one_upstream_costs_one(monkeypatch):
     """Guards the CPU of large fleets while many upstreams are replaced."""
-    router = make_router(
-        deployment(weight_kind="nominal"), [*(f"c{2 * i}" for i in range(2000)), "p0", "p1", "o"]
+    router = new_router(
+        new_deployment(weight_kind="nominal"), [*(f"c{2 * i}" for i in range(2000)), "p0", "p1", "o"]
     )
     changed, plain = [], UpstreamRegistry.reclassify
 
@@ -402,7 +418,7 @@
         plain(self, upstream)
 
     monkeypatch.setattr(UpstreamRegistry, "reclassify", recording)
-    router.handle(10, interface.EndpointsUpdated(False, (endpoint("c4", "draining"),)))
+    router.handle(10, interface.EndpointsUpdated(False, (new_endpoint("c4", "draining"),)))
     assert [upstream.id for upstream in changed] == ["c4"]
 
 
@@ -416,11 +432,11 @@
 
 def test_an_endpoint_may_change_its_zone_under_an_attempt():
     """Guards the result of that attempt: whether it crosses the ingress link is decided when it is sent."""
-    router = make_router(names=("c0",))
-    command = sent_command(router.handle(10, received("a", size=50.0)))
+    router = new_router(names=("c0",))
+    command = sent_command(router.handle(10, request_received("a", size=50.0)))
     assert type(command) is interface.SendAttempt
-    router.handle(20, interface.EndpointsUpdated(False, (endpoint("c0")._replace(zone=1),)))
-    router.handle(100, finished(command, "done"))
+    router.handle(20, interface.EndpointsUpdated(False, (new_endpoint("c0")._replace(zone=1),)))
+    router.handle(100, attempt_finished(command, "done"))
     assert not router.requests
     assert not router.upstreams.by_id["c0"].in_flight
 
@@ -429,13 +445,13 @@
 def test_a_keyed_request_is_not_repeated_where_its_first_endpoint_has_moved_to(field):
     """Guards 'no effect twice': only the nodes around the place where it ran know its idempotency key."""
     scope = {"zone": interface.DedupScope.ZONE, "cell": interface.DedupScope.CELL}[field]
-    request_class = deployment().request_classes[1]._replace(dedup_scope=scope)
-    facts = deployment(request_classes=(request_class,), direct_to_source=True)
-    router = make_router(facts, names=())
+    request_class = new_deployment().request_classes[1]._replace(dedup_scope=scope)
+    deployment = new_deployment(request_classes=(request_class,), direct_to_source=True)
+    router = new_router(deployment, names=())
     here, there = {"zone": 0, "cell": 0}, {"zone": 0, "cell": 0, field: 1}
-    router.handle(5, interface.EndpointsUpdated(True, (endpoint("c0")._replace(**here),)))
-    first = sent_command(router.handle(10, received("a", size=50.0)))
-    moved, other = endpoint("c0")._replace(**there), endpoint("c2")._replace(**there)
-    router.handle(20, interface.EndpointsUpdated(False, (moved, other, endpoint("o")._replace(**there))))
-    (command,) = router.handle(100, finished(first, "reset"))
+    router.handle(5, interface.EndpointsUpdated(True, (new_endpoint("c0")._replace(**here),)))
+    first = sent_command(router.handle(10, request_received("a", size=50.0)))
+    moved, other = new_endpoint("c0")._replace(**there), new_endpoint("c2")._replace(**there)
+    router.handle(20, interface.EndpointsUpdated(False, (moved, other, new_endpoint("o")._replace(**there))))
+    (command,) = router.handle(100, attempt_finished(first, "reset"))
     assert type(command) is interface.FailRequest
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,7 @@
 from ironhinge.traffic.snapshot_files import file_name, read_folder
 from ironhinge.traffic.types import DirectorIdentity
 
-from .helpers import FakeClient, FakeNode, Program, configuration, deployment, endpoint, free_port
+from .helpers import FakeClient, FakeNode, Program, configuration, endpoint, free_port, new_deployment
 
 TIMEOUT = 60  # seconds after which something has gone wrong
 
@@ -175,7 +175,7 @@
     one = load_texts([("f", f'traffic: keep: {{folder: "{tmp_path}"}}')]).operations.traffic
     runner, identity = Runner(Budgets(), lambda: 0), DirectorIdentity("n0", ("a",), ("film",), 0)
     clocks = Clocks(lambda: 0, lambda: 1_764_576_000_000)
-    service = AccountService(one, deployment(), identity, clocks, runner)
+    service = AccountService(one, new_deployment(), identity, clocks, runner)
     slow = service.pack_snapshot(is_final=False)
     service.close()
     service.write_snapshot(tmp_path / file_name("n0"), *slow)
--- a/tests/test_local_copies.py
+++ b/tests/test_local_copies.py
@@ -2,7 +2,7 @@
 
 from ironhinge import interface
 
-from .helpers import deployment, outcome, req, router
+from .helpers import attempt_finished, new_deployment, new_router, request_received
 
 
 class FixedAgeStore:
@@ -19,43 +19,47 @@
 
 
 def router_with_copy(age, **other):
-    router_under_test = router(deployment(**other))
+    router_under_test = new_router(new_deployment(**other))
     router_under_test.local_store = FixedAgeStore(age)
     return router_under_test
 
 
 def test_a_fresh_copy_is_served_and_a_stale_one_is_not():
-    assert router_with_copy(100).handle(0, req("r")) == [interface.ServeLocalCopy("r")]
-    assert type(router_with_copy(-1).handle(0, req("r"))[0]) is interface.SendAttemptWithFill
-    assert type(router_with_copy(20_001).handle(0, req("r", vhost=1))[0]) is interface.SendAttemptWithFill, (
-        "past its fresh time"
-    )
-    assert router_with_copy(20_000).handle(0, req("r", vhost=1)) == [interface.ServeLocalCopy("r")]
-    assert type(router_with_copy(100).handle(0, req("r", left=30))[0]) is interface.RejectRequest, (
-        "no time to read it"
-    )
+    assert router_with_copy(100).handle(0, request_received("r")) == [interface.ServeLocalCopy("r")]
+    assert type(router_with_copy(-1).handle(0, request_received("r"))[0]) is interface.SendAttemptWithFill
+    assert (
+        type(router_with_copy(20_001).handle(0, request_received("r", class_index=1))[0])
+        is interface.SendAttemptWithFill
+    ), "past its fresh time"
+    assert router_with_copy(20_000).handle(0, request_received("r", class_index=1)) == [
+        interface.ServeLocalCopy("r")
+    ]
+    assert (
+        type(router_with_copy(100).handle(0, request_received("r", time_remaining=30))[0])
+        is interface.RejectRequest
+    ), "no time to read it"
 
 
 def test_a_copy_older_than_a_purge_is_not_served():
     router_under_test = router_with_copy(500)
     router_under_test.handle(1000, interface.PurgeNotified(1, 0, 0))
-    assert type(router_under_test.handle(1400, req("r"))[0]) is interface.SendAttemptWithFill
-    assert router_under_test.handle(1600, req("s")) == [interface.ServeLocalCopy("s")], (
+    assert type(router_under_test.handle(1400, request_received("r"))[0]) is interface.SendAttemptWithFill
+    assert router_under_test.handle(1600, request_received("s")) == [interface.ServeLocalCopy("s")], (
         "it was stored after the purge"
     )
 
 
 def test_a_failed_read_starts_routing_and_a_successful_one_ends_the_request():
     router_under_test = router_with_copy(5)
-    router_under_test.handle(0, req("r"))
+    router_under_test.handle(0, request_received("r"))
     assert (
         type(router_under_test.handle(10, interface.LocalCopyFinished("r", False))[0])
         is interface.SendAttemptWithFill
     )
-    router_under_test.handle(0, req("s"))
+    router_under_test.handle(0, request_received("s"))
     assert router_under_test.handle(10, interface.LocalCopyFinished("s", True)) == []
     assert "s" not in router_under_test.requests
-    router_under_test.handle(0, req("t"))
+    router_under_test.handle(0, request_received("t"))
     router_under_test.handle(1, interface.ClientDisconnected("t"))
     assert router_under_test.handle(10, interface.LocalCopyFinished("t", False)) == []
     assert "t" not in router_under_test.requests
@@ -64,9 +68,11 @@
 
 def test_a_response_is_stored_where_the_store_admits_it():
     router_under_test = router_with_copy(-1)
-    command = router_under_test.handle(0, req("r"))[0]
-    assert router_under_test.handle(50, outcome(command, "done", note=2)) == [interface.StoreLocalCopy("r")]
-    command = router_under_test.handle(60, req("s"))[0]
+    command = router_under_test.handle(0, request_received("r"))[0]
+    assert router_under_test.handle(50, attempt_finished(command, "done", cache_status=2)) == [
+        interface.StoreLocalCopy("r")
+    ]
+    command = router_under_test.handle(60, request_received("s"))[0]
     assert interface.StoreLocalCopy("s") not in router_under_test.handle(
-        70, outcome(command, "error", note=2)
+        70, attempt_finished(command, "error", cache_status=2)
     )
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -33,15 +33,15 @@
     FakeNode,
     Program,
     ack,
+    attempt_finished,
     configuration,
-    deployment,
     endpoint,
     free_port,
-    outcome,
-    req,
+    new_deployment,
+    new_endpoint,
+    new_router,
+    request_received,
     resp,
-    router,
-    row,
     settings,
 )
 from .test_director import TRACE, Scripted, ask, came, play, run_polled
@@ -436,8 +436,8 @@
     """A director before one silent node."""
     node, told = FakeNode(lambda told: None), short_settings()
     listen_at = f"127.0.0.1:{free_port()}"
-    rows = [endpoint("s-00000001", node.address)]
-    program = Program(tmp_path, configuration(rows, listen_at, settings=told))
+    endpoints = [endpoint("s-00000001", node.address)]
+    program = Program(tmp_path, configuration(endpoints, listen_at, settings=told))
     yield program, node
     program.stop()
 
@@ -518,9 +518,9 @@
 
 
 def test_a_repeat_is_to_begin_within_the_window_of_the_first():
-    one = router(deployment(cancellation_allowed=False))
-    first = one.handle(1000, req("a", vhost=2))[0]
-    then = one.handle(1100, outcome(first, "reset"))[0]
+    one = new_router(new_deployment(cancellation_allowed=False))
+    first = one.handle(1000, request_received("a", class_index=2))[0]
+    then = one.handle(1100, attempt_finished(first, "reset"))[0]
     assert (first.start_deadline, then.start_deadline) == (
         0,
         1000 + one.deployment.request_classes[2].dedup_window,
@@ -533,16 +533,16 @@
 
     What is refilled within the overload window comes on top.
     """
-    facts = deployment(
+    deployment = new_deployment(
         router_count=count, local_router_count=count, weight_kind="nominal", overload_window=10000
     )
-    many, seeds = [router(facts, ("c0", "o")) for _ in range(count)], Random(count)
+    many, seeds = [new_router(deployment, ("c0", "o")) for _ in range(count)], Random(count)
     start, total = 200000, 0
     for one in many:
         one.random.state = seeds.getrandbits(64)  # each has a seed of its own
-        one.handle(start, interface.EndpointsUpdated(False, (row("c0", started=start),)))
+        one.handle(start, interface.EndpointsUpdated(False, (new_endpoint("c0", started_at=start),)))
         one.slow_start.allows(start, one_request(one, start), one.upstreams.by_id["c0"])
-    for at in range(start + 10000, start + facts.slow_start_duration, 2500):
+    for at in range(start + 10000, start + deployment.slow_start_duration, 2500):
         sent = 0
         for one in many:
             cache, request = one.upstreams.by_id["c0"], one_request(one, at)
@@ -552,23 +552,23 @@
                 sent += 1
             cache.tokens, cache.tokens_updated_at = before
         share = (
-            facts.slow_start_min_share
-            + (1 - facts.slow_start_min_share)
-            * (at - facts.overload_window - start)
-            / facts.slow_start_duration
+            deployment.slow_start_min_share
+            + (1 - deployment.slow_start_min_share)
+            * (at - deployment.overload_window - start)
+            / deployment.slow_start_duration
         )
         cost = one.slow_start.cost(request, cache)
-        most = facts.overload_multiple * share * 20.0 * facts.overload_window / cost
+        most = deployment.overload_multiple * share * 20.0 * deployment.overload_window / cost
         assert sent + SAFETY_SHARE * most <= most + 2 * most**0.5 + 2
         total += sent
-    assert total > 2 * (facts.slow_start_duration - 10000) / 2500  # and the tokens are there
+    assert total > 2 * (deployment.slow_start_duration - 10000) / 2500  # and the tokens are there
 
 
 def test_a_warming_cache_has_a_cost_where_no_target_and_no_size_is_known():
-    vhosts = tuple(vhost._replace(latency_target=0) for vhost in deployment().request_classes)
-    one = router(deployment(request_classes=vhosts), ("c0", "o"))
-    one.handle(1000, interface.EndpointsUpdated(False, (row("c0", started=1000),)))
-    assert one.handle(2000, req("a", size=0.0))
+    vhosts = tuple(vhost._replace(latency_target=0) for vhost in new_deployment().request_classes)
+    one = new_router(new_deployment(request_classes=vhosts), ("c0", "o"))
+    one.handle(1000, interface.EndpointsUpdated(False, (new_endpoint("c0", started_at=1000),)))
+    assert one.handle(2000, request_received("a", size=0.0))
 
 
 def test_a_failed_accept_takes_no_others_of_the_backlog_along(monkeypatch):
@@ -603,17 +603,26 @@
 
 
 def one_request(one, now):
-    return RequestState(req("x", size=500.0), one.request_classes[0], now, 1000)
+    return RequestState(request_received("x", size=500.0), one.request_classes[0], now, 1000)
 
 
 def test_a_restarted_router_serves_also_where_all_caches_warm_up_and_none_has_a_weight():
     """No throughput was seen yet, so that the capacity is unknown: still no upstream is starved."""
-    facts = deployment(weight_kind="none", router_count=4, local_router_count=4, direct_to_source=False)
-    one, start = Router(facts, 7), 10
+    deployment = new_deployment(
+        weight_kind="none", router_count=4, local_router_count=4, direct_to_source=False
+    )
+    one, start = Router(deployment, 7), 10
     one.handle(
-        start, interface.EndpointsUpdated(True, tuple(row(n, started=start) for n in (*CACHES, "p0", "o")))
+        start,
+        interface.EndpointsUpdated(
+            True, tuple(new_endpoint(n, started_at=start) for n in (*CACHES, "p0", "o"))
+        ),
     )
-    acts = [act for i in range(200) for act in one.handle(start + i * 500, req(f"a{i}", obj=i, size=50.0))]
+    acts = [
+        act
+        for i in range(200)
+        for act in one.handle(start + i * 500, request_received(f"a{i}", object_id=i, size=50.0))
+    ]
     assert any(type(act) in (interface.SendAttempt, interface.SendAttemptWithFill) for act in acts)
 
 
--- a/tests/test_traffic_budgets.py
+++ b/tests/test_traffic_budgets.py
@@ -7,7 +7,7 @@
 from ironhinge import interface
 from ironhinge.traffic.types import AttemptEnded, AttemptStarted, ClockTick
 
-from .helpers import deployment, outcome, req, router
+from .helpers import attempt_finished, new_deployment, new_router, request_received
 from .traffic_helpers import (
     ENDPOINTS,
     REMOVED,
@@ -80,20 +80,20 @@
 
 
 def test_directors_that_request_the_last_of_it_at_once_stay_within_their_parts():
-    topology = deployment(router_count=8, local_router_count=2)
+    topology = new_deployment(router_count=8, local_router_count=2)
     ledgers = [new_ledger(RATE, topology), new_ledger(RATE, topology)]
     fills = sum(not fill(ledger, 0, f"r{number}") for number in range(20) for ledger in ledgers)
     assert fills == 4  # 2 x 25 KB
 
 
 def test_a_purge_that_refills_a_whole_group_at_once_stays_within_the_budget():
-    topology = deployment(direct_to_source=False, router_count=1, local_router_count=1)
+    topology = new_deployment(direct_to_source=False, router_count=1, local_router_count=1)
     ledger = new_ledger(RATE.replace("{", '{ways: ["own-hub", "other-hub", "origin"], '), topology)
-    one = router(topology, ("c0", "c1", "p0", "p1", "o"))
+    one = new_router(topology, ("c0", "c1", "p0", "p1", "o"))
     one.fill_budget = ledger
     fills = rejected = 0
     for number in range(60):
-        request = req(f"r{number}", number, size=10.0)
+        request = request_received(f"r{number}", number, size=10.0)
         commands = one.handle(0, request)
         while commands and type(commands[0]) in (interface.SendAttemptWithFill, interface.SendAttempt):
             command = commands[0]
@@ -108,7 +108,7 @@
                 break
             ledger.handle(0, AttemptEnded(command.request_id, "miss", 0, None, 1, False))
             number_of_attempt = one.requests[command.request_id].attempt_count - 1
-            commands = one.handle(0, outcome(command, "miss", number_of_attempt))
+            commands = one.handle(0, attempt_finished(command, "miss", number_of_attempt))
         if commands and type(commands[0]) is interface.RejectRequest:
             rejected += 1
             assert commands[0].retry_after >= 1000, "told to come back before there is room"
@@ -118,16 +118,16 @@
 
 
 def test_without_budgets_the_router_decides_as_before():
-    plain, watched = router(), router()
-    watched.fill_budget = new_ledger(topology=deployment())
+    plain, watched = new_router(), new_router()
+    watched.fill_budget = new_ledger(topology=new_deployment())
     random, in_flight = Random(5), []
     for step in range(600):
         object_id, class_index = random.randrange(30), random.randrange(4)
-        event = req(f"r{step}", object_id, class_index, random.choice([50.0, 4000.0]))
+        event = request_received(f"r{step}", object_id, class_index, random.choice([50.0, 4000.0]))
         if in_flight and random.random() < 0.5:
             command, number = in_flight.pop(0)
             result = random.choice(["done", "miss", "error", "full"])
-            event = outcome(command, result, number, note=random.randrange(6))
+            event = attempt_finished(command, result, number, cache_status=random.randrange(6))
         commands = plain.handle(step * 50, event)
         assert watched.handle(step * 50, event) == commands
         in_flight += [
--- a/tests/test_traffic_exchange.py
+++ b/tests/test_traffic_exchange.py
@@ -10,7 +10,7 @@
 from ironhinge.traffic.quota_datagram import MAX_BYTES, decode
 from ironhinge.traffic.types import BroadcastDatagram, ClockTick, DatagramReceived
 
-from .helpers import deployment, req
+from .helpers import new_deployment, request_received
 from .traffic_helpers import SECOND, UNIX_MS, end, fill, new_ledger
 
 BUDGETS = 'r: {rate: "100KB/s", burst: "100KB"}\ns: {sum: "2000KB"}'
@@ -19,7 +19,7 @@
 
 
 def new_peer(index, count=2, incarnation=7, budgets=BUDGETS, **clock):
-    topology = deployment(router_count=count, local_router_count=count)
+    topology = new_deployment(router_count=count, local_router_count=count)
     return new_ledger(budgets, topology, index, incarnation, SHARE, **clock)
 
 
@@ -133,5 +133,5 @@
 
 def test_a_source_that_is_not_listed_never_waits(granted):
     recipient, _ = granted
-    assert recipient.wait_time(0, req("x"), "p9") == 0
+    assert recipient.wait_time(0, request_received("x"), "p9") == 0
     assert NEVER > SECOND
--- a/tests/test_traffic_service.py
+++ b/tests/test_traffic_service.py
@@ -18,7 +18,7 @@
 from ironhinge.traffic.service import AccountService, Clocks
 from ironhinge.traffic.types import DirectorIdentity
 
-from .helpers import deployment
+from .helpers import new_deployment
 from .traffic_helpers import CLASSES, ENDPOINTS, UNIX_MS, ZONES, new_request
 
 SETTINGS = 'traffic: {period: "1h", budgets: a: {rate: "100KB/s", begin: "full", sum: "1MB", ahead: 1}}'
@@ -42,7 +42,7 @@
     """A service whose account holds one fill of 10 KB."""
     clocks = Clocks(lambda: 0, lambda: UNIX_MS)
     identity = DirectorIdentity("n0", ZONES, CLASSES, 0)
-    topology = deployment(router_count=1, local_router_count=1)
+    topology = new_deployment(router_count=1, local_router_count=1)
     found = AccountService(load(SETTINGS).traffic, topology, identity, clocks, Runner(Budgets(), lambda: 0))
     found.on_endpoints_updated(0, EndpointsUpdated(True, ENDPOINTS))
     request = new_request("r")
--- a/tests/test_traffic_stored_form.py
+++ b/tests/test_traffic_stored_form.py
@@ -27,7 +27,7 @@
     DirectorIdentity,
 )
 
-from .helpers import deployment, req, row
+from .helpers import new_deployment, new_endpoint, request_received
 from .traffic_helpers import CLASSES, REMOVED, UNIX_MS, ZONES, endpoint_in
 
 DATA = Path(__file__).parent / "data" / "traffic"
@@ -50,14 +50,14 @@
     operations = load_texts([("stored-form", SETTINGS)]).operations
     ledger = TrafficLedger(
         operations.traffic,
-        deployment(router_count=2, local_router_count=2),
+        new_deployment(router_count=2, local_router_count=2),
         DirectorIdentity("n0", ZONES, CLASSES, index),
         incarnation,
         ClockReading(0, UNIX_MS),
     )
     endpoints = (
-        row("c0"),
-        row("c1"),
+        new_endpoint("c0"),
+        new_endpoint("c1"),
         endpoint_in(1, "p0"),
         endpoint_in(2, "p1"),
         endpoint_in(2, "p2"),
@@ -70,7 +70,7 @@
 def run_attempt(ledger, now, number, source, **end):
     """One request: the wait for budgets, and unless it has to wait the attempt and its end."""
     size = 0.0 if number % 5 == 4 else 10.0
-    request = req(f"r{number // 2 if number % 7 == 0 else number}", number % 6, number % 4, size)
+    request = request_received(f"r{number // 2 if number % 7 == 0 else number}", number % 6, number % 4, size)
     request = request._replace(connection_id=1 + number % 3)
     if ledger.wait_time(now, request, source):
         return
@@ -175,7 +175,7 @@
     for tick in range(60):
         now = tick * 1_000
         for number in range(4):
-            request = req(f"x{tick}.{number}", number, 0, 10.0)
+            request = request_received(f"x{tick}.{number}", number, 0, 10.0)
             if not taker.wait_time(now, request, "p1"):
                 taker.handle(now, AttemptStarted(request, "c0", "p1", 1, False))
                 taker.handle(now, AttemptEnded(request.request_id, "done", 2, 10_000, 100, False))
--- a/tests/test_traffic_streams.py
+++ b/tests/test_traffic_streams.py
@@ -6,7 +6,7 @@
 
 from ironhinge.traffic.types import ClockTick
 
-from .helpers import deployment
+from .helpers import new_deployment
 from .traffic_helpers import SECOND, UNIX_MS, end, fill, new_ledger, start, transferred
 
 STREAMS = 'l: {rate: "100KB/s", burst: "100KB", begin: "full", streams: {part: 0.8, interval: "500ms"}}'
@@ -109,10 +109,10 @@
 
 
 def test_other_fills_leave_the_next_segments_of_open_streams():
-    topology = deployment(router_count=1, local_router_count=1)
+    topology = new_deployment(router_count=1, local_router_count=1)
     classes = list(topology.request_classes)
     classes[1] = classes[1]._replace(is_segmented=False)
-    topology = deployment(router_count=1, local_router_count=1, request_classes=tuple(classes))
+    topology = new_deployment(router_count=1, local_router_count=1, request_classes=tuple(classes))
     ledger = new_ledger(STREAMS, topology)
     for viewer in range(3):
         first_segment(ledger, 0, f"s{viewer}", viewer)
--- a/tests/traffic_helpers.py
+++ b/tests/traffic_helpers.py
@@ -5,7 +5,7 @@
 from ironhinge.traffic.ledger import TrafficLedger
 from ironhinge.traffic.types import AttemptEnded, AttemptStarted, ClockReading, DirectorIdentity
 
-from .helpers import deployment, req, row
+from .helpers import new_deployment, new_endpoint, request_received
 
 ZONES, CLASSES = ("branch", "hub", "far"), ("a", "b", "c", "d")
 SECOND = 10_000
@@ -15,10 +15,16 @@
 
 
 def endpoint_in(zone, name):
-    return row(name)._replace(zone=zone)
+    return new_endpoint(name)._replace(zone=zone)
 
 
-ENDPOINTS = (row("c0"), row("c1"), endpoint_in(1, "p0"), endpoint_in(2, "p1"), endpoint_in(1, "o"))
+ENDPOINTS = (
+    new_endpoint("c0"),
+    new_endpoint("c1"),
+    endpoint_in(1, "p0"),
+    endpoint_in(2, "p1"),
+    endpoint_in(1, "o"),
+)
 
 
 def load_config(budgets="", more=""):
@@ -29,7 +35,7 @@
 def new_ledger(budgets="", topology=None, peer_index=0, incarnation=1, more="", now=0, unix_ms=UNIX_MS):
     ledger = TrafficLedger(
         load_config(budgets, more),
-        topology or deployment(router_count=1, local_router_count=1),
+        topology or new_deployment(router_count=1, local_router_count=1),
         DirectorIdentity("n0", ZONES, CLASSES, peer_index),
         incarnation,
         ClockReading(now, unix_ms),
@@ -44,7 +50,9 @@
 
 
 def new_request(name, size=10.0, object_id=1, class_index=0, part=0, connection_id=0):
-    return req(name, object_id, class_index, size)._replace(part=part, connection_id=connection_id)
+    return request_received(name, object_id, class_index, size)._replace(
+        part=part, connection_id=connection_id
+    )
 
 
 def start(ledger, now, name, source="p1", rank=1, endpoint="c0", revalidates=False, **request):
