--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -388,122 +388,128 @@
     return PORTS.allocate()
 
 
-def exactly(sock, count):
+def receive_exactly(sock, count):
     data = b""
     while len(data) < count:
-        more = sock.recv(count - len(data))
-        if not more:
+        chunk = sock.recv(count - len(data))
+        if not chunk:
             raise EOFError
-        data += more
+        data += chunk
     return data
 
 
-class StandIn:
+class FakeServer:
     """Listens on a port of its own; each connection is served by a thread."""
 
     def __init__(self):
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
-        self.conns = []
+        self.connections = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self):
         while True:
             try:
-                conn, _ = self.sock.accept()
+                connection, _ = self.sock.accept()
             except OSError:
                 return
-            self.conns.append(conn)
-            threading.Thread(target=self._guarded, args=(conn,), daemon=True).start()
+            self.connections.append(connection)
+            threading.Thread(target=self._serve_connection, args=(connection,), daemon=True).start()
 
-    def _guarded(self, conn):
+    def _serve_connection(self, connection):
         with contextlib.suppress(OSError, EOFError, ValueError):
-            self.serve(conn)
+            self.serve(connection)
 
-    def refuse(self):
+    def close_and_reset(self):
         """Takes no more connections, and resets those that it has."""
         self.sock.shutdown(socket.SHUT_RDWR)  # wakes the thread in accept
         self.sock.close()
-        for conn in self.conns:
-            reset(conn)
+        for connection in self.connections:
+            reset_connection(connection)
 
 
-def reset(conn):
-    conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+def reset_connection(connection):
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     with contextlib.suppress(OSError):
-        conn.shutdown(socket.SHUT_RD)
-    conn.close()
+        connection.shutdown(socket.SHUT_RD)
+    connection.close()
 
 
-def body_of(obj, part):
-    return (f"{obj}/{part} ").encode() * 400
+def body_of(object_id, part):
+    return (f"{object_id}/{part} ").encode() * 400
 
 
-class FakeNode(StandIn):
+class FakeUpstream(FakeServer):
     """A cache node, parent or origin. `act(command)` may return raw bytes to send, or None to stay silent."""
 
-    def __init__(self, act=None, holds_all=False):
-        self.act, self.holds_all, self.held = act or self.answer, holds_all, set()
-        self.commands, self.wanted = queue.Queue(), set()
+    def __init__(self, handle_command=None, has_all_objects=False):
+        self.handle_command, self.has_all_objects, self.stored = (
+            handle_command or self.answer_command,
+            has_all_objects,
+            set(),
+        )
+        self.commands, self.request_ids = queue.Queue(), set()
         super().__init__()
 
-    def serve(self, conn):
-        file = conn.makefile("rb")
+    def serve(self, connection):
+        reader = connection.makefile("rb")
         while True:
-            count = int(file.readline()[1:] or b"x")
-            command = []
+            count = int(reader.readline()[1:] or b"x")
+            items = []
             for _ in range(count):
-                size = int(file.readline()[1:])
-                command.append(file.read(size + 2)[:size])
-            word, name = command[0].decode(), command[1].decode()
-            text = command[2].decode() if len(command) > 2 else "-"
+                size = int(reader.readline()[1:])
+                items.append(reader.read(size + 2)[:size])
+            verb, operation_id = items[0].decode(), items[1].decode()
+            text = items[2].decode() if len(items) > 2 else "-"
             fields = dict(part.split("=", 1) for part in text.split(",")) if text != "-" else {}
-            told = (word, name, fields, conn)
-            if word == "want":
-                self.wanted.add(name)
-            self.commands.put(told)
-            raw = self.act(told)
-            if raw:
-                conn.sendall(raw)
-
-    def answer(self, told):
-        word, name, fields, _ = told
-        if word != "want":
+            command = (verb, operation_id, fields, connection)
+            if verb == "want":
+                self.request_ids.add(operation_id)
+            self.commands.put(command)
+            answer = self.handle_command(command)
+            if answer:
+                connection.sendall(answer)
+
+    def answer_command(self, command):
+        verb, operation_id, fields, _ = command
+        if verb != "want":
             return None
         key = fields["obj"], fields.get("seg", "0")
-        if not self.holds_all and key not in self.held and "parent" not in fields:
-            return resp(name, "NOENT", "-", b"")
-        note = "h" if key in self.held or self.holds_all else "f"
+        if not self.has_all_objects and key not in self.stored and "parent" not in fields:
+            return resp_array(operation_id, "NOENT", "-", b"")
+        cache_status = "h" if key in self.stored or self.has_all_objects else "f"
         if "shelf" in fields:
-            self.held.add(key)
+            self.stored.add(key)
         if "got" in fields and fields["got"] == "4be0c1927d55a6f3":
-            return resp(name, "NOMOD", f"digest={fields['got']},dated={int(time.time() * 1000)},res=h", b"")
-        return ack(name, body_of(*key), f"res={note},gauges=inflight:7;util:0.5")
+            return resp_array(
+                operation_id, "NOMOD", f"digest={fields['got']},dated={int(time.time() * 1000)},res=h", b""
+            )
+        return served_answer(operation_id, body_of(*key), f"res={cache_status},gauges=inflight:7;util:0.5")
 
-    def next(self, word="want"):
+    def next_command(self, verb="want"):
         """The next command of that word."""
         while True:
-            told = self.commands.get(timeout=PATIENCE)
-            if told[0] == word:
-                return told
+            command = self.commands.get(timeout=PATIENCE)
+            if command[0] == verb:
+                return command
 
 
-def resp(*items):
+def resp_array(*items):
     items = [item if isinstance(item, bytes) else item.encode() for item in items]
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%s\r\n" % (len(item), item) for item in items)
 
 
-def ack(name, body, fields="res=h"):
-    return resp(name, "ACK", f"digest=4b,dated={int(time.time() * 1000)},{fields}", body)
+def served_answer(operation_id, body, fields="res=h"):
+    return resp_array(operation_id, "ACK", f"digest=4b,dated={int(time.time() * 1000)},{fields}", body)
 
 
-class FakeCoordinator(StandIn):
+class FakeCoordinator(FakeServer):
     def __init__(self):
         self.hellos, self.log, self.lock = queue.Queue(), [], threading.Condition()
         super().__init__()
 
     def serve(self, conn):
-        known = int.from_bytes(exactly(conn, 8), "big")
+        known = int.from_bytes(receive_exactly(conn, 8), "big")
         self.hellos.put((known, conn))
         while True:
             with self.lock:
@@ -571,8 +577,8 @@
 
     def frame(self):
         """The next frame: type, stream, payload."""
-        (length,) = struct.unpack(">I", exactly(self.sock, 4))
-        data = exactly(self.sock, length)
+        (length,) = struct.unpack(">I", receive_exactly(self.sock, 4))
+        data = receive_exactly(self.sock, length)
         return data[0], int.from_bytes(data[1:5], "big"), data[5:]
 
     def answer(self, stream):
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -23,7 +23,7 @@
 from ironhinge.net.timed_selector import TimedSelector
 from ironhinge.routing import Router
 
-from .helpers import PATIENCE, FakeNode, configuration, endpoint, resp
+from .helpers import PATIENCE, FakeUpstream, configuration, endpoint, resp_array
 
 TRACE = "9b1f03aa5c7e2d41"
 
@@ -74,9 +74,9 @@
     return client_wire.RequestFrame(stream, values, b"")
 
 
-def play(script, scene, nodes=None, datagrams=None, **other):
+def play(script, scene, upstreams=None, datagrams=None, **other):
     """Runs a scene with a director before two nodes; returns what the module was told."""
-    one, two = nodes or (FakeNode(holds_all=True), FakeNode(holds_all=True))
+    one, two = upstreams or (FakeUpstream(has_all_objects=True), FakeUpstream(has_all_objects=True))
     rows = [endpoint("s-00000001", one.address), endpoint("s-00000002", two.address)]
     told = read_director_config(configuration(rows, **other))
 
@@ -105,8 +105,8 @@
     return script
 
 
-def ask(node="s-00000001", after=90000, name=TRACE):
-    return lambda now: [interface.SendAttempt(name, node, now + after)]
+def ask(upstream="s-00000001", after=90000, name=TRACE):
+    return lambda now: [interface.SendAttempt(name, upstream, now + after)]
 
 
 def fetch(source, after=90000, **other):
@@ -158,7 +158,7 @@
 
 
 def test_every_field_of_a_fetch_is_on_the_wire():
-    node = FakeNode()
+    upstream = FakeUpstream()
     script = Scripted(RequestReceived=[fetch("s-00000002")])
 
     async def scene(director, client, until):
@@ -166,8 +166,8 @@
         director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
 
-    play(script, scene, (node, FakeNode()))
-    _word, name, fields, _ = node.next()
+    play(script, scene, (upstream, FakeUpstream()))
+    _verb, name, fields, _ = upstream.next_command()
     assert name == TRACE
     assert 8900 < int(fields.pop("ms")) <= 9000
     assert fields == {
@@ -188,7 +188,7 @@
 @pytest.mark.parametrize(("route", "result"), [("order", "done"), ("film", "error")])
 def test_only_copies_have_a_tag_and_a_date(route, result):
     """What answers a write is no copy; a read's bytes without them can't be told from spoilt ones."""
-    node = FakeNode(lambda told: resp(told[1], "ACK", "res=h", b"written"))
+    upstream = FakeUpstream(lambda command: resp_array(command[1], "ACK", "res=h", b"written"))
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
@@ -196,12 +196,14 @@
         director.manager.flush()
         await until(lambda: script.got(interface.AttemptFinished))
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert script.got(interface.AttemptFinished)[0].result == result
 
 
 def test_load_reports_come_in_the_order_of_the_settings():
-    node = FakeNode(lambda told: resp(told[1], "AGAIN", "gauges=inflight:7;util:0.61", b""))
+    upstream = FakeUpstream(
+        lambda command: resp_array(command[1], "AGAIN", "gauges=inflight:7;util:0.61", b"")
+    )
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
@@ -210,14 +212,14 @@
         await until(lambda: script.got(interface.AttemptFinished))
         assert list(director.requests) == [TRACE]  # the module has not answered it yet
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     (end,) = script.got(interface.AttemptFinished)
     assert (end.result, end.request_closed, end.load_report) == ("full", False, (0.61, 7.0))
 
 
 def test_same_for_a_client_without_a_copy_is_no_answer():
     """Guards against a node that says the client's copy is the one when there is none."""
-    node = FakeNode(lambda told: resp(told[1], "NOMOD", "-", b""))
+    upstream = FakeUpstream(lambda command: resp_array(command[1], "NOMOD", "-", b""))
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
@@ -226,7 +228,7 @@
         await until(lambda: script.got(interface.AttemptFinished))
         assert not client.connection.frames
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert script.got(interface.AttemptFinished)[0].result == "error"
 
 
@@ -236,9 +238,9 @@
     script = Scripted(RequestReceived=[fetch("s-00000002")])
 
     async def scene(director, client, until):
-        node = director.pool.upstreams["s-00000001"]
+        upstream = director.pool.upstreams["s-00000001"]
         director.admit(client, came(1, group="17"))
-        (waiting,) = node.connections  # not up yet: the event loop had no turn
+        (waiting,) = upstream.connections  # not up yet: the event loop had no turn
         if news.startswith("drain"):
             row = endpoint(
                 "s-00000002" if "source" in news else "s-00000001", "127.0.0.1:9", status="DRAINING"
@@ -280,14 +282,14 @@
         await until(lambda: len(script.got(interface.TimerFired)) == 2)
         assert client.connection.frames == [b"".join(client_wire.answer(1, 3, {}))]
 
-    node = FakeNode(lambda told: None)
-    play(script, scene, (node, node))
+    upstream = FakeUpstream(lambda command: None)
+    play(script, scene, (upstream, upstream))
     assert [what.token for what in script.got(interface.TimerFired)] == ["a", "b"]
     (end,) = script.got(interface.AttemptFinished)
     assert end.result == "timeout"
     assert end.duration >= 390
     assert not end.request_closed
-    assert node.next("never_mind")[1] == TRACE
+    assert upstream.next_command("never_mind")[1] == TRACE
 
 
 def test_a_connection_silent_through_a_time_out_takes_nothing_more():
@@ -296,15 +298,15 @@
         RequestReceived=[ask(after=200)],
         AttemptFinished=[ask(after=200), lambda now: [interface.FailRequest(TRACE)]],
     )
-    node = FakeNode(lambda told: None)
+    upstream = FakeUpstream(lambda command: None)
 
     async def scene(director, client, until):
         director.admit(client, came(1))
         director.manager.flush()
         await until(lambda: client.connection.frames)
 
-    play(script, scene, (node, node))
-    assert node.next()[3] is not node.next()[3]
+    play(script, scene, (upstream, upstream))
+    assert upstream.next_command()[3] is not upstream.next_command()[3]
 
 
 @pytest.mark.parametrize("stuck", [False, True])
@@ -317,35 +319,42 @@
         AttemptFinished=[ask("s-00000002"), ask("s-00000001", name=other)],
     )
     reading = threading.Event()  # until then the first node takes one command and reads no further
-    nodes = FakeNode(lambda told: stuck and reading.wait(PATIENCE) and None), FakeNode(lambda told: None)
+    upstreams = (
+        FakeUpstream(lambda command: stuck and reading.wait(PATIENCE) and None),
+        FakeUpstream(lambda command: None),
+    )
 
     async def scene(director, client, until):
         director.admit(client, came(1))
         director.admit(client, came(2, trace=other))
         director.manager.flush()
-        await until(lambda: nodes[0].wanted and nodes[1].wanted)
+        await until(lambda: upstreams[0].request_ids and upstreams[1].request_ids)
         first = director.pool.upstreams["s-00000001"].connections[0]
         if stuck:
             first.connection.write_now((b"x" * 2**24,))  # more than the system takes
         for req in list(director.requests.values()):
             director.attempts.abandon(req.attempt, AttemptEnd.TIMED_OUT)
-        links = [each.connection for node in director.pool.upstreams.values() for each in node.connections]
+        links = [
+            each.connection for upstream in director.pool.upstreams.values() for each in upstream.connections
+        ]
         queued = [b"".join(frame.render()) for link in links for frame in link.pending_frames]
         assert first.connection.is_closed
         assert first.connection.inbound.size == first.connection.outbound.size == 0
         assert any(other.encode() in each for each in queued)
         assert not any(b"never_mind" in each for each in queued)
 
-    play(script, scene, nodes)
+    play(script, scene, upstreams)
     reading.set()
     assert [end.result for end in script.got(interface.AttemptFinished)][:2] == ["timeout", "timeout"]
     if not stuck:
-        assert nodes[0].next("never_mind")[1] == TRACE
-        assert nodes[1].next("never_mind")[1] == other
+        assert upstreams[0].next_command("never_mind")[1] == TRACE
+        assert upstreams[1].next_command("never_mind")[1] == other
 
 
 def test_probes_and_datagrams():
-    node = FakeNode(lambda told: resp(told[1], "AILING", "gauges=util:0.5;inflight:2", b""))
+    upstream = FakeUpstream(
+        lambda command: resp_array(command[1], "AILING", "gauges=util:0.5;inflight:2", b"")
+    )
     ours, theirs = open_datagram_socket(("127.0.0.1", 0)), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     theirs.bind(("127.0.0.1", 0))
     theirs.settimeout(PATIENCE)
@@ -367,7 +376,7 @@
         theirs.sendto(b"back", ours.getsockname())
         await until(lambda: script.got(interface.GossipReceived))
 
-    play(script, scene, (node, node), ours, peers=peers, peers_all=peers[1])
+    play(script, scene, (upstream, upstream), ours, peers=peers, peers_all=peers[1])
     (probed,) = script.got(interface.HealthCheckFinished)
     assert (probed.endpoint_id, probed.result, probed.load_report) == ("s-00000001", "error", (0.5, 2.0))
     assert script.got(interface.GossipReceived) == [interface.GossipReceived(1, b"back")]
@@ -375,7 +384,7 @@
 
 def test_a_dispatch_past_its_time_or_after_the_end_is_never_sent():
     script = Scripted(RequestReceived=[lambda now: [interface.SendAttempt(TRACE, "s-00000001", now - 1)]])
-    node = FakeNode()
+    upstream = FakeUpstream()
 
     async def scene(director, client, until):
         director.admit(client, came(1))
@@ -383,9 +392,9 @@
         director.on_client_disconnected(director.requests[TRACE])
         assert not director.requests
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert script.got(interface.AttemptFinished)[0].result == RESULTS[AttemptEnd.NOT_SENT]
-    assert node.commands.empty()
+    assert upstream.commands.empty()
 
 
 def test_a_wait_before_reading_counts_against_the_clients_patience():
@@ -454,7 +463,7 @@
     """Guards a healthy node's name against a reset, and the reqs beside against another wait."""
     names = [f"{i:016x}" for i in range(6)]
     script = Scripted(RequestReceived=[ask(name=name) for name in names])
-    node = FakeNode(lambda told: None)
+    upstream = FakeUpstream(lambda command: None)
 
     async def scene(director, client, until):
         director.pool.connections_per_upstream = 1
@@ -463,14 +472,14 @@
         (carrier,) = director.pool.upstreams["s-00000001"].connections
         if written:
             director.manager.flush()
-            await until(lambda: len(node.wanted) == 6)
+            await until(lambda: len(upstream.request_ids) == 6)
         else:
             carrier.connection.is_connected = True  # and nothing was written yet
         if isinstance(written, str):
             director.attempts.abandon(director.requests[names[0]].attempt, AttemptEnd.TIMED_OUT)
         carrier.connection.close(AttemptEnd.RESET)
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     results = [end.result for end in script.got(interface.AttemptFinished)]
     ends = {True: ["reset"] + ["cancelled"] * 5, False: ["cut"] + ["unsent"] * 5}
     assert results == ends.get(written, ["timeout"] + ["cancelled"] * 5)
@@ -478,7 +487,7 @@
 
 @pytest.mark.parametrize("late", [True, False])
 def test_an_answer_that_stops_within_ends_its_connection_unless_it_is_we_who_are_late(late):
-    node = FakeNode(lambda told: b"*4\r\n$1")
+    upstream = FakeUpstream(lambda command: b"*4\r\n$1")
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
@@ -491,13 +500,13 @@
         carrier.check_timeouts(director.clock.now(), 0)
         assert carrier.connection.is_closed is not late
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert [end.result for end in script.got(interface.AttemptFinished)] == ([] if late else ["reset"])
 
 
 def test_what_is_out_is_spread_over_connections_and_an_idle_one_is_used_again():
     script = Scripted(RequestReceived=[ask(name=f"{i:016x}") for i in range(9)])
-    nodes = FakeNode(), FakeNode()
+    upstreams = FakeUpstream(), FakeUpstream()
 
     async def scene(director, client, until):
         director.pool.connections_per_upstream, links = 3, director.pool.upstreams["s-00000001"].connections
@@ -510,12 +519,12 @@
         assert len(links) == 3
         assert sum(len(each.operations) for each in links) == 1
 
-    play(script, scene, nodes)
+    play(script, scene, upstreams)
 
 
 def test_connections_that_end_leave_no_circles():
     """Guards the memory while collection is rare: thousands of connections a minute must free themselves."""
-    node = FakeNode(lambda told: resp(told[1], "NOENT", "-", b""))
+    upstream = FakeUpstream(lambda command: resp_array(command[1], "NOENT", "-", b""))
     script = Scripted(RequestReceived=[ask()], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]])
     seen = []
 
@@ -533,7 +542,7 @@
         await until(lambda: not any(each() for each in seen))
 
     try:
-        play(script, scene, (node, node))
+        play(script, scene, (upstream, upstream))
     finally:
         gc.enable()
     assert len(seen) == 2
@@ -542,7 +551,9 @@
 def test_an_answer_older_than_was_asked_for_is_not_passed_on():
     """Guards purges against a node that forgets them."""
     script = Scripted(RequestReceived=[fetch("s-00000002")])
-    node = FakeNode(lambda told: resp(told[1], "ACK", "digest=4b,dated=1764576000123,res=h", b"old"))
+    upstream = FakeUpstream(
+        lambda command: resp_array(command[1], "ACK", "digest=4b,dated=1764576000123,res=h", b"old")
+    )
 
     async def scene(director, client, until):
         director.admit(client, came(1))
@@ -550,7 +561,7 @@
         await until(lambda: script.got(interface.AttemptFinished))
         assert not client.connection.frames
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert script.got(interface.AttemptFinished)[0].result == "error"
 
 
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -20,7 +20,7 @@
 from .helpers import (
     FakeClient,
     FakeCoordinator,
-    FakeNode,
+    FakeUpstream,
     Program,
     configuration,
     endpoint,
@@ -49,8 +49,8 @@
         super().__init__(folder, config)
 
 
-def config_for(node, **other):
-    rows = [endpoint("s-00000001", node.address)]
+def config_for(upstream, **other):
+    rows = [endpoint("s-00000001", upstream.address)]
     return configuration(rows, f"127.0.0.1:{free_port()}", **other)
 
 
@@ -82,17 +82,17 @@
 
 
 def test_a_copy_is_stored_and_served_and_survives_a_kill(tmp_path):
-    node = FakeNode(holds_all=True)
-    config = config_for(node)
+    upstream = FakeUpstream(has_all_objects=True)
+    config = config_for(upstream)
     program = DirectorWithTier(tmp_path, config)
     client = FakeClient(program.port)
     first = [request_copy(client, ONE) for _ in range(3)]  # the second request gets it admitted
     assert {code for code, _, _ in first} == {1}
     wait_until(lambda: tier_holds(tmp_path, 1))
-    asked = len(node.wanted)
+    asked = len(upstream.request_ids)
     code, _, body = request_copy(client, ONE)
     assert (code, body) == (1, first[0][2])
-    assert len(node.wanted) == asked
+    assert len(upstream.request_ids) == asked
     assert request_copy(client, ONE, have="4b")[1] == {"same": "1"}
     program.process.send_signal(signal.SIGKILL)
     program.process.wait()
@@ -101,7 +101,7 @@
     try:
         client = FakeClient(program.port)
         assert request_copy(client, ONE)[2] == body
-        assert len(node.wanted) == asked, "not served from disk after a kill"
+        assert len(upstream.request_ids) == asked, "not served from disk after a kill"
         assert run("disk", "compact", str(tmp_path / "tier"))[0] == 1, "the folder is in use"
     finally:
         program.stop()
@@ -115,33 +115,33 @@
 
 
 def test_purges_apply_to_the_tier_also_those_sent_while_it_was_down(tmp_path):
-    node, coordinator = FakeNode(holds_all=True), FakeCoordinator()
-    config = config_for(node, coordinator=coordinator.address)
+    upstream, coordinator = FakeUpstream(has_all_objects=True), FakeCoordinator()
+    config = config_for(upstream, coordinator=coordinator.address)
     program = DirectorWithTier(tmp_path, config)
     try:
         client = FakeClient(program.port)
         for entity in (ONE, TWO) * 3:
             request_copy(client, entity)
         wait_until(lambda: tier_holds(tmp_path, 2))
-        asked = len(node.wanted)
+        asked = len(upstream.request_ids)
         at = int(time.time() * 1000) + 1
         coordinator.tell(2, 3, bytes.fromhex(ONE) + at.to_bytes(8, "big"))
-        wait_until(lambda: request_copy(client, ONE)[0] == 1 and len(node.wanted) > asked)
-        asked = len(node.wanted)
+        wait_until(lambda: request_copy(client, ONE)[0] == 1 and len(upstream.request_ids) > asked)
+        asked = len(upstream.request_ids)
         assert request_copy(client, TWO)[0] == 1
-        assert len(node.wanted) == asked
+        assert len(upstream.request_ids) == asked
         program.process.terminate()
         assert program.process.wait(TIMEOUT) == 0
     finally:
         program.stop()
     at = int(time.time() * 1000)
     purge = {"index": 2, "evict": {"ref": TWO, "unix_ms": at}}
-    config = config_for(node, updates=[purge])
+    config = config_for(upstream, updates=[purge])
     program = DirectorWithTier(tmp_path, config)
     try:
-        client, asked = FakeClient(program.port), len(node.wanted)
+        client, asked = FakeClient(program.port), len(upstream.request_ids)
         assert request_copy(client, TWO)[0] == 1
-        assert len(node.wanted) == asked + 1, "served a copy purged while it was down"
+        assert len(upstream.request_ids) == asked + 1, "served a copy purged while it was down"
     finally:
         program.stop()
 
@@ -201,14 +201,14 @@
 
 @pytest.mark.parametrize("damage", ["flip", "gone"])
 def test_a_corrupt_disk_costs_hits_not_responses(tmp_path, damage):
-    node = FakeNode(holds_all=True)
-    program = DirectorWithTier(tmp_path, config_for(node))
+    upstream = FakeUpstream(has_all_objects=True)
+    program = DirectorWithTier(tmp_path, config_for(upstream))
     try:
         client = FakeClient(program.port)
         for _ in range(3):
             _code, _, body = request_copy(client, ONE)
         wait_until(lambda: tier_holds(tmp_path, 1))
-        asked = len(node.wanted)
+        asked = len(upstream.request_ids)
         (segment,) = (tmp_path / "tier").glob("*.seg")
         if damage == "gone":
             segment.unlink()
@@ -219,14 +219,14 @@
                 file.write(b"\0\0\0\0")
         assert request_copy(client, ONE)[::2] == (1, body)
         if damage == "flip":
-            assert len(node.wanted) == asked + 1, "bytes that were not verified"
+            assert len(upstream.request_ids) == asked + 1, "bytes that were not verified"
     finally:
         program.stop()
 
 
 def test_a_directory_in_use_or_of_another_installation_ends_with_code_1(tmp_path):
-    node = FakeNode(holds_all=True)
-    program = DirectorWithTier(tmp_path, config_for(node))
+    upstream = FakeUpstream(has_all_objects=True)
+    program = DirectorWithTier(tmp_path, config_for(upstream))
     try:
         args = ["serve", "--config", str(program.config), *program.args]
         code, _, err = run(*args)
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -15,7 +15,7 @@
     PATIENCE,
     FakeClient,
     FakeCoordinator,
-    FakeNode,
+    FakeUpstream,
     Program,
     configuration,
     endpoint,
@@ -36,21 +36,21 @@
     """Starts a director with a fault script before one node that holds everything, and a coordinator."""
     started = []
 
-    def start(script, sockets=1024, told=None, **other):
+    def start(script, sockets=1024, custom_settings=None, **other):
         monkeypatch.setenv("PYTHONPATH", INJECTION)
         monkeypatch.setenv("IRONHINGE_FAULTS", json.dumps({"seed": 3, **script}))
-        node, coordinator = FakeNode(holds_all=True), FakeCoordinator()
+        upstream, coordinator = FakeUpstream(has_all_objects=True), FakeCoordinator()
         config = configuration(
-            [endpoint("s-00000001", node.address)],
+            [endpoint("s-00000001", upstream.address)],
             f"127.0.0.1:{free_port()}",
             coordinator=coordinator.address,
-            settings=told or settings(),
+            settings=custom_settings or settings(),
             limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets},
             **other,
         )
         program = Program(tmp_path, config)
         started.append(program)
-        return program, node, coordinator
+        return program, upstream, coordinator
 
     yield start
     for program in started:
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize("step", [7.0, 3600.0, -7.0, -3600.0])
 def test_a_purge_is_kept_when_the_wall_clock_steps(faulty, step):
     """A copy from before the purge must not do, whatever the time of day seems to be."""
-    program, node, coordinator = faulty({"steps": [[2.0, step]]})
+    program, upstream, coordinator = faulty({"steps": [[2.0, step]]})
     began = time.monotonic()
     coordinator.hellos.get(timeout=PATIENCE)
     time.sleep(max(0.0, 2.2 - (time.monotonic() - began)))  # the step has come
@@ -226,17 +226,17 @@
     client = FakeClient(program.port)
     for _ in range(5):
         assert client.answer(client.ask())[0] in ANSWERS
-        accept = int(node.next()[2].get("accept", 0))
+        accept = int(upstream.next_command()[2].get("accept", 0))
         assert 0 < accept <= 2000
 
 
 def test_a_cold_node_is_spared_when_the_wall_clock_steps(faulty):
     """A node that started a moment ago did not start an hour ago."""
-    program, node, coordinator = faulty({"steps": [[1.0, 3600.0]]})
+    program, upstream, coordinator = faulty({"steps": [[1.0, 3600.0]]})
     began = time.monotonic()
     client = FakeClient(program.port)
     coordinator.hellos.get(timeout=PATIENCE)
-    cold = FakeNode(holds_all=True)
+    cold = FakeUpstream(has_all_objects=True)
     time.sleep(max(0.0, 1.2 - (time.monotonic() - began)))
     record = bytearray(list_record("s-00000002", cold.address, 0))
     record[-8:] = int(time.time() * 1000).to_bytes(8, "big")
@@ -249,5 +249,5 @@
             assert all(client.answer(stream)[0] in ANSWERS for stream in streams)
             streams = []
     # at 20 transfers at full pace, a fifth of it cold, three times that: 12 at 80 ms each in its first second
-    assert len(cold.wanted) <= 40
-    assert len(node.wanted) >= 100
+    assert len(cold.request_ids) <= 40
+    assert len(upstream.request_ids) >= 100
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,7 @@
 from ironhinge.traffic.snapshot_files import file_name, read_folder
 from ironhinge.traffic.types import DirectorIdentity
 
-from .helpers import FakeClient, FakeNode, Program, configuration, endpoint, free_port, new_deployment
+from .helpers import FakeClient, FakeUpstream, Program, configuration, endpoint, free_port, new_deployment
 
 TIMEOUT = 60  # seconds after which something has gone wrong
 
@@ -104,15 +104,15 @@
             time.sleep(0.02)
 
 
-def director_config(node, parent):
-    endpoints = [endpoint("s-00000001", node.address), endpoint("s-00000002", parent.address, "parent")]
+def director_config(upstream, parent):
+    endpoints = [endpoint("s-00000001", upstream.address), endpoint("s-00000002", parent.address, "parent")]
     return configuration(endpoints, f"127.0.0.1:{free_port()}")
 
 
 def test_invalid_settings_change_nothing_and_valid_ones_apply_at_once(tmp_path):
-    node, parent = FakeNode(), FakeNode(holds_all=True)
+    upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path = write_operations(tmp_path, 'a: {rate: "1MB/s", begin: "full"}')
-    program = AccountingProgram(tmp_path, director_config(node, parent), path)
+    program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
     try:
         client = FakeClient(program.port)
         assert client.answer(client.ask())[0] == 1
@@ -141,9 +141,9 @@
 
 
 def test_a_killed_director_resumes_its_account_and_starts_a_new_one_after_a_torn_snapshot(tmp_path):
-    node, parent = FakeNode(), FakeNode(holds_all=True)
+    upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path, folder = write_operations(tmp_path, 'a: {rate: "1MB/s", ways: ["neighbour"]}'), tmp_path / "kept"
-    config = director_config(node, parent)
+    config = director_config(upstream, parent)
     totals, log = [], ""
     for incarnation in range(3):
         program = AccountingProgram(tmp_path, config, path)
@@ -194,12 +194,12 @@
 
 
 def test_the_report_and_watch_commands_print_the_account(tmp_path):
-    node, parent = FakeNode(), FakeNode(holds_all=True)
+    upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path = write_operations(tmp_path, 'a: {sum: "1GB", ahead: 1, begin: "full"}')
     path.write_text(
         path.read_text().replace("traffic: {", "traffic: {distributions: true, prices: [{per_gb: 5}], ")
     )
-    program = AccountingProgram(tmp_path, director_config(node, parent), path)
+    program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
     try:
         client = FakeClient(program.port)
         assert client.answer(client.ask())[0] == 1
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -130,17 +130,19 @@
         assert data[10 + end :] == body
 
 
-def resp(*items):
+def resp_array(*items):
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%s\r\n" % (len(item), item) for item in items)
 
 
 def test_upstream_answers_decode_equally_at_every_cut():
     data = (
-        resp(b"a1", b"ACK", b"digest=4b,dated=1764576000123,res=f,gauges=inflight:7;util:0.61", b"by\r\ntes")
-        + resp(b"a2", b"NOENT", b"-", b"")
-        + resp(b"a3", b"NOMOD", b"res=h", b"")
-        + resp(b"a4", b"AGAIN", b"-")
-        + resp(b"p1", b"AILING", b"gauges=util:1", b"")
+        resp_array(
+            b"a1", b"ACK", b"digest=4b,dated=1764576000123,res=f,gauges=inflight:7;util:0.61", b"by\r\ntes"
+        )
+        + resp_array(b"a2", b"NOENT", b"-", b"")
+        + resp_array(b"a3", b"NOMOD", b"res=h", b"")
+        + resp_array(b"a4", b"AGAIN", b"-")
+        + resp_array(b"p1", b"AILING", b"gauges=util:1", b"")
     )
     out, errors = decode_at_every_cut(upstream_wire.UpstreamWire, data)
     assert not errors
@@ -166,16 +168,16 @@
         b"*4\r\n$x\r\n",
         b"*4\r\n$2\r\nabcd",
         b"*" + b"1" * 40,
-        resp(b"a1", b"WHAT", b"-", b""),
-        resp(b"a1", b"ACK", b"-"),
-        resp(b"a1", b"ACK", b"digest=4b,dated=5,gauges=util:many", b"x"),
-        resp(b"a1", b"ACK", b"digest=4b,dated=5,gauges=util:-1", b"x"),
-        resp(b"a1", b"ACK", b"digest=4b,dated=5,gauges=util:nan", b"x"),
-        resp(b"\377", b"ACK", b"-", b"x"),
+        resp_array(b"a1", b"WHAT", b"-", b""),
+        resp_array(b"a1", b"ACK", b"-"),
+        resp_array(b"a1", b"ACK", b"digest=4b,dated=5,gauges=util:many", b"x"),
+        resp_array(b"a1", b"ACK", b"digest=4b,dated=5,gauges=util:-1", b"x"),
+        resp_array(b"a1", b"ACK", b"digest=4b,dated=5,gauges=util:nan", b"x"),
+        resp_array(b"\377", b"ACK", b"-", b"x"),
     ],
 )
 def test_unparsable_answers_are_detected_at_every_cut(bad):
-    out, errors = decode_at_every_cut(upstream_wire.UpstreamWire, resp(b"a0", b"EIO", b"-", b"") + bad)
+    out, errors = decode_at_every_cut(upstream_wire.UpstreamWire, resp_array(b"a0", b"EIO", b"-", b"") + bad)
     assert [answer.end for answer in out] == [AttemptEnd.ERROR]
     assert len(errors) == 1
 
@@ -183,18 +185,18 @@
 def test_long_answers_decode_in_pieces():
     """A body that arrives in pieces must not be scanned from its start with each piece."""
     body = Random(1).randbytes(240_000)
-    data = resp(b"a1", b"ACK", b"digest=4b,dated=5", body)
+    data = resp_array(b"a1", b"ACK", b"digest=4b,dated=5", body)
     out, _ = decode(upstream_wire.UpstreamWire, data, range(1000, len(data), 1000))
     assert out[0].body == body
 
 
 def test_commands_are_arrays_of_bulk_strings():
-    assert upstream_wire.encode_request("a1", {"kind": "film", "seg": "3"}, b"\r\n") == resp(
+    assert upstream_wire.encode_request("a1", {"kind": "film", "seg": "3"}, b"\r\n") == resp_array(
         b"want", b"a1", b"kind=film,seg=3", b"\r\n"
     )
-    assert upstream_wire.encode_request("a1", {}, b"") == resp(b"want", b"a1", b"-", b"")
-    assert upstream_wire.encode_cancel("a1") == resp(b"never_mind", b"a1")
-    assert upstream_wire.encode_health_check("p1") == resp(b"busy", b"p1")
+    assert upstream_wire.encode_request("a1", {}, b"") == resp_array(b"want", b"a1", b"-", b"")
+    assert upstream_wire.encode_cancel("a1") == resp_array(b"never_mind", b"a1")
+    assert upstream_wire.encode_health_check("p1") == resp_array(b"busy", b"p1")
 
 
 def record(name, state=0, weight=1500, started=0):
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -30,9 +30,8 @@
     PATIENCE,
     FakeClient,
     FakeCoordinator,
-    FakeNode,
+    FakeUpstream,
     Program,
-    ack,
     attempt_finished,
     configuration,
     endpoint,
@@ -41,7 +40,8 @@
     new_endpoint,
     new_router,
     request_received,
-    resp,
+    resp_array,
+    served_answer,
     settings,
 )
 from .test_director import TRACE, Scripted, ask, came, play, run_polled
@@ -134,7 +134,7 @@
 
 def test_nothing_begins_for_a_client_that_left_where_nothing_may_be_called_off():
     """A dispatch that waits for its connection is not written once its client has gone."""
-    node = FakeNode(holds_all=True)
+    upstream = FakeUpstream(has_all_objects=True)
     script = Scripted(
         RequestReceived=[ask(), lambda now: [interface.SendAttempt(TRACE[::-1], "s-00000001", now + 90000)]]
     )
@@ -149,10 +149,10 @@
         director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["unsent", "done"]
-    assert node.next()[1] == TRACE[::-1]
-    assert node.wanted == {TRACE[::-1]}
+    assert upstream.next_command()[1] == TRACE[::-1]
+    assert upstream.request_ids == {TRACE[::-1]}
 
 
 @pytest.mark.parametrize("by", ["sweep", "crowd"])
@@ -218,16 +218,16 @@
     """A node answers twice, and the second answer comes when the same req is out there again."""
     conns = []
 
-    def act(told):
-        if told[0] != "want":
+    def handle_command(command):
+        if command[0] != "want":
             return None
-        conns.append(told[3])
+        conns.append(command[3])
         if len(conns) == 1:
-            return resp(told[1], "EIO", "-", b"")
-        conns[0].sendall(resp(told[1], "NOENT", "-", b""))
-        return ack(told[1], b"the bytes") if conns[1] is not conns[0] else None
+            return resp_array(command[1], "EIO", "-", b"")
+        conns[0].sendall(resp_array(command[1], "NOENT", "-", b""))
+        return served_answer(command[1], b"the bytes") if conns[1] is not conns[0] else None
 
-    node = FakeNode(act)
+    upstream = FakeUpstream(handle_command)
     script = Scripted(RequestReceived=[ask()], AttemptFinished=[ask()])
 
     async def scene(director, client, until):
@@ -235,7 +235,7 @@
         director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["error", "done"]
 
 
@@ -244,17 +244,17 @@
     """A node sends more than belongs to its answer, half a line, or begins an answer and never ends it."""
     more = threading.Event()
 
-    def act(told):
-        if told[0] != "want" or told[1] != TRACE:
-            return ack(told[1], b"other bytes") if told[0] == "want" else None
+    def handle_command(command):
+        if command[0] != "want" or command[1] != TRACE:
+            return served_answer(command[1], b"other bytes") if command[0] == "want" else None
         if when == "with the answer":
-            return ack(told[1], b"the bytes") + b"*4\r\n$9"
+            return served_answer(command[1], b"the bytes") + b"*4\r\n$9"
         if when == "after it":
-            threading.Thread(target=lambda: more.wait(PATIENCE) and told[3].sendall(b"*4\r\n$9")).start()
-            return ack(told[1], b"the bytes")
+            threading.Thread(target=lambda: more.wait(PATIENCE) and command[3].sendall(b"*4\r\n$9")).start()
+            return served_answer(command[1], b"the bytes")
         return b"*4\r\n$16\r\n"
 
-    node, other = FakeNode(act), TRACE[::-1]
+    upstream, other = FakeUpstream(handle_command), TRACE[::-1]
     first = lambda now: [interface.SendAttempt(TRACE, "s-00000001", now + 2000)]  # noqa: E731
     script = Scripted(RequestReceived=[first, ask(name=other)], AttemptFinished=[lambda now: []])
 
@@ -271,7 +271,7 @@
         director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert script.got(interface.AttemptFinished)[1].result == "done"
 
 
@@ -279,11 +279,11 @@
     """Guards reqs that must not run twice: the close has come, and was not read yet."""
     conns, other = [], TRACE[::-1]
 
-    def act(told):
-        conns.append(told[3])
-        return ack(told[1], b"the bytes")
+    def handle_command(command):
+        conns.append(command[3])
+        return served_answer(command[1], b"the bytes")
 
-    node = FakeNode(act)
+    upstream = FakeUpstream(handle_command)
     script = Scripted(RequestReceived=[ask(), ask(name=other)])
 
     async def scene(director, client, until):
@@ -298,7 +298,7 @@
         director.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
 
 
@@ -318,7 +318,9 @@
 
 @pytest.mark.parametrize("named", ["digest=aaaa", "res=h"])
 def test_a_clients_copy_is_current_only_if_the_node_names_it(named):
-    node = FakeNode(lambda told: resp(told[1], "NOMOD", f"dated={int(time.time() * 1000)},{named}", b""))
+    upstream = FakeUpstream(
+        lambda command: resp_array(command[1], "NOMOD", f"dated={int(time.time() * 1000)},{named}", b"")
+    )
     script = Scripted(RequestReceived=[ask()])
 
     async def scene(director, client, until):
@@ -327,7 +329,7 @@
         await until(lambda: script.got(interface.AttemptFinished))
         assert not client.connection.frames
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert script.got(interface.AttemptFinished)[0].result == "error"
 
 
@@ -349,7 +351,7 @@
 
 def test_an_idle_connection_to_a_node_makes_room_for_another_nodes():
     """Guards the way to nodes where there are more of them than descriptors."""
-    nodes = FakeNode(holds_all=True), FakeNode(holds_all=True)
+    upstreams = FakeUpstream(has_all_objects=True), FakeUpstream(has_all_objects=True)
     script = Scripted(RequestReceived=[ask(), ask("s-00000002", name=TRACE[::-1])])
 
     async def scene(director, client, until):
@@ -363,7 +365,7 @@
                 )
             )
 
-    play(script, scene, nodes)
+    play(script, scene, upstreams)
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
 
 
@@ -407,10 +409,10 @@
 
 def short_settings():
     """Reqs live for 0.3 s, so that SIGKILL may come 1 s after SIGTERM."""
-    told = settings()
-    for vhost in told["classes"]:
+    custom_settings = settings()
+    for vhost in custom_settings["classes"]:
         vhost.update(aim=100000, deadline=300000)
-    return told
+    return custom_settings
 
 
 def test_leaving_ends_each_silent_connection_in_order_before_the_program_may_be_killed():
@@ -434,22 +436,22 @@
 @pytest.fixture
 def short(tmp_path):
     """A director before one silent node."""
-    node, told = FakeNode(lambda told: None), short_settings()
+    upstream, custom_settings = FakeUpstream(lambda command: None), short_settings()
     listen_at = f"127.0.0.1:{free_port()}"
-    endpoints = [endpoint("s-00000001", node.address)]
-    program = Program(tmp_path, configuration(endpoints, listen_at, settings=told))
-    yield program, node
+    endpoints = [endpoint("s-00000001", upstream.address)]
+    program = Program(tmp_path, configuration(endpoints, listen_at, settings=custom_settings))
+    yield program, upstream
     program.stop()
 
 
 def test_requests_on_open_connections_are_answered_until_the_kill_and_late_ones_reach_no_node(short):
     """SIGKILL may come 1 s after SIGTERM; clients send until then. A second SIGTERM and a SIGHUP come
     meanwhile. One that is never killed ends by itself, in order."""
-    program, node = short
+    program, upstream = short
     resting, busy = FakeClient(program.port), FakeClient(program.port)
     assert resting.is_ready()
     stream = busy.ask(patience=300)
-    node.next()
+    upstream.next_command()
     program.process.send_signal(signal.SIGTERM)
     began = time.monotonic()
     assert busy.frame()[:2] == (3, 0)
@@ -469,7 +471,7 @@
         client.sock.close()
     assert program.process.wait(timeout=PATIENCE) == 0
     assert time.monotonic() - began < 2.0
-    assert len(node.wanted) == 1
+    assert len(upstream.request_ids) == 1
 
 
 def test_room_is_made_for_new_connections_while_the_program_ends():
@@ -618,12 +620,14 @@
             True, tuple(new_endpoint(n, started_at=start) for n in (*CACHES, "p0", "o"))
         ),
     )
-    acts = [
-        act
+    commands = [
+        command
         for i in range(200)
-        for act in one.handle(start + i * 500, request_received(f"a{i}", object_id=i, size=50.0))
+        for command in one.handle(start + i * 500, request_received(f"a{i}", object_id=i, size=50.0))
     ]
-    assert any(type(act) in (interface.SendAttempt, interface.SendAttemptWithFill) for act in acts)
+    assert any(
+        type(command) in (interface.SendAttempt, interface.SendAttemptWithFill) for command in commands
+    )
 
 
 def test_serve_imports_only_what_is_on():
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -13,15 +13,15 @@
     PATIENCE,
     FakeClient,
     FakeCoordinator,
-    FakeNode,
+    FakeUpstream,
     Program,
-    ack,
     body_of,
     configuration,
     endpoint,
     free_port,
     list_record,
-    resp,
+    resp_array,
+    served_answer,
     settings,
 )
 
@@ -33,12 +33,18 @@
     """Caches by name, an origin, a coordinator, and the program before them."""
 
     def __init__(self, folder, caches, updates=(), **other):
-        self.caches, self.origin, self.coordinator = caches, FakeNode(holds_all=True), FakeCoordinator()
+        self.caches, self.origin, self.coordinator = (
+            caches,
+            FakeUpstream(has_all_objects=True),
+            FakeCoordinator(),
+        )
         rows = [endpoint(f"s-{i + 1:08x}", cache.address) for i, cache in enumerate(caches)]
         rows.append(endpoint("s-000000ff", self.origin.address, "origin"))
-        told = configuration(rows, f"127.0.0.1:{free_port()}", updates, coordinator=self.coordinator.address)
-        told.update(other)
-        self.program = Program(folder, told)
+        config = configuration(
+            rows, f"127.0.0.1:{free_port()}", updates, coordinator=self.coordinator.address
+        )
+        config.update(other)
+        self.program = Program(folder, config)
         self.client = FakeClient(self.program.port)
 
     def name(self, cache):
@@ -50,7 +56,7 @@
     made = []
 
     def make(caches=None, updates=(), **other):
-        made.append(World(tmp_path, caches or [FakeNode()], updates, **other))
+        made.append(World(tmp_path, caches or [FakeUpstream()], updates, **other))
         return made[0]
 
     yield make
@@ -60,7 +66,7 @@
 
 @pytest.fixture(scope="module")
 def serving(tmp_path_factory):
-    one = World(tmp_path_factory.mktemp("serving"), [FakeNode()])
+    one = World(tmp_path_factory.mktemp("serving"), [FakeUpstream()])
     yield one
     one.program.stop()
 
@@ -70,7 +76,7 @@
     client, (cache,) = one.client, one.caches
     first = client.answer(client.ask())
     assert first == (DONE, {}, body_of(OBJ, "3"))
-    _word, trace, fields, _ = cache.next()
+    _verb, trace, fields, _ = cache.next_command()
     assert fields["kind"] == "film"
     assert fields["obj"] == OBJ
     assert fields["seg"] == "3"
@@ -78,11 +84,11 @@
     assert len(trace) == 16
     while "shelf" not in fields:
         client.answer(client.ask())
-        fields = cache.next()[2]
+        fields = cache.next_command()[2]
     assert fields["parent"] == "s-000000ff"
-    assert (OBJ, "3") in cache.held
+    assert (OBJ, "3") in cache.stored
     assert client.answer(client.ask(have="4be0c1927d55a6f3")) == (DONE, {"same": "1"}, b"")
-    assert cache.next()[2]["got"] == "4be0c1927d55a6f3"
+    assert cache.next_command()[2]["got"] == "4be0c1927d55a6f3"
 
 
 def test_a_patience_a_little_over_the_client_timeout_is_fine(world):
@@ -93,10 +99,10 @@
 def test_bodies_longer_than_every_ring_pass_whole_and_many_at_once(world):
     long = bytes(range(256)) * 900
 
-    def act(told):
-        return ack(told[1], long) if told[0] == "want" else None
+    def handle_command(command):
+        return served_answer(command[1], long) if command[0] == "want" else None
 
-    one = world([FakeNode(act)])
+    one = world([FakeUpstream(handle_command)])
     streams = [one.client.ask(entity=f"{i:016x}") for i in range(32)]
     for stream in reversed(streams):
         assert one.client.answer(stream) == (DONE, {}, long)
@@ -108,9 +114,9 @@
     one = world(updates=[start])
     cache = one.caches[0]
     one.client.answer(one.client.ask())
-    assert 0 < int(cache.next()[2]["accept"]) <= time.time() * 1000 - now + 1
+    assert 0 < int(cache.next_command()[2]["accept"]) <= time.time() * 1000 - now + 1
     one.client.answer(one.client.ask(group=3, entity=f"{5:016x}"))
-    assert "accept" not in cache.next()[2]
+    assert "accept" not in cache.next_command()[2]
     then = int(time.time() * 1000)
     assert one.coordinator.hellos.get(timeout=PATIENCE)[0] == 2
     one.coordinator.tell(3, 3, (5).to_bytes(8, "big") + then.to_bytes(8, "big"))
@@ -118,12 +124,12 @@
     until = time.monotonic() + PATIENCE
     while "accept" not in fields and time.monotonic() < until:
         one.client.answer(one.client.ask(group=3, entity=f"{5:016x}"))
-        fields = cache.next()[2]
+        fields = cache.next_command()[2]
     assert 0 < int(fields["accept"]) <= time.time() * 1000 - then + 1
 
 
 def test_a_draining_node_gets_nothing_and_a_broken_feed_goes_on_from_the_last_number(world):
-    one = world([FakeNode(), FakeNode()])
+    one = world([FakeUpstream(), FakeUpstream()])
     coordinator, (first, second) = one.coordinator, one.caches
     coordinator.tell(2, 2, list_record(one.name(first), first.address, 1))
     known, conn = coordinator.hellos.get(timeout=PATIENCE)
@@ -148,38 +154,38 @@
 
 @pytest.mark.parametrize("trouble", ["refused", "reset", "garbled", "silent"])
 def test_reqs_move_on_from_a_node_in_trouble(world, trouble):
-    def act(told):
+    def handle_command(command):
         if trouble == "reset":
-            bad.refuse()
+            bad.close_and_reset()
         return b"+NONSENSE\r\n" if trouble == "garbled" else None
 
-    bad, good = FakeNode(act), FakeNode()
+    bad, good = FakeUpstream(handle_command), FakeUpstream()
     if trouble == "refused":
-        bad.refuse()
+        bad.close_and_reset()
     one = world([bad, good])
     streams = [one.client.ask(entity=f"{i:016x}", patience=1500) for i in range(8)]
     codes = [one.client.answer(stream)[0] for stream in streams]
     if trouble == "silent":  # the module may find it too late for another dispatch
-        assert bad.next("never_mind")[1] in bad.wanted
+        assert bad.next_command("never_mind")[1] in bad.request_ids
         assert DONE in codes
         assert ABORTED not in codes
     else:
         assert codes == [DONE] * 8
-        assert trouble == "refused" or bad.wanted
+        assert trouble == "refused" or bad.request_ids
 
 
 def test_what_may_have_run_is_not_sent_again_but_what_never_ran_is(world):
     """Guards 'no effect twice' through the endings: a reset after the command is no proof, a refusal is."""
-    bad, good = FakeNode(lambda told: bad.refuse()), FakeNode()
+    bad, good = FakeUpstream(lambda command: bad.close_and_reset()), FakeUpstream()
     one = world([bad, good])
     ends = [one.client.answer(one.client.ask(route="order", entity=f"{i:016x}", part=None)) for i in range(8)]
     codes = [code for code, _, _ in ends]
-    assert codes.count(ABORTED) == len(bad.wanted) == 1
+    assert codes.count(ABORTED) == len(bad.request_ids) == 1
     assert codes.count(DONE) == 7
 
 
 def test_no_answer_in_time_is_one_denial_before_the_client_timeout(world):
-    one = world([FakeNode(lambda told: None)])
+    one = world([FakeUpstream(lambda command: None)])
     began = time.monotonic()
     stream = one.client.ask(patience=400)
     assert one.client.answer(stream)[0] == DENIED
@@ -191,18 +197,18 @@
 @pytest.mark.parametrize("whole", [False, True])
 def test_a_client_that_leaves_gets_no_answer_and_the_node_is_told(world, whole):
     late = []
-    one = world([FakeNode(lambda told: late.append(told))])
+    one = world([FakeUpstream(lambda command: late.append(command))])
     cache, client = one.caches[0], one.client
     stream = client.ask()
-    name = cache.next()[1]
+    name = cache.next_command()[1]
     if whole:
         client.sock.close()
         client = FakeClient(one.program.port)
     else:
         client.send(9, stream)
-    assert cache.next("never_mind")[1] == name
-    late[0][3].sendall(ack(name, b"late"))  # crosses: nobody may get it
-    cache.act = cache.answer
+    assert cache.next_command("never_mind")[1] == name
+    late[0][3].sendall(served_answer(name, b"late"))  # crosses: nobody may get it
+    cache.handle_command = cache.answer_command
     assert client.answer(client.ask())[0] == DONE
     assert not client.early
 
@@ -212,16 +218,16 @@
     connection."""
     wants = []
 
-    def act(told):
-        if told[0] == "want":
-            wants.append(told)
+    def handle_command(command):
+        if command[0] == "want":
+            wants.append(command)
             if len(wants) == 2:
-                return ack(told[1], b"second")
-        elif told[0] == "never_mind":
-            return ack(told[1], b"first, late")
+                return served_answer(command[1], b"second")
+        elif command[0] == "never_mind":
+            return served_answer(command[1], b"first, late")
         return None
 
-    one = world([FakeNode(act)], settings=settings())
+    one = world([FakeUpstream(handle_command)], settings=settings())
     code, _, body = one.client.answer(one.client.ask(patience=800))
     assert code == DENIED or (body == b"second" and wants[0][3] is not wants[1][3])
 
@@ -230,9 +236,9 @@
     "payload", [b"\0\0\0\4", b"\x00\x05\x00\x00\7", b"\0\0\0\5\6\0\0\0\1", b"\0\0\0\6\7\0\0\0\0\0"]
 )
 def test_malformed_frames_abort_what_is_open_and_end_their_connection_with_a_text(world, payload):
-    one = world([FakeNode(lambda told: None)])
+    one = world([FakeUpstream(lambda command: None)])
     stream = one.client.ask()
-    one.caches[0].next()
+    one.caches[0].next_command()
     one.client.sock.sendall(payload)
     assert one.client.answer(stream)[0] == ABORTED
     kind, on, text = one.client.frame()
@@ -241,7 +247,7 @@
     assert len(text) > 5
     with pytest.raises(EOFError):
         one.client.frame()
-    one.caches[0].act = one.caches[0].answer
+    one.caches[0].handle_command = one.caches[0].answer_command
     other = FakeClient(one.program.port)
     assert other.answer(other.ask())[0] == DONE
 
@@ -274,7 +280,7 @@
 
 
 def test_more_open_streams_than_allowed_end_the_connection_and_reach_no_node(world):
-    one = world([FakeNode(lambda told: None)])
+    one = world([FakeUpstream(lambda command: None)])
     one.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
     for i in range(60):
         one.client.ask(entity=f"{i:016x}", patience=500)
@@ -288,26 +294,26 @@
 
 def test_sigterm_under_load_answers_all_that_was_taken(world):
     hold = []
-    one = world([FakeNode(lambda told: hold.append(told))])
+    one = world([FakeUpstream(lambda command: hold.append(command))])
     streams = [one.client.ask(entity=f"{i:016x}") for i in range(5)]
-    told = [one.caches[0].next() for _ in range(5)]
+    commands = [one.caches[0].next_command() for _ in range(5)]
     one.program.process.send_signal(signal.SIGTERM)
     assert one.client.frame()[:2] == (3, 0)
     late = FakeClient(one.program.port)  # connections still come
     assert late.frame()[:2] == (3, 0)
     assert not late.is_ready()
     streams.append(one.client.ask())  # and so do reqs
-    told.append(one.caches[0].next())
-    for each in told:
-        each[3].sendall(ack(each[1], b"all"))
+    commands.append(one.caches[0].next_command())
+    for each in commands:
+        each[3].sendall(served_answer(each[1], b"all"))
     assert [one.client.answer(stream)[0] for stream in streams] == [DONE] * 6
     assert one.program.process.wait(timeout=PATIENCE) == 0
 
 
 def test_sigterm_answers_before_the_program_may_be_killed_however_long_clients_wait(world):
-    one = world([FakeNode(lambda told: None)])
+    one = world([FakeUpstream(lambda command: None)])
     began, streams = time.monotonic(), [one.client.ask()]
-    one.caches[0].next()
+    one.caches[0].next_command()
     one.program.process.send_signal(signal.SIGTERM)
     assert one.client.frame()[:2] == (3, 0)
     streams.append(one.client.ask())
@@ -319,18 +325,18 @@
 
 
 def test_sighup_follows_the_coordinator_and_a_bad_file_changes_nothing(world):
-    one, hup = world([FakeNode(), FakeNode()]), signal.SIGHUP
+    one, hup = world([FakeUpstream(), FakeUpstream()]), signal.SIGHUP
     coordinator, (first, second) = one.coordinator, one.caches
     assert coordinator.hellos.get(timeout=PATIENCE)[0] == 1
     coordinator.tell(2, 4, (9).to_bytes(2, "big") + (5).to_bytes(8, "big"))
-    told = json.loads(one.program.config.read_text())
+    config = json.loads(one.program.config.read_text())
     one.program.config.write_text("{")
     one.program.process.send_signal(hup)
     assert one.client.answer(one.client.ask())[0] == DONE
     moved = FakeCoordinator()
     moved.tell(3, 2, list_record(one.name(first), first.address, 1))
-    told["coordinator"], told["listen"] = moved.address, "127.0.0.1:9"
-    one.program.config.write_text(json.dumps(told))
+    config["coordinator"], config["listen"] = moved.address, "127.0.0.1:9"
+    one.program.config.write_text(json.dumps(config))
     one.program.process.send_signal(hup)
     assert moved.hellos.get(timeout=PATIENCE)[0] in (1, 2)
     until = time.monotonic() + PATIENCE
@@ -369,30 +375,31 @@
     """Guards the reqs beside it, and the next ones: each goes on or moves on."""
     crowd, spoils = [], []
 
-    def act(told):
-        if told[0] != "want":
+    def handle_command(command):
+        if command[0] != "want":
             return None
         if not spoils:
-            spoils.append(told)
+            spoils.append(command)
             if spoilt == "close":
-                return told[3].shutdown(socket.SHUT_RDWR)
+                return command[3].shutdown(socket.SHUT_RDWR)
             if "dated" in str(spoilt):
-                return resp(told[1], "ACK", spoilt, b"x")
-            return ack(told[1], b"x" * 900)[:400] if spoilt == "stop" else spoilt
-        return resp("f" * 16, "ACK", "-", b"of nobody's") + ack(told[1], b"good") * 2
+                return resp_array(command[1], "ACK", spoilt, b"x")
+            return served_answer(command[1], b"x" * 900)[:400] if spoilt == "stop" else spoilt
+        return resp_array("f" * 16, "ACK", "-", b"of nobody's") + served_answer(command[1], b"good") * 2
 
-    one = world([FakeNode(act)])
+    one = world([FakeUpstream(handle_command)])
     for i in range(40):
         crowd.append(one.client.answer(one.client.ask(entity=f"{i:016x}")))
     assert crowd == [(DONE, {}, b"good")] * 40
-    assert len(one.caches[0].wanted) == 40
+    assert len(one.caches[0].request_ids) == 40
 
 
 @pytest.mark.parametrize("held", [False, True])
 def test_descriptors_at_the_limit_only_pause_accepting(world, held):
     """Those that were answered make room for others, those that have a req open once it is answered."""
     one = world(
-        [FakeNode(lambda told: None) if held else FakeNode()], limits={"memory_mb": 192, "sockets": 48}
+        [FakeUpstream(lambda command: None) if held else FakeUpstream()],
+        limits={"memory_mb": 192, "sockets": 48},
     )
     crowd = [FakeClient(one.program.port) for _ in range(40)]
     streams = [client.ask(entity=f"{i:016x}", patience=900) for i, client in enumerate(crowd)]
@@ -415,7 +422,9 @@
 
 def test_a_client_that_does_not_read_does_not_hold_up_the_others(world):
     long = b"x" * 240_000
-    one = world([FakeNode(lambda told: ack(told[1], long) if told[0] == "want" else None)])
+    one = world(
+        [FakeUpstream(lambda command: served_answer(command[1], long) if command[0] == "want" else None)]
+    )
     slow = FakeClient(one.program.port)
     for i in range(32):
         slow.ask(entity=f"{i:016x}")
@@ -423,18 +432,18 @@
         assert one.client.answer(one.client.ask(entity=f"{i:016x}")) == (DONE, {}, long)
 
 
-def command(*words, **env):
+def run_command(*words, **env):
     return subprocess.run(
         [sys.executable, "-m", "ironhinge", *words], capture_output=True, text=True, env=env, timeout=PATIENCE
     )
 
 
 def test_the_command_line_tells_what_is_wrong_in_a_line(tmp_path):
-    assert command("version").stdout.startswith("ironhinge ")
-    assert command("serve").returncode == 2
+    assert run_command("version").stdout.startswith("ironhinge ")
+    assert run_command("serve").returncode == 2
     path = tmp_path / "config.json"
     good = configuration([endpoint("s-00000001", "127.0.0.1:9")])
-    for told, word in [
+    for content, word in [
         (None, "config.json"),
         ("{", "config.json"),
         ({**good, "listen": "here"}, "'listen'"),
@@ -444,18 +453,20 @@
         (configuration([{**endpoint("s-1", "127.0.0.1:9"), "zone": "north"}]), "'north'"),
         (configuration([{**endpoint("s-1", "127.0.0.1:9"), "status": "WELL"}]), "'status'"),
     ]:
-        if told is not None:
-            path.write_text(told if isinstance(told, str) else json.dumps(told))
+        if content is not None:
+            path.write_text(content if isinstance(content, str) else json.dumps(content))
         for word_used in ("serve", "check"):
-            got = command(word_used, "--config", str(path))
+            got = run_command(word_used, "--config", str(path))
             assert got.returncode == 2, got.stderr
             assert len(got.stderr.splitlines()) == 1, got.stderr
             assert word in got.stderr
             assert str(path) in got.stderr
     path.write_text(json.dumps(good))
-    got = command("serve", "--config", str(path), "--listen", "192.0.2.1:7001")  # an address that is not ours
+    got = run_command(
+        "serve", "--config", str(path), "--listen", "192.0.2.1:7001"
+    )  # an address that is not ours
     assert got.returncode == 1
     assert got.stderr.splitlines()[-1].startswith("ironhinge: 192.0.2.1:7001: ")
-    got = command("check", PROXY_CONFIG=str(path))
+    got = run_command("check", PROXY_CONFIG=str(path))
     assert got.returncode == 0
     assert "1 node" in got.stdout
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -19,7 +19,7 @@
 from ironhinge.net.timed_selector import TimedSelector
 from ironhinge.routing import Router
 
-from .helpers import FakeCoordinator, FakeNode, list_record
+from .helpers import FakeCoordinator, FakeUpstream, list_record
 from .test_director import TRACE, Scripted, ask, came, play
 from .test_moments import all_of, connected, request
 
@@ -75,7 +75,7 @@
 
 def test_a_stop_between_rendering_a_command_and_sending_it_counts(monkeypatch):
     """Guards the time that a server is told: it was worked out, and sent a while later."""
-    node, plain = FakeNode(holds_all=True), attempts.set_time_remaining
+    upstream, plain = FakeUpstream(has_all_objects=True), attempts.set_time_remaining
     script = Scripted(RequestReceived=[ask(name=OTHER), ask(after=20000)])
 
     async def scene(one, client, until):
@@ -92,14 +92,14 @@
         one.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (node, node))
-    node.next()
-    assert int(node.next()[2]["ms"]) <= 2000 - 300 + DEADLINE_SLACK_MS
+    play(script, scene, (upstream, upstream))
+    upstream.next_command()
+    assert int(upstream.next_command()[2]["ms"]) <= 2000 - 300 + DEADLINE_SLACK_MS
 
 
 def test_a_stop_between_two_parts_of_a_command_counts(monkeypatch):
     """Guards the time that a server is told: it counts when the command has come whole."""
-    node = FakeNode(holds_all=True)
+    upstream = FakeUpstream(has_all_objects=True)
     script = Scripted(RequestReceived=[ask(name=OTHER), ask(after=20000)])
 
     async def scene(one, client, until):
@@ -118,9 +118,9 @@
         one.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (node, node))
-    node.next()
-    told = [] if node.commands.empty() else [int(node.next()[2]["ms"])]
+    play(script, scene, (upstream, upstream))
+    upstream.next_command()
+    told = [] if upstream.commands.empty() else [int(upstream.next_command()[2]["ms"])]
     assert all(ms <= 2000 - 300 + DEADLINE_SLACK_MS for ms in told)
 
 
@@ -288,7 +288,7 @@
 
 def test_an_attempt_does_not_begin_for_a_client_whose_end_was_not_read_yet():
     """The request and the end of its connection are found together; the connection to the node is up."""
-    node = FakeNode(holds_all=True)
+    upstream = FakeUpstream(has_all_objects=True)
     script = Scripted(RequestReceived=[ask(name=OTHER), ask()])
 
     async def scene(one, first, until):
@@ -303,15 +303,15 @@
         stop(0.2)
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "unsent"]
-    assert node.wanted == {OTHER}
+    assert upstream.request_ids == {OTHER}
 
 
 @pytest.mark.parametrize("told", ["drain", "purge"])
 def test_an_attempt_does_not_begin_before_what_discovery_has_told_is_read(told):
     """Guards drains and purges: after a stop a request may be read before them, and sent past their grace."""
-    node, coordinator = FakeNode(holds_all=True), FakeCoordinator()
+    upstream, coordinator = FakeUpstream(has_all_objects=True), FakeCoordinator()
     script = Scripted(RequestReceived=[ask(name=OTHER), ask()])
 
     async def scene(one, client, until):
@@ -321,7 +321,7 @@
         conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await anyio.sleep(0.05)
         if told == "drain":
-            coordinator.tell(2, 2, list_record("s-00000001", node.address, 1))
+            coordinator.tell(2, 2, list_record("s-00000001", upstream.address, 1))
         else:
             now_ms = int(time.time() * 1000)
             coordinator.tell(2, 3, bytes.fromhex("7f3a9c21e0b4d655") + now_ms.to_bytes(8, "big"))
@@ -330,14 +330,14 @@
         one.manager.flush()
         await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (node, node), coordinator=coordinator.address)
+    play(script, scene, (upstream, upstream), coordinator=coordinator.address)
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "unsent"]
-    assert node.wanted == {OTHER}
+    assert upstream.request_ids == {OTHER}
 
 
 def test_an_answer_that_came_in_time_is_read_before_its_attempt_times_out():
     """Guards requests in flight during a stop: the answer has arrived, and only its reading is late."""
-    node = FakeNode(holds_all=True)
+    upstream = FakeUpstream(has_all_objects=True)
     script = Scripted(RequestReceived=[ask(name=OTHER), ask(after=1000)])
 
     async def scene(one, client, until):
@@ -348,13 +348,13 @@
         one.timers.fire_due()
         assert len(script.got(interface.AttemptFinished)) == 2
 
-    play(script, scene, (node, node))
+    play(script, scene, (upstream, upstream))
     assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
 
 
 def test_real_decisions_have_no_more_time_than_the_client(monkeypatch):
     """The same with the real router: what it tells the cache is what the client has left."""
-    node, plain = FakeNode(holds_all=True), director.read_request
+    upstream, plain = FakeUpstream(has_all_objects=True), director.read_request
 
     def read_and_stop(*args):
         found = plain(*args)
@@ -368,5 +368,5 @@
         one.manager.flush()
         await until(lambda: not one.requests)
 
-    play(Router, scene, (node, node))
-    assert int(node.next()[2]["ms"]) <= 9000 - 300 + DEADLINE_SLACK_MS
+    play(Router, scene, (upstream, upstream))
+    assert int(upstream.next_command()[2]["ms"]) <= 9000 - 300 + DEADLINE_SLACK_MS
