--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -505,32 +505,32 @@
 
 class FakeCoordinator(FakeServer):
     def __init__(self):
-        self.hellos, self.log, self.lock = queue.Queue(), [], threading.Condition()
+        self.subscriptions, self.updates, self.updates_changed = queue.Queue(), [], threading.Condition()
         super().__init__()
 
-    def serve(self, conn):
-        known = int.from_bytes(receive_exactly(conn, 8), "big")
-        self.hellos.put((known, conn))
+    def serve(self, connection):
+        known_index = int.from_bytes(receive_exactly(connection, 8), "big")
+        self.subscriptions.put((known_index, connection))
         while True:
-            with self.lock:
-                while not self.log or self.log[-1][0] <= known:
-                    self.lock.wait()
-                news = [data for number, data in self.log if number > known]
-                known = self.log[-1][0]
-            for data in news:
-                conn.sendall(data)
-
-    def tell(self, number, kind, rest):
-        payload = number.to_bytes(8, "big") + bytes([kind]) + rest
-        with self.lock:
-            self.log.append((number, len(payload).to_bytes(4, "big") + payload))
-            self.lock.notify_all()
-
-
-def list_record(name, address, state):
+            with self.updates_changed:
+                while not self.updates or self.updates[-1][0] <= known_index:
+                    self.updates_changed.wait()
+                new_updates = [data for index, data in self.updates if index > known_index]
+                known_index = self.updates[-1][0]
+            for data in new_updates:
+                connection.sendall(data)
+
+    def publish(self, index, kind, body):
+        payload = index.to_bytes(8, "big") + bytes([kind]) + body
+        with self.updates_changed:
+            self.updates.append((index, len(payload).to_bytes(4, "big") + payload))
+            self.updates_changed.notify_all()
+
+
+def endpoint_record(endpoint_id, address, state):
     host, port = address.split(":")
     return (
-        int(name[2:], 16).to_bytes(4, "big")
+        int(endpoint_id[2:], 16).to_bytes(4, "big")
         + socket.inet_aton(host)
         + int(port).to_bytes(2, "big")
         + bytes([state, 0, 0])
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -125,7 +125,7 @@
         wait_until(lambda: tier_holds(tmp_path, 2))
         asked = len(upstream.request_ids)
         at = int(time.time() * 1000) + 1
-        coordinator.tell(2, 3, bytes.fromhex(ONE) + at.to_bytes(8, "big"))
+        coordinator.publish(2, 3, bytes.fromhex(ONE) + at.to_bytes(8, "big"))
         wait_until(lambda: request_copy(client, ONE)[0] == 1 and len(upstream.request_ids) > asked)
         asked = len(upstream.request_ids)
         assert request_copy(client, TWO)[0] == 1
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -19,8 +19,8 @@
     Program,
     configuration,
     endpoint,
+    endpoint_record,
     free_port,
-    list_record,
     settings,
 )
 
@@ -219,9 +219,9 @@
     """A copy from before the purge must not do, whatever the time of day seems to be."""
     program, upstream, coordinator = faulty({"steps": [[2.0, step]]})
     began = time.monotonic()
-    coordinator.hellos.get(timeout=PATIENCE)
+    coordinator.subscriptions.get(timeout=PATIENCE)
     time.sleep(max(0.0, 2.2 - (time.monotonic() - began)))  # the step has come
-    coordinator.tell(2, 3, purge_record(0x7F3A9C21E0B4D655))
+    coordinator.publish(2, 3, purge_record(0x7F3A9C21E0B4D655))
     time.sleep(0.4)
     client = FakeClient(program.port)
     for _ in range(5):
@@ -235,12 +235,12 @@
     program, upstream, coordinator = faulty({"steps": [[1.0, 3600.0]]})
     began = time.monotonic()
     client = FakeClient(program.port)
-    coordinator.hellos.get(timeout=PATIENCE)
+    coordinator.subscriptions.get(timeout=PATIENCE)
     cold = FakeUpstream(has_all_objects=True)
     time.sleep(max(0.0, 1.2 - (time.monotonic() - began)))
-    record = bytearray(list_record("s-00000002", cold.address, 0))
+    record = bytearray(endpoint_record("s-00000002", cold.address, 0))
     record[-8:] = int(time.time() * 1000).to_bytes(8, "big")
-    coordinator.tell(2, 2, bytes(record))
+    coordinator.publish(2, 2, bytes(record))
     time.sleep(0.2)
     streams = []
     for i in range(200):
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -18,8 +18,8 @@
     body_of,
     configuration,
     endpoint,
+    endpoint_record,
     free_port,
-    list_record,
     resp_array,
     served_answer,
     settings,
@@ -118,8 +118,8 @@
     one.client.answer(one.client.ask(group=3, entity=f"{5:016x}"))
     assert "accept" not in cache.next_command()[2]
     then = int(time.time() * 1000)
-    assert one.coordinator.hellos.get(timeout=PATIENCE)[0] == 2
-    one.coordinator.tell(3, 3, (5).to_bytes(8, "big") + then.to_bytes(8, "big"))
+    assert one.coordinator.subscriptions.get(timeout=PATIENCE)[0] == 2
+    one.coordinator.publish(3, 3, (5).to_bytes(8, "big") + then.to_bytes(8, "big"))
     fields = {}
     until = time.monotonic() + PATIENCE
     while "accept" not in fields and time.monotonic() < until:
@@ -131,13 +131,13 @@
 def test_a_draining_node_gets_nothing_and_a_broken_feed_goes_on_from_the_last_number(world):
     one = world([FakeUpstream(), FakeUpstream()])
     coordinator, (first, second) = one.coordinator, one.caches
-    coordinator.tell(2, 2, list_record(one.name(first), first.address, 1))
-    known, conn = coordinator.hellos.get(timeout=PATIENCE)
+    coordinator.publish(2, 2, endpoint_record(one.name(first), first.address, 1))
+    known, conn = coordinator.subscriptions.get(timeout=PATIENCE)
     assert known == 1
     conn.shutdown(socket.SHUT_RDWR)
     until = time.monotonic() + PATIENCE
     while known != 2 and time.monotonic() < until:  # it may have been cut before the event was read
-        known, conn = coordinator.hellos.get(timeout=PATIENCE)
+        known, conn = coordinator.subscriptions.get(timeout=PATIENCE)
         if known != 2:
             conn.shutdown(socket.SHUT_RDWR)
     assert known == 2  # told again from there: it is in the module
@@ -145,8 +145,8 @@
         assert one.client.answer(one.client.ask(entity=f"{i:016x}"))[0] == DONE
     assert first.commands.empty()
     assert second.commands.qsize() >= 12
-    coordinator.tell(3, 2, list_record(one.name(second), second.address, 2))
-    coordinator.tell(4, 2, list_record(one.name(first), first.address, 0))
+    coordinator.publish(3, 2, endpoint_record(one.name(second), second.address, 2))
+    coordinator.publish(4, 2, endpoint_record(one.name(first), first.address, 0))
     while first.commands.empty() and time.monotonic() < until:
         one.client.answer(one.client.ask())
     assert not first.commands.empty()
@@ -327,18 +327,18 @@
 def test_sighup_follows_the_coordinator_and_a_bad_file_changes_nothing(world):
     one, hup = world([FakeUpstream(), FakeUpstream()]), signal.SIGHUP
     coordinator, (first, second) = one.coordinator, one.caches
-    assert coordinator.hellos.get(timeout=PATIENCE)[0] == 1
-    coordinator.tell(2, 4, (9).to_bytes(2, "big") + (5).to_bytes(8, "big"))
+    assert coordinator.subscriptions.get(timeout=PATIENCE)[0] == 1
+    coordinator.publish(2, 4, (9).to_bytes(2, "big") + (5).to_bytes(8, "big"))
     config = json.loads(one.program.config.read_text())
     one.program.config.write_text("{")
     one.program.process.send_signal(hup)
     assert one.client.answer(one.client.ask())[0] == DONE
     moved = FakeCoordinator()
-    moved.tell(3, 2, list_record(one.name(first), first.address, 1))
+    moved.publish(3, 2, endpoint_record(one.name(first), first.address, 1))
     config["coordinator"], config["listen"] = moved.address, "127.0.0.1:9"
     one.program.config.write_text(json.dumps(config))
     one.program.process.send_signal(hup)
-    assert moved.hellos.get(timeout=PATIENCE)[0] in (1, 2)
+    assert moved.subscriptions.get(timeout=PATIENCE)[0] in (1, 2)
     until = time.monotonic() + PATIENCE
     while "state=draining" not in one.program.text() and time.monotonic() < until:
         time.sleep(0.02)
@@ -413,9 +413,9 @@
 
 def test_a_feed_that_cant_be_read_is_called_again(world):
     one = world()
-    _, conn = one.coordinator.hellos.get(timeout=PATIENCE)
+    _, conn = one.coordinator.subscriptions.get(timeout=PATIENCE)
     conn.sendall(b"\0\0\0\1nonsense")
-    assert one.coordinator.hellos.get(timeout=PATIENCE)[0] == 1
+    assert one.coordinator.subscriptions.get(timeout=PATIENCE)[0] == 1
     assert one.client.answer(one.client.ask())[0] == DONE
     assert "discovery_unparsable" in one.program.text()
 
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -19,7 +19,7 @@
 from ironhinge.net.timed_selector import TimedSelector
 from ironhinge.routing import Router
 
-from .helpers import FakeCoordinator, FakeUpstream, list_record
+from .helpers import FakeCoordinator, FakeUpstream, endpoint_record
 from .test_director import TRACE, Scripted, ask, came, play
 from .test_moments import all_of, connected, request
 
@@ -317,14 +317,14 @@
     async def scene(one, client, until):
         one.manager.task_group.start_soon(one.discovery.follow)
         await connect_upstream(one, client, script, until)
-        _, conn = coordinator.hellos.get(timeout=5)
+        _, conn = coordinator.subscriptions.get(timeout=5)
         conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await anyio.sleep(0.05)
         if told == "drain":
-            coordinator.tell(2, 2, list_record("s-00000001", upstream.address, 1))
+            coordinator.publish(2, 2, endpoint_record("s-00000001", upstream.address, 1))
         else:
             now_ms = int(time.time() * 1000)
-            coordinator.tell(2, 3, bytes.fromhex("7f3a9c21e0b4d655") + now_ms.to_bytes(8, "big"))
+            coordinator.publish(2, 3, bytes.fromhex("7f3a9c21e0b4d655") + now_ms.to_bytes(8, "big"))
         stop(0.2)
         one.admit(client, came(2))
         one.manager.flush()
