--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -541,26 +541,26 @@
 class FakeClient:
     """One client's connection, spoken in frames."""
 
-    traces = Random(1)
+    trace_random = Random(1)
 
     def __init__(self, port):
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
-        self.stream, self.early = 0, {}
+        self.stream, self.buffered_answers = 0, {}
 
-    def send(self, kind, stream, payload=b""):
+    def send_frame(self, kind, stream, payload=b""):
         self.sock.sendall(struct.pack(">IBI", 5 + len(payload), kind, stream) + payload)
 
-    def ask(self, body=b"", **fields):
-        data = self.request(body, **fields)
+    def send_request(self, body=b"", **fields):
+        data = self.encode_request(body, **fields)
         self.sock.sendall(data)
         return self.stream
 
-    def request(self, body=b"", **fields):
+    def encode_request(self, body=b"", **fields):
         """The bytes of a request on the next stream, not sent."""
         self.stream += 1
         values = {
             "route": "film",
-            "trace": f"{self.traces.getrandbits(64):016x}",
+            "trace": f"{self.trace_random.getrandbits(64):016x}",
             "patience": "15000",
             "entity": "7f3a9c21e0b4d655",
             "part": "3",
@@ -568,39 +568,41 @@
             "size": "40",
             **fields,
         }
-        packed = [(key.encode(), str(value).encode()) for key, value in values.items() if value is not None]
-        text = b"".join(
-            bytes([len(key)]) + key + len(value).to_bytes(2, "big") + value for key, value in packed
+        encoded_fields = [
+            (key.encode(), str(value).encode()) for key, value in values.items() if value is not None
+        ]
+        field_bytes = b"".join(
+            bytes([len(key)]) + key + len(value).to_bytes(2, "big") + value for key, value in encoded_fields
         )
-        payload = bytes([len(packed)]) + text + body
+        payload = bytes([len(encoded_fields)]) + field_bytes + body
         return struct.pack(">IBI", 5 + len(payload), 7, self.stream) + payload
 
-    def frame(self):
+    def read_frame(self):
         """The next frame: type, stream, payload."""
         (length,) = struct.unpack(">I", receive_exactly(self.sock, 4))
         data = receive_exactly(self.sock, length)
         return data[0], int.from_bytes(data[1:5], "big"), data[5:]
 
-    def answer(self, stream):
+    def read_answer(self, stream):
         """The answer on a stream: code, fields, body. Answers on other streams wait for their turn."""
-        while stream not in self.early:
-            kind, got, payload = self.frame()
+        while stream not in self.buffered_answers:
+            kind, answer_stream, payload = self.read_frame()
             if kind != 8:
                 continue
-            at, fields = 2, {}
+            offset, fields = 2, {}
             for _ in range(payload[1]):
-                name_end = at + 1 + payload[at]
+                name_end = offset + 1 + payload[offset]
                 size = int.from_bytes(payload[name_end : name_end + 2], "big")
-                at, name = name_end + 2 + size, payload[at + 1 : name_end].decode()
-                fields[name] = payload[name_end + 2 : at].decode()
-            assert got not in self.early, "two answers on a stream"
-            self.early[got] = payload[0], fields, payload[at:]
-        return self.early.pop(stream)
+                offset, name = name_end + 2 + size, payload[offset + 1 : name_end].decode()
+                fields[name] = payload[name_end + 2 : offset].decode()
+            assert answer_stream not in self.buffered_answers, "two answers on a stream"
+            self.buffered_answers[answer_stream] = payload[0], fields, payload[offset:]
+        return self.buffered_answers.pop(stream)
 
     def is_ready(self):
-        self.send(1, 0, b"\0")
+        self.send_frame(1, 0, b"\0")
         while True:
-            kind, _, payload = self.frame()
+            kind, _, payload = self.read_frame()
             if kind == 2:
                 return payload[0] == 1
 
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -62,7 +62,7 @@
 
 
 def request_copy(client, entity, **other):
-    return client.answer(client.ask(entity=entity, **other))
+    return client.read_answer(client.send_request(entity=entity, **other))
 
 
 ONE, TWO = "00000000000000a1", "00000000000000a2"
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -66,7 +66,7 @@
     client = FakeClient(port)
     for _ in range(count):
         try:
-            assert client.answer(client.ask(patience=3000))[0] in ANSWERS
+            assert client.read_answer(client.send_request(patience=3000))[0] in ANSWERS
         except (EOFError, OSError) as error:
             lost.append(repr(error))
             client = FakeClient(port)
@@ -131,7 +131,7 @@
     program, _node, _ = faulty({"calls": [rule], "log": log})
     client = FakeClient(program.port)
     for i in range(60):
-        assert client.answer(client.ask(entity=f"{i:016x}", patience=3000))[0] == SERVED
+        assert client.read_answer(client.send_request(entity=f"{i:016x}", patience=3000))[0] == SERVED
     assert failed_calls(log)
     logged = program.text()
     assert "REFUSED" not in logged
@@ -148,10 +148,10 @@
     clients = [FakeClient(program.port) for _ in range(10)]
     assert all(client.is_ready() for client in clients)
     flag.touch()
-    streams = [client.ask(patience=3000) for client in clients]
+    streams = [client.send_request(patience=3000) for client in clients]
     time.sleep(0.4)
     flag.unlink()
-    assert [client.answer(stream)[0] for client, stream in zip(clients, streams, strict=True)] == [
+    assert [client.read_answer(stream)[0] for client, stream in zip(clients, streams, strict=True)] == [
         SERVED
     ] * 10
     assert len(failed_calls(log)) < 10 * 100  # of 10 connections in 0.4 s
@@ -166,13 +166,13 @@
     program.process.send_signal(signal.SIGTERM)
     for _ in range(50):
         client = FakeClient(program.port)
-        clients.append((client, client.ask(patience=1500)))
+        clients.append((client, client.send_request(patience=1500)))
         time.sleep(0.01)
     time.sleep(0.4)  # the time in which new connections come is over, and not one could be taken
     flag.unlink()
     for client, stream in clients:
         try:
-            assert client.answer(stream)[0] in ANSWERS
+            assert client.read_answer(stream)[0] in ANSWERS
         except (EOFError, OSError) as error:
             lost.append(repr(error))
     assert lost == []
@@ -185,7 +185,7 @@
     for cut in (2, 30, 60, 100):
         client = FakeClient(program.port)
         assert client.is_ready()
-        data = client.request()
+        data = client.encode_request()
         client.sock.sendall(data[:cut])
         clients.append((client, client.stream, data[cut:]))
     crowd = []
@@ -194,7 +194,7 @@
         time.sleep(0.005)
     for client, stream, rest in clients:
         client.sock.sendall(rest)
-        assert client.answer(stream)[0] in ANSWERS
+        assert client.read_answer(stream)[0] in ANSWERS
 
 
 def test_a_request_that_crosses_the_end_of_a_resting_connection_on_a_slow_path_is_answered(faulty):
@@ -205,9 +205,9 @@
     client.sock.settimeout(PATIENCE)
     first = client.sock.recv(1, socket.MSG_PEEK)  # the director's word that it ends, or the end itself
     time.sleep(SLOW_PATH)
-    stream = client.ask()
+    stream = client.send_request()
     assert first
-    assert client.answer(stream)[0] in ANSWERS
+    assert client.read_answer(stream)[0] in ANSWERS
 
 
 def purge_record(obj):
@@ -225,7 +225,7 @@
     time.sleep(0.4)
     client = FakeClient(program.port)
     for _ in range(5):
-        assert client.answer(client.ask())[0] in ANSWERS
+        assert client.read_answer(client.send_request())[0] in ANSWERS
         accept = int(upstream.next_command()[2].get("accept", 0))
         assert 0 < accept <= 2000
 
@@ -244,9 +244,9 @@
     time.sleep(0.2)
     streams = []
     for i in range(200):
-        streams.append(client.ask(entity=f"{i:016x}", size="400", patience=3000))
+        streams.append(client.send_request(entity=f"{i:016x}", size="400", patience=3000))
         if len(streams) == 20:
-            assert all(client.answer(stream)[0] in ANSWERS for stream in streams)
+            assert all(client.read_answer(stream)[0] in ANSWERS for stream in streams)
             streams = []
     # at 20 transfers at full pace, a fifth of it cold, three times that: 12 at 80 ms each in its first second
     assert len(cold.request_ids) <= 40
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -115,19 +115,19 @@
     program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
     try:
         client = FakeClient(program.port)
-        assert client.answer(client.ask())[0] == 1
+        assert client.read_answer(client.send_request())[0] == 1
         path.write_text("traffic: {budgets: {a: {rate: 5}}}")
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("settings_reload_failed error=")
         path.write_text('traffic: {budgets: {a: {rate: "1B/s", into: "nowhere"}}}')
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log('found "nowhere", expected one of east, west')
-        assert client.answer(client.ask(entity="00000000000000aa"))[0] == 1
+        assert client.read_answer(client.send_request(entity="00000000000000aa"))[0] == 1
         write_operations(tmp_path, 'a: {rate: "1B/s", ways: ["other-hub", "own-hub", "origin"]}')
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("budgets_reloaded budgets=a\n")
-        client.answer(client.ask(entity="00000000000000bb"))  # may take all that there was
-        code, fields, _ = client.answer(client.ask(entity="00000000000000cc"))
+        client.read_answer(client.send_request(entity="00000000000000bb"))  # may take all that there was
+        code, fields, _ = client.read_answer(client.send_request(entity="00000000000000cc"))
         assert code == 2, "an exhausted budget rejects at once"
         assert int(fields["pause"]) > 0
         program.process.terminate()
@@ -149,7 +149,10 @@
         program = AccountingProgram(tmp_path, config, path)
         try:
             client = FakeClient(program.port)
-            assert client.answer(client.ask(entity=f"00000000000000c{incarnation}", size="1"))[0] == 1
+            assert (
+                client.read_answer(client.send_request(entity=f"00000000000000c{incarnation}", size="1"))[0]
+                == 1
+            )
             end = time.monotonic() + TIMEOUT
             while True:
                 found, _ = read_folder(folder)
@@ -202,7 +205,7 @@
     program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
     try:
         client = FakeClient(program.port)
-        assert client.answer(client.ask())[0] == 1
+        assert client.read_answer(client.send_request())[0] == 1
         program.process.terminate()
         program.process.wait(TIMEOUT)
     finally:
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -450,24 +450,24 @@
     program, upstream = short
     resting, busy = FakeClient(program.port), FakeClient(program.port)
     assert resting.is_ready()
-    stream = busy.ask(patience=300)
+    stream = busy.send_request(patience=300)
     upstream.next_command()
     program.process.send_signal(signal.SIGTERM)
     began = time.monotonic()
-    assert busy.frame()[:2] == (3, 0)
+    assert busy.read_frame()[:2] == (3, 0)
     for number in (signal.SIGTERM, signal.SIGHUP):
         program.process.send_signal(number)
-    assert busy.answer(stream)[0] == DENIED
-    assert resting.frame()[:2] == (3, 0)
+    assert busy.read_answer(stream)[0] == DENIED
+    assert resting.read_frame()[:2] == (3, 0)
     time.sleep(max(0.0, began + 0.8 - time.monotonic()))
     while time.monotonic() < began + 1.1:  # until after the kill
         for client in (resting, busy):
             asked_at = time.monotonic()
-            assert client.answer(client.ask(patience=300))[0] == DENIED
+            assert client.read_answer(client.send_request(patience=300))[0] == DENIED
             assert time.monotonic() - asked_at < 0.2
     for client in (resting, busy):
         with pytest.raises(EOFError):  # and not a reset
-            client.frame()
+            client.read_frame()
         client.sock.close()
     assert program.process.wait(timeout=PATIENCE) == 0
     assert time.monotonic() - began < 2.0
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -74,7 +74,7 @@
 def test_a_req_is_done_a_miss_filled_and_the_copy_kept(world):
     one = world()
     client, (cache,) = one.client, one.caches
-    first = client.answer(client.ask())
+    first = client.read_answer(client.send_request())
     assert first == (DONE, {}, body_of(OBJ, "3"))
     _verb, trace, fields, _ = cache.next_command()
     assert fields["kind"] == "film"
@@ -83,17 +83,17 @@
     assert 0 < int(fields["ms"]) <= 15000
     assert len(trace) == 16
     while "shelf" not in fields:
-        client.answer(client.ask())
+        client.read_answer(client.send_request())
         fields = cache.next_command()[2]
     assert fields["parent"] == "s-000000ff"
     assert (OBJ, "3") in cache.stored
-    assert client.answer(client.ask(have="4be0c1927d55a6f3")) == (DONE, {"same": "1"}, b"")
+    assert client.read_answer(client.send_request(have="4be0c1927d55a6f3")) == (DONE, {"same": "1"}, b"")
     assert cache.next_command()[2]["got"] == "4be0c1927d55a6f3"
 
 
 def test_a_patience_a_little_over_the_client_timeout_is_fine(world):
     one = world()
-    assert one.client.answer(one.client.ask(patience=15060))[0] == DONE
+    assert one.client.read_answer(one.client.send_request(patience=15060))[0] == DONE
 
 
 def test_bodies_longer_than_every_ring_pass_whole_and_many_at_once(world):
@@ -103,9 +103,9 @@
         return served_answer(command[1], long) if command[0] == "want" else None
 
     one = world([FakeUpstream(handle_command)])
-    streams = [one.client.ask(entity=f"{i:016x}") for i in range(32)]
+    streams = [one.client.send_request(entity=f"{i:016x}") for i in range(32)]
     for stream in reversed(streams):
-        assert one.client.answer(stream) == (DONE, {}, long)
+        assert one.client.read_answer(stream) == (DONE, {}, long)
 
 
 def test_purges_of_the_start_and_of_the_feed_are_in_the_next_req(world):
@@ -113,9 +113,9 @@
     start = {"index": 2, "evict": {"shard": 17, "unix_ms": now}}
     one = world(updates=[start])
     cache = one.caches[0]
-    one.client.answer(one.client.ask())
+    one.client.read_answer(one.client.send_request())
     assert 0 < int(cache.next_command()[2]["accept"]) <= time.time() * 1000 - now + 1
-    one.client.answer(one.client.ask(group=3, entity=f"{5:016x}"))
+    one.client.read_answer(one.client.send_request(group=3, entity=f"{5:016x}"))
     assert "accept" not in cache.next_command()[2]
     then = int(time.time() * 1000)
     assert one.coordinator.subscriptions.get(timeout=PATIENCE)[0] == 2
@@ -123,7 +123,7 @@
     fields = {}
     until = time.monotonic() + PATIENCE
     while "accept" not in fields and time.monotonic() < until:
-        one.client.answer(one.client.ask(group=3, entity=f"{5:016x}"))
+        one.client.read_answer(one.client.send_request(group=3, entity=f"{5:016x}"))
         fields = cache.next_command()[2]
     assert 0 < int(fields["accept"]) <= time.time() * 1000 - then + 1
 
@@ -142,13 +142,13 @@
             conn.shutdown(socket.SHUT_RDWR)
     assert known == 2  # told again from there: it is in the module
     for i in range(12):
-        assert one.client.answer(one.client.ask(entity=f"{i:016x}"))[0] == DONE
+        assert one.client.read_answer(one.client.send_request(entity=f"{i:016x}"))[0] == DONE
     assert first.commands.empty()
     assert second.commands.qsize() >= 12
     coordinator.publish(3, 2, endpoint_record(one.name(second), second.address, 2))
     coordinator.publish(4, 2, endpoint_record(one.name(first), first.address, 0))
     while first.commands.empty() and time.monotonic() < until:
-        one.client.answer(one.client.ask())
+        one.client.read_answer(one.client.send_request())
     assert not first.commands.empty()
 
 
@@ -163,8 +163,8 @@
     if trouble == "refused":
         bad.close_and_reset()
     one = world([bad, good])
-    streams = [one.client.ask(entity=f"{i:016x}", patience=1500) for i in range(8)]
-    codes = [one.client.answer(stream)[0] for stream in streams]
+    streams = [one.client.send_request(entity=f"{i:016x}", patience=1500) for i in range(8)]
+    codes = [one.client.read_answer(stream)[0] for stream in streams]
     if trouble == "silent":  # the module may find it too late for another dispatch
         assert bad.next_command("never_mind")[1] in bad.request_ids
         assert DONE in codes
@@ -178,7 +178,10 @@
     """Guards 'no effect twice' through the endings: a reset after the command is no proof, a refusal is."""
     bad, good = FakeUpstream(lambda command: bad.close_and_reset()), FakeUpstream()
     one = world([bad, good])
-    ends = [one.client.answer(one.client.ask(route="order", entity=f"{i:016x}", part=None)) for i in range(8)]
+    ends = [
+        one.client.read_answer(one.client.send_request(route="order", entity=f"{i:016x}", part=None))
+        for i in range(8)
+    ]
     codes = [code for code, _, _ in ends]
     assert codes.count(ABORTED) == len(bad.request_ids) == 1
     assert codes.count(DONE) == 7
@@ -187,11 +190,11 @@
 def test_no_answer_in_time_is_one_denial_before_the_client_timeout(world):
     one = world([FakeUpstream(lambda command: None)])
     began = time.monotonic()
-    stream = one.client.ask(patience=400)
-    assert one.client.answer(stream)[0] == DENIED
+    stream = one.client.send_request(patience=400)
+    assert one.client.read_answer(stream)[0] == DENIED
     assert time.monotonic() - began > 0.1
-    assert one.client.answer(one.client.ask(patience=0))[0] == DENIED
-    assert stream not in one.client.early
+    assert one.client.read_answer(one.client.send_request(patience=0))[0] == DENIED
+    assert stream not in one.client.buffered_answers
 
 
 @pytest.mark.parametrize("whole", [False, True])
@@ -199,18 +202,18 @@
     late = []
     one = world([FakeUpstream(lambda command: late.append(command))])
     cache, client = one.caches[0], one.client
-    stream = client.ask()
+    stream = client.send_request()
     name = cache.next_command()[1]
     if whole:
         client.sock.close()
         client = FakeClient(one.program.port)
     else:
-        client.send(9, stream)
+        client.send_frame(9, stream)
     assert cache.next_command("never_mind")[1] == name
     late[0][3].sendall(served_answer(name, b"late"))  # crosses: nobody may get it
     cache.handle_command = cache.answer_command
-    assert client.answer(client.ask())[0] == DONE
-    assert not client.early
+    assert client.read_answer(client.send_request())[0] == DONE
+    assert not client.buffered_answers
 
 
 def test_a_late_answer_is_not_taken_for_a_later_dispatch(world):
@@ -228,7 +231,7 @@
         return None
 
     one = world([FakeUpstream(handle_command)], settings=settings())
-    code, _, body = one.client.answer(one.client.ask(patience=800))
+    code, _, body = one.client.read_answer(one.client.send_request(patience=800))
     assert code == DENIED or (body == b"second" and wants[0][3] is not wants[1][3])
 
 
@@ -237,19 +240,19 @@
 )
 def test_malformed_frames_abort_what_is_open_and_end_their_connection_with_a_text(world, payload):
     one = world([FakeUpstream(lambda command: None)])
-    stream = one.client.ask()
+    stream = one.client.send_request()
     one.caches[0].next_command()
     one.client.sock.sendall(payload)
-    assert one.client.answer(stream)[0] == ABORTED
-    kind, on, text = one.client.frame()
+    assert one.client.read_answer(stream)[0] == ABORTED
+    kind, on, text = one.client.read_frame()
     assert (kind, on) == (8, 0)
     assert text[0] == ABORTED
     assert len(text) > 5
     with pytest.raises(EOFError):
-        one.client.frame()
+        one.client.read_frame()
     one.caches[0].handle_command = one.caches[0].answer_command
     other = FakeClient(one.program.port)
-    assert other.answer(other.ask())[0] == DONE
+    assert other.read_answer(other.send_request())[0] == DONE
 
 
 @pytest.mark.parametrize(
@@ -273,51 +276,51 @@
     ],
 )
 def test_reqs_that_cant_be_read_are_aborted_with_the_field_named(serving, field, value):
-    code, _, text = serving.client.answer(serving.client.ask(**{field: value}))
+    code, _, text = serving.client.read_answer(serving.client.send_request(**{field: value}))
     assert code == ABORTED
     assert f"'{field}'" in text.decode()
-    assert serving.client.answer(serving.client.ask())[0] == DONE
+    assert serving.client.read_answer(serving.client.send_request())[0] == DONE
 
 
 def test_more_open_streams_than_allowed_end_the_connection_and_reach_no_node(world):
     one = world([FakeUpstream(lambda command: None)])
     one.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
     for i in range(60):
-        one.client.ask(entity=f"{i:016x}", patience=500)
+        one.client.send_request(entity=f"{i:016x}", patience=500)
     one.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 0)
-    ends = [one.client.frame() for _ in range(33)]
+    ends = [one.client.read_frame() for _ in range(33)]
     assert [end[:2] for end in ends].count((8, 0)) == 1
     assert len({end[1] for end in ends}) == 33
     with pytest.raises(EOFError):
-        one.client.frame()
+        one.client.read_frame()
 
 
 def test_sigterm_under_load_answers_all_that_was_taken(world):
     hold = []
     one = world([FakeUpstream(lambda command: hold.append(command))])
-    streams = [one.client.ask(entity=f"{i:016x}") for i in range(5)]
+    streams = [one.client.send_request(entity=f"{i:016x}") for i in range(5)]
     commands = [one.caches[0].next_command() for _ in range(5)]
     one.program.process.send_signal(signal.SIGTERM)
-    assert one.client.frame()[:2] == (3, 0)
+    assert one.client.read_frame()[:2] == (3, 0)
     late = FakeClient(one.program.port)  # connections still come
-    assert late.frame()[:2] == (3, 0)
+    assert late.read_frame()[:2] == (3, 0)
     assert not late.is_ready()
-    streams.append(one.client.ask())  # and so do reqs
+    streams.append(one.client.send_request())  # and so do reqs
     commands.append(one.caches[0].next_command())
     for each in commands:
         each[3].sendall(served_answer(each[1], b"all"))
-    assert [one.client.answer(stream)[0] for stream in streams] == [DONE] * 6
+    assert [one.client.read_answer(stream)[0] for stream in streams] == [DONE] * 6
     assert one.program.process.wait(timeout=PATIENCE) == 0
 
 
 def test_sigterm_answers_before_the_program_may_be_killed_however_long_clients_wait(world):
     one = world([FakeUpstream(lambda command: None)])
-    began, streams = time.monotonic(), [one.client.ask()]
+    began, streams = time.monotonic(), [one.client.send_request()]
     one.caches[0].next_command()
     one.program.process.send_signal(signal.SIGTERM)
-    assert one.client.frame()[:2] == (3, 0)
-    streams.append(one.client.ask())
-    assert [one.client.answer(stream)[0] for stream in streams] == [DENIED] * 2
+    assert one.client.read_frame()[:2] == (3, 0)
+    streams.append(one.client.send_request())
+    assert [one.client.read_answer(stream)[0] for stream in streams] == [DENIED] * 2
     assert 1 < time.monotonic() - began < 3.7
     one.client.sock.close()
     assert one.program.process.wait(timeout=PATIENCE) == 0
@@ -332,7 +335,7 @@
     config = json.loads(one.program.config.read_text())
     one.program.config.write_text("{")
     one.program.process.send_signal(hup)
-    assert one.client.answer(one.client.ask())[0] == DONE
+    assert one.client.read_answer(one.client.send_request())[0] == DONE
     moved = FakeCoordinator()
     moved.publish(3, 2, endpoint_record(one.name(first), first.address, 1))
     config["coordinator"], config["listen"] = moved.address, "127.0.0.1:9"
@@ -343,7 +346,7 @@
     while "state=draining" not in one.program.text() and time.monotonic() < until:
         time.sleep(0.02)
     for i in range(12):
-        assert one.client.answer(one.client.ask(entity=f"{i:016x}"))[0] == DONE
+        assert one.client.read_answer(one.client.send_request(entity=f"{i:016x}"))[0] == DONE
     assert second.commands.qsize() >= 12
     assert one.program.process.poll() is None
     assert "config_reload_failed kept=old" in one.program.text()
@@ -352,12 +355,12 @@
 
 def test_silent_and_half_said_connections_end_and_usual_clients_do_not_notice(world):
     one = world(limits={"memory_mb": 192, "sockets": 96})
-    assert one.client.answer(one.client.ask())[0] == DONE
+    assert one.client.read_answer(one.client.send_request())[0] == DONE
     crowd = [FakeClient(one.program.port) for _ in range(200)]
     for each in crowd[::2]:
         each.sock.sendall(b"\0\0\1\0\7half of a r")
     began = time.monotonic()
-    assert one.client.answer(one.client.ask())[0] == DONE
+    assert one.client.read_answer(one.client.send_request())[0] == DONE
     for each in crowd:
         each.sock.settimeout(PATIENCE)
         try:
@@ -367,7 +370,7 @@
             pass
     assert time.monotonic() - began < 3
     other = FakeClient(one.program.port)
-    assert other.answer(other.ask())[0] == DONE
+    assert other.read_answer(other.send_request())[0] == DONE
 
 
 @pytest.mark.parametrize("spoilt", [b"noise", b"*4\r\n$3000000000\r\nx", b"*4\r\n$1", "close", "stop"])
@@ -389,7 +392,7 @@
 
     one = world([FakeUpstream(handle_command)])
     for i in range(40):
-        crowd.append(one.client.answer(one.client.ask(entity=f"{i:016x}")))
+        crowd.append(one.client.read_answer(one.client.send_request(entity=f"{i:016x}")))
     assert crowd == [(DONE, {}, b"good")] * 40
     assert len(one.caches[0].request_ids) == 40
 
@@ -402,11 +405,11 @@
         limits={"memory_mb": 192, "sockets": 48},
     )
     crowd = [FakeClient(one.program.port) for _ in range(40)]
-    streams = [client.ask(entity=f"{i:016x}", patience=900) for i, client in enumerate(crowd)]
+    streams = [client.send_request(entity=f"{i:016x}", patience=900) for i, client in enumerate(crowd)]
     for client, stream in zip(crowd, streams, strict=True):
-        assert client.answer(stream)[0] in (DONE, DENIED)
+        assert client.read_answer(stream)[0] in (DONE, DENIED)
     other = FakeClient(one.program.port)
-    assert other.answer(other.ask(patience=900))[0] in (DONE, DENIED)
+    assert other.read_answer(other.send_request(patience=900))[0] in (DONE, DENIED)
     assert one.program.process.poll() is None
     assert "accepting_paused" in one.program.text()
 
@@ -416,7 +419,7 @@
     _, conn = one.coordinator.subscriptions.get(timeout=PATIENCE)
     conn.sendall(b"\0\0\0\1nonsense")
     assert one.coordinator.subscriptions.get(timeout=PATIENCE)[0] == 1
-    assert one.client.answer(one.client.ask())[0] == DONE
+    assert one.client.read_answer(one.client.send_request())[0] == DONE
     assert "discovery_unparsable" in one.program.text()
 
 
@@ -427,9 +430,9 @@
     )
     slow = FakeClient(one.program.port)
     for i in range(32):
-        slow.ask(entity=f"{i:016x}")
+        slow.send_request(entity=f"{i:016x}")
     for i in range(20):
-        assert one.client.answer(one.client.ask(entity=f"{i:016x}")) == (DONE, {}, long)
+        assert one.client.read_answer(one.client.send_request(entity=f"{i:016x}")) == (DONE, {}, long)
 
 
 def run_command(*words, **env):
