--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -318,16 +318,16 @@
 
 # Stand-ins on loopback sockets, with framing of their own
 
-PATIENCE = 20  # seconds after which a test gives up on what has to come
+TIMEOUT_SECONDS = 20  # seconds after which a test gives up on what has to come
 
 
-def settings(**policy):
-    vhosts = [
+def settings(**policy_limits):
+    request_classes = [
         {"name": "film", "aim": 400000, "deadline": 15000000, "semantics": "repeatable"},
         {"name": "order", "aim": 400000, "deadline": 15000000, "semantics": "once"},
     ]
     return {
-        "classes": vhosts,
+        "classes": request_classes,
         "extra": {
             "store-kind": 2,
             "second-tier-kind": 1,
@@ -347,7 +347,7 @@
             "may-cancel": True,
             "multiplex": 32,
             "retry-after": True,
-            **policy,
+            **policy_limits,
         },
         "rules": {"cold-from": 0.2, "cold": 5000000, "fall": 1000000, "fall-multiple": 3.0},
         "telemetry": {"fields": ["busy", "rif"], "how": "inline"},
@@ -355,7 +355,7 @@
     }
 
 
-def endpoint(name, address, kind="std", status="SERVING", since_ms=0):
+def endpoint_config(name, address, kind="std", status="SERVING", since_ms=0):
     return {
         "name": name,
         "address": address,
@@ -368,24 +368,27 @@
     }
 
 
-def configuration(endpoints, listen="127.0.0.1:7001", updates=(), **other):
-    known = [{"index": 1, "endpoints": {"index": 1, "snapshot": True, "endpoints": endpoints}}, *updates]
+def configuration(endpoints, listen="127.0.0.1:7001", updates=(), **overrides):
+    updates_at_start = [
+        {"index": 1, "endpoints": {"index": 1, "snapshot": True, "endpoints": endpoints}},
+        *updates,
+    ]
     return {
         "name": "n0",
         "listen": listen,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"index": len(known), "updates": known},
+        "known": {"index": len(updates_at_start), "updates": updates_at_start},
         "settings": settings(),
-        **other,
+        **overrides,
     }
 
 
-PORTS = PortAllocator()  # for as long as the tests run
+PORT_ALLOCATOR = PortAllocator()  # for as long as the tests run
 
 
 def free_port():
-    return PORTS.allocate()
+    return PORT_ALLOCATOR.allocate()
 
 
 def receive_exactly(sock, count):
@@ -489,7 +492,7 @@
     def next_command(self, verb="want"):
         """The next command of that word."""
         while True:
-            command = self.commands.get(timeout=PATIENCE)
+            command = self.commands.get(timeout=TIMEOUT_SECONDS)
             if command[0] == verb:
                 return command
 
@@ -544,7 +547,7 @@
     trace_random = Random(1)
 
     def __init__(self, port):
-        self.sock = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+        self.sock = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_SECONDS)
         self.stream, self.buffered_answers = 0, {}
 
     def send_frame(self, kind, stream, payload=b""):
@@ -607,24 +610,24 @@
                 return payload[0] == 1
 
 
-class Program:
+class DirectorProcess:
     """The program as a process of its own."""
 
     args = ()
 
-    def __init__(self, folder, told):
-        self.port = int(told["listen"].split(":")[1])
-        self.log = (folder / "log").open("w+")  # closed by stop
-        self.config = folder / "config.json"
-        self.config.write_text(json.dumps(told))
-        env = {**os.environ, "PROXY_CONFIG": str(self.config)}
+    def __init__(self, folder, config):
+        self.port = int(config["listen"].split(":")[1])
+        self.log_file = (folder / "log").open("w+")  # closed by stop
+        self.config_path = folder / "config.json"
+        self.config_path.write_text(json.dumps(config))
+        env = {**os.environ, "PROXY_CONFIG": str(self.config_path)}
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "ironhinge", "serve", *self.args], env=env, stderr=self.log
+            [sys.executable, "-m", "ironhinge", "serve", *self.args], env=env, stderr=self.log_file
         )
-        until = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while not self._is_listening():
-            assert self.process.poll() is None, self.text()
-            assert time.monotonic() < until, self.text()
+            assert self.process.poll() is None, self.log_text()
+            assert time.monotonic() < deadline, self.log_text()
             time.sleep(0.02)
 
     def _is_listening(self):
@@ -635,11 +638,11 @@
         assert client.is_ready()
         return True
 
-    def text(self):
-        self.log.seek(0)
-        return self.log.read()
+    def log_text(self):
+        self.log_file.seek(0)
+        return self.log_file.read()
 
     def stop(self):
         self.process.kill()
         self.process.wait()
-        self.log.close()
+        self.log_file.close()
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -23,7 +23,7 @@
 from ironhinge.net.timed_selector import TimedSelector
 from ironhinge.routing import Router
 
-from .helpers import PATIENCE, FakeUpstream, configuration, endpoint, resp_array
+from .helpers import TIMEOUT_SECONDS, FakeUpstream, configuration, endpoint_config, resp_array
 
 TRACE = "9b1f03aa5c7e2d41"
 
@@ -77,7 +77,7 @@
 def play(script, scene, upstreams=None, datagrams=None, **other):
     """Runs a scene with a director before two nodes; returns what the module was told."""
     one, two = upstreams or (FakeUpstream(has_all_objects=True), FakeUpstream(has_all_objects=True))
-    rows = [endpoint("s-00000001", one.address), endpoint("s-00000002", two.address)]
+    rows = [endpoint_config("s-00000001", one.address), endpoint_config("s-00000002", two.address)]
     told = read_director_config(configuration(rows, **other))
 
     async def run(selector):
@@ -94,7 +94,7 @@
             client.connection = FakeWriter()
 
             async def until(true):
-                with anyio.fail_after(PATIENCE):
+                with anyio.fail_after(TIMEOUT_SECONDS):
                     while not true():  # noqa: ASYNC110 - what it waits for sets no event
                         await anyio.sleep(0.005)
 
@@ -242,12 +242,12 @@
         director.admit(client, came(1, group="17"))
         (waiting,) = upstream.connections  # not up yet: the event loop had no turn
         if news.startswith("drain"):
-            row = endpoint(
+            row = endpoint_config(
                 "s-00000002" if "source" in news else "s-00000001", "127.0.0.1:9", status="DRAINING"
             )
             event = {"index": 2, "endpoints": {"endpoints": [row], "snapshot": False}}
         elif news == "move":
-            event = {"index": 2, "endpoints": {"endpoints": [endpoint("s-00000001", "127.0.0.1:9")]}}
+            event = {"index": 2, "endpoints": {"endpoints": [endpoint_config("s-00000001", "127.0.0.1:9")]}}
         elif news == "other":
             event = {"index": 2, "evict": {"ref": f"{5:016x}", "unix_ms": 5}}
         else:
@@ -320,7 +320,7 @@
     )
     reading = threading.Event()  # until then the first node takes one command and reads no further
     upstreams = (
-        FakeUpstream(lambda command: stuck and reading.wait(PATIENCE) and None),
+        FakeUpstream(lambda command: stuck and reading.wait(TIMEOUT_SECONDS) and None),
         FakeUpstream(lambda command: None),
     )
 
@@ -357,7 +357,7 @@
     )
     ours, theirs = open_datagram_socket(("127.0.0.1", 0)), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     theirs.bind(("127.0.0.1", 0))
-    theirs.settimeout(PATIENCE)
+    theirs.settimeout(TIMEOUT_SECONDS)
     peers = [f"127.0.0.1:{each.getsockname()[1]}" for each in (ours, theirs)]
     script = Scripted(
         EndpointsUpdated=[
@@ -419,7 +419,7 @@
 
     async def scene(director, client, until):
         for index in (2, 3):
-            row = endpoint("s-00000001", "127.0.0.1:9", since_ms=1764576000123)
+            row = endpoint_config("s-00000001", "127.0.0.1:9", since_ms=1764576000123)
             event = {"index": index, "endpoints": {"endpoints": [row], "snapshot": False}}
             director.discovery.apply(read_director_config(configuration([], updates=[event])).known[1])
             director.clock.from_unix = lambda unix_ms: 10**12
@@ -448,9 +448,9 @@
 
     async def scene(director, client, until):
         for i in range(1000):
-            new = endpoint(f"s-{i + 16:08x}", "127.0.0.1:9")
+            new = endpoint_config(f"s-{i + 16:08x}", "127.0.0.1:9")
             director.discovery.apply(
-                listed(i + 2, new, endpoint(f"s-{i + 15:08x}", "127.0.0.1:9", status="DELETED"))
+                listed(i + 2, new, endpoint_config(f"s-{i + 15:08x}", "127.0.0.1:9", status="DELETED"))
             )
             director.close_idle_connections()
         assert len(director.pool.upstreams) == len(router.upstreams.by_id) == 3
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -18,12 +18,12 @@
 from ironhinge.settings.load import load_texts
 
 from .helpers import (
+    DirectorProcess,
     FakeClient,
     FakeCoordinator,
     FakeUpstream,
-    Program,
     configuration,
-    endpoint,
+    endpoint_config,
     free_port,
     new_deployment,
     request_received,
@@ -33,7 +33,7 @@
 NOW_MS = 1_764_576_000_000
 
 
-class DirectorWithTier(Program):
+class DirectorWithTier(DirectorProcess):
     def __init__(self, folder, config, **disk):
         fields = {
             "folder": str(folder / "tier"),
@@ -50,7 +50,7 @@
 
 
 def config_for(upstream, **other):
-    rows = [endpoint("s-00000001", upstream.address)]
+    rows = [endpoint_config("s-00000001", upstream.address)]
     return configuration(rows, f"127.0.0.1:{free_port()}", **other)
 
 
@@ -228,7 +228,7 @@
     upstream = FakeUpstream(has_all_objects=True)
     program = DirectorWithTier(tmp_path, config_for(upstream))
     try:
-        args = ["serve", "--config", str(program.config), *program.args]
+        args = ["serve", "--config", str(program.config_path), *program.args]
         code, _, err = run(*args)
         assert code == 1
         assert "in use by another process" in err
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -12,13 +12,13 @@
 import ironhinge
 
 from .helpers import (
-    PATIENCE,
+    TIMEOUT_SECONDS,
+    DirectorProcess,
     FakeClient,
     FakeCoordinator,
     FakeUpstream,
-    Program,
     configuration,
-    endpoint,
+    endpoint_config,
     endpoint_record,
     free_port,
     settings,
@@ -41,14 +41,14 @@
         monkeypatch.setenv("IRONHINGE_FAULTS", json.dumps({"seed": 3, **script}))
         upstream, coordinator = FakeUpstream(has_all_objects=True), FakeCoordinator()
         config = configuration(
-            [endpoint("s-00000001", upstream.address)],
+            [endpoint_config("s-00000001", upstream.address)],
             f"127.0.0.1:{free_port()}",
             coordinator=coordinator.address,
             settings=custom_settings or settings(),
             limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets},
             **other,
         )
-        program = Program(tmp_path, config)
+        program = DirectorProcess(tmp_path, config)
         started.append(program)
         return program, upstream, coordinator
 
@@ -79,7 +79,7 @@
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(PATIENCE)
+        thread.join(TIMEOUT_SECONDS)
     assert not any(thread.is_alive() for thread in threads)
     return lost
 
@@ -133,7 +133,7 @@
     for i in range(60):
         assert client.read_answer(client.send_request(entity=f"{i:016x}", patience=3000))[0] == SERVED
     assert failed_calls(log)
-    logged = program.text()
+    logged = program.log_text()
     assert "REFUSED" not in logged
     assert "NEVER_UP" not in logged
 
@@ -190,7 +190,7 @@
         clients.append((client, client.stream, data[cut:]))
     crowd = []
     for _ in range(120):
-        crowd.append(socket.create_connection(("127.0.0.1", program.port), timeout=PATIENCE))
+        crowd.append(socket.create_connection(("127.0.0.1", program.port), timeout=TIMEOUT_SECONDS))
         time.sleep(0.005)
     for client, stream, rest in clients:
         client.sock.sendall(rest)
@@ -202,7 +202,7 @@
     program, _, _ = faulty({})
     client = FakeClient(program.port)
     assert client.is_ready()
-    client.sock.settimeout(PATIENCE)
+    client.sock.settimeout(TIMEOUT_SECONDS)
     first = client.sock.recv(1, socket.MSG_PEEK)  # the director's word that it ends, or the end itself
     time.sleep(SLOW_PATH)
     stream = client.send_request()
@@ -219,7 +219,7 @@
     """A copy from before the purge must not do, whatever the time of day seems to be."""
     program, upstream, coordinator = faulty({"steps": [[2.0, step]]})
     began = time.monotonic()
-    coordinator.subscriptions.get(timeout=PATIENCE)
+    coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
     time.sleep(max(0.0, 2.2 - (time.monotonic() - began)))  # the step has come
     coordinator.publish(2, 3, purge_record(0x7F3A9C21E0B4D655))
     time.sleep(0.4)
@@ -235,7 +235,7 @@
     program, upstream, coordinator = faulty({"steps": [[1.0, 3600.0]]})
     began = time.monotonic()
     client = FakeClient(program.port)
-    coordinator.subscriptions.get(timeout=PATIENCE)
+    coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
     cold = FakeUpstream(has_all_objects=True)
     time.sleep(max(0.0, 1.2 - (time.monotonic() - began)))
     record = bytearray(endpoint_record("s-00000002", cold.address, 0))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,15 @@
 from ironhinge.traffic.snapshot_files import file_name, read_folder
 from ironhinge.traffic.types import DirectorIdentity
 
-from .helpers import FakeClient, FakeUpstream, Program, configuration, endpoint, free_port, new_deployment
+from .helpers import (
+    DirectorProcess,
+    FakeClient,
+    FakeUpstream,
+    configuration,
+    endpoint_config,
+    free_port,
+    new_deployment,
+)
 
 TIMEOUT = 60  # seconds after which something has gone wrong
 
@@ -90,7 +98,7 @@
     return path
 
 
-class AccountingProgram(Program):
+class AccountingProgram(DirectorProcess):
     """A director that is started with an operations file."""
 
     def __init__(self, folder, config, path):
@@ -99,13 +107,16 @@
 
     def wait_for_log(self, text):
         end = time.monotonic() + TIMEOUT
-        while text not in self.text():
-            assert time.monotonic() < end, self.text()
+        while text not in self.log_text():
+            assert time.monotonic() < end, self.log_text()
             time.sleep(0.02)
 
 
 def director_config(upstream, parent):
-    endpoints = [endpoint("s-00000001", upstream.address), endpoint("s-00000002", parent.address, "parent")]
+    endpoints = [
+        endpoint_config("s-00000001", upstream.address),
+        endpoint_config("s-00000002", parent.address, "parent"),
+    ]
     return configuration(endpoints, f"127.0.0.1:{free_port()}")
 
 
@@ -160,7 +171,7 @@
                     break
                 assert time.monotonic() < end
                 time.sleep(0.02)
-            log += program.text()
+            log += program.log_text()
         finally:
             program.stop()  # by force
         totals.append(collect(read_folder(folder)[0]).total())
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -27,14 +27,14 @@
 
 from .helpers import (
     CACHES,
-    PATIENCE,
+    TIMEOUT_SECONDS,
+    DirectorProcess,
     FakeClient,
     FakeCoordinator,
     FakeUpstream,
-    Program,
     attempt_finished,
     configuration,
-    endpoint,
+    endpoint_config,
     free_port,
     new_deployment,
     new_endpoint,
@@ -88,7 +88,7 @@
             driver, heard = ConnectionManager(tasks, ResourceLimits(0, 0), selector), Heard()
             driver.adopt(listener.accept()[0], heard)
             heard.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            with anyio.fail_after(PATIENCE):
+            with anyio.fail_after(TIMEOUT_SECONDS):
                 await scene(heard, peer)
             tasks.cancel_scope.cancel()
 
@@ -100,7 +100,7 @@
     peer.setblocking(False)
     data = b""
     while True:
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT_SECONDS):
             await anyio.wait_readable(peer)
         more = peer.recv(65536)
         if not more:
@@ -250,7 +250,9 @@
         if when == "with the answer":
             return served_answer(command[1], b"the bytes") + b"*4\r\n$9"
         if when == "after it":
-            threading.Thread(target=lambda: more.wait(PATIENCE) and command[3].sendall(b"*4\r\n$9")).start()
+            threading.Thread(
+                target=lambda: more.wait(TIMEOUT_SECONDS) and command[3].sendall(b"*4\r\n$9")
+            ).start()
             return served_answer(command[1], b"the bytes")
         return b"*4\r\n$16\r\n"
 
@@ -307,13 +309,13 @@
 )
 def test_no_file_at_sighup_ends_the_program(short, text):
     program, _ = short
-    program.config.write_text(text)
+    program.config_path.write_text(text)
     program.process.send_signal(signal.SIGHUP)
-    until = time.monotonic() + PATIENCE
-    while "config_reload_failed kept=old" not in program.text() and time.monotonic() < until:
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while "config_reload_failed kept=old" not in program.log_text() and time.monotonic() < deadline:
         time.sleep(0.01)
     assert FakeClient(program.port).is_ready()
-    assert "config_reload_failed kept=old" in program.text()
+    assert "config_reload_failed kept=old" in program.log_text()
 
 
 @pytest.mark.parametrize("named", ["digest=aaaa", "res=h"])
@@ -399,7 +401,7 @@
                 socket.create_connection(at)
             for peer in peers:
                 peer.sendall(b"a req")
-            with anyio.fail_after(PATIENCE):
+            with anyio.fail_after(TIMEOUT_SECONDS):
                 while any(each.data != b"a req" for each in heard):  # noqa: ASYNC110 - no event to wait for
                     await anyio.sleep(0.005)
             tasks.cancel_scope.cancel()
@@ -438,8 +440,8 @@
     """A director before one silent node."""
     upstream, custom_settings = FakeUpstream(lambda command: None), short_settings()
     listen_at = f"127.0.0.1:{free_port()}"
-    endpoints = [endpoint("s-00000001", upstream.address)]
-    program = Program(tmp_path, configuration(endpoints, listen_at, settings=custom_settings))
+    endpoints = [endpoint_config("s-00000001", upstream.address)]
+    program = DirectorProcess(tmp_path, configuration(endpoints, listen_at, settings=custom_settings))
     yield program, upstream
     program.stop()
 
@@ -469,7 +471,7 @@
         with pytest.raises(EOFError):  # and not a reset
             client.read_frame()
         client.sock.close()
-    assert program.process.wait(timeout=PATIENCE) == 0
+    assert program.process.wait(timeout=TIMEOUT_SECONDS) == 0
     assert time.monotonic() - began < 2.0
     assert len(upstream.request_ids) == 1
 
@@ -494,7 +496,7 @@
             listener, lambda: ClientConnection(director), director.clients.reclaim_descriptor, 3.0
         )
         late.setblocking(False)
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT_SECONDS):
             await anyio.wait_readable(late)
         assert late.recv(1000)
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -10,14 +10,14 @@
 import pytest
 
 from .helpers import (
-    PATIENCE,
+    TIMEOUT_SECONDS,
+    DirectorProcess,
     FakeClient,
     FakeCoordinator,
     FakeUpstream,
-    Program,
     body_of,
     configuration,
-    endpoint,
+    endpoint_config,
     endpoint_record,
     free_port,
     resp_array,
@@ -38,13 +38,13 @@
             FakeUpstream(has_all_objects=True),
             FakeCoordinator(),
         )
-        rows = [endpoint(f"s-{i + 1:08x}", cache.address) for i, cache in enumerate(caches)]
-        rows.append(endpoint("s-000000ff", self.origin.address, "origin"))
+        rows = [endpoint_config(f"s-{i + 1:08x}", cache.address) for i, cache in enumerate(caches)]
+        rows.append(endpoint_config("s-000000ff", self.origin.address, "origin"))
         config = configuration(
             rows, f"127.0.0.1:{free_port()}", updates, coordinator=self.coordinator.address
         )
         config.update(other)
-        self.program = Program(folder, config)
+        self.program = DirectorProcess(folder, config)
         self.client = FakeClient(self.program.port)
 
     def name(self, cache):
@@ -118,11 +118,11 @@
     one.client.read_answer(one.client.send_request(group=3, entity=f"{5:016x}"))
     assert "accept" not in cache.next_command()[2]
     then = int(time.time() * 1000)
-    assert one.coordinator.subscriptions.get(timeout=PATIENCE)[0] == 2
+    assert one.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] == 2
     one.coordinator.publish(3, 3, (5).to_bytes(8, "big") + then.to_bytes(8, "big"))
     fields = {}
-    until = time.monotonic() + PATIENCE
-    while "accept" not in fields and time.monotonic() < until:
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while "accept" not in fields and time.monotonic() < deadline:
         one.client.read_answer(one.client.send_request(group=3, entity=f"{5:016x}"))
         fields = cache.next_command()[2]
     assert 0 < int(fields["accept"]) <= time.time() * 1000 - then + 1
@@ -132,12 +132,12 @@
     one = world([FakeUpstream(), FakeUpstream()])
     coordinator, (first, second) = one.coordinator, one.caches
     coordinator.publish(2, 2, endpoint_record(one.name(first), first.address, 1))
-    known, conn = coordinator.subscriptions.get(timeout=PATIENCE)
+    known, conn = coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
     assert known == 1
     conn.shutdown(socket.SHUT_RDWR)
-    until = time.monotonic() + PATIENCE
-    while known != 2 and time.monotonic() < until:  # it may have been cut before the event was read
-        known, conn = coordinator.subscriptions.get(timeout=PATIENCE)
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while known != 2 and time.monotonic() < deadline:  # it may have been cut before the event was read
+        known, conn = coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
         if known != 2:
             conn.shutdown(socket.SHUT_RDWR)
     assert known == 2  # told again from there: it is in the module
@@ -147,7 +147,7 @@
     assert second.commands.qsize() >= 12
     coordinator.publish(3, 2, endpoint_record(one.name(second), second.address, 2))
     coordinator.publish(4, 2, endpoint_record(one.name(first), first.address, 0))
-    while first.commands.empty() and time.monotonic() < until:
+    while first.commands.empty() and time.monotonic() < deadline:
         one.client.read_answer(one.client.send_request())
     assert not first.commands.empty()
 
@@ -310,7 +310,7 @@
     for each in commands:
         each[3].sendall(served_answer(each[1], b"all"))
     assert [one.client.read_answer(stream)[0] for stream in streams] == [DONE] * 6
-    assert one.program.process.wait(timeout=PATIENCE) == 0
+    assert one.program.process.wait(timeout=TIMEOUT_SECONDS) == 0
 
 
 def test_sigterm_answers_before_the_program_may_be_killed_however_long_clients_wait(world):
@@ -323,34 +323,34 @@
     assert [one.client.read_answer(stream)[0] for stream in streams] == [DENIED] * 2
     assert 1 < time.monotonic() - began < 3.7
     one.client.sock.close()
-    assert one.program.process.wait(timeout=PATIENCE) == 0
+    assert one.program.process.wait(timeout=TIMEOUT_SECONDS) == 0
     assert time.monotonic() - began < 3.9
 
 
 def test_sighup_follows_the_coordinator_and_a_bad_file_changes_nothing(world):
     one, hup = world([FakeUpstream(), FakeUpstream()]), signal.SIGHUP
     coordinator, (first, second) = one.coordinator, one.caches
-    assert coordinator.subscriptions.get(timeout=PATIENCE)[0] == 1
+    assert coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] == 1
     coordinator.publish(2, 4, (9).to_bytes(2, "big") + (5).to_bytes(8, "big"))
-    config = json.loads(one.program.config.read_text())
-    one.program.config.write_text("{")
+    config = json.loads(one.program.config_path.read_text())
+    one.program.config_path.write_text("{")
     one.program.process.send_signal(hup)
     assert one.client.read_answer(one.client.send_request())[0] == DONE
     moved = FakeCoordinator()
     moved.publish(3, 2, endpoint_record(one.name(first), first.address, 1))
     config["coordinator"], config["listen"] = moved.address, "127.0.0.1:9"
-    one.program.config.write_text(json.dumps(config))
+    one.program.config_path.write_text(json.dumps(config))
     one.program.process.send_signal(hup)
-    assert moved.subscriptions.get(timeout=PATIENCE)[0] in (1, 2)
-    until = time.monotonic() + PATIENCE
-    while "state=draining" not in one.program.text() and time.monotonic() < until:
+    assert moved.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] in (1, 2)
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while "state=draining" not in one.program.log_text() and time.monotonic() < deadline:
         time.sleep(0.02)
     for i in range(12):
         assert one.client.read_answer(one.client.send_request(entity=f"{i:016x}"))[0] == DONE
     assert second.commands.qsize() >= 12
     assert one.program.process.poll() is None
-    assert "config_reload_failed kept=old" in one.program.text()
-    assert "config_change_needs_restart key=listen" in one.program.text()
+    assert "config_reload_failed kept=old" in one.program.log_text()
+    assert "config_change_needs_restart key=listen" in one.program.log_text()
 
 
 def test_silent_and_half_said_connections_end_and_usual_clients_do_not_notice(world):
@@ -362,7 +362,7 @@
     began = time.monotonic()
     assert one.client.read_answer(one.client.send_request())[0] == DONE
     for each in crowd:
-        each.sock.settimeout(PATIENCE)
+        each.sock.settimeout(TIMEOUT_SECONDS)
         try:
             while each.sock.recv(1000):
                 pass
@@ -411,16 +411,16 @@
     other = FakeClient(one.program.port)
     assert other.read_answer(other.send_request(patience=900))[0] in (DONE, DENIED)
     assert one.program.process.poll() is None
-    assert "accepting_paused" in one.program.text()
+    assert "accepting_paused" in one.program.log_text()
 
 
 def test_a_feed_that_cant_be_read_is_called_again(world):
     one = world()
-    _, conn = one.coordinator.subscriptions.get(timeout=PATIENCE)
+    _, conn = one.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
     conn.sendall(b"\0\0\0\1nonsense")
-    assert one.coordinator.subscriptions.get(timeout=PATIENCE)[0] == 1
+    assert one.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] == 1
     assert one.client.read_answer(one.client.send_request())[0] == DONE
-    assert "discovery_unparsable" in one.program.text()
+    assert "discovery_unparsable" in one.program.log_text()
 
 
 def test_a_client_that_does_not_read_does_not_hold_up_the_others(world):
@@ -437,7 +437,11 @@
 
 def run_command(*words, **env):
     return subprocess.run(
-        [sys.executable, "-m", "ironhinge", *words], capture_output=True, text=True, env=env, timeout=PATIENCE
+        [sys.executable, "-m", "ironhinge", *words],
+        capture_output=True,
+        text=True,
+        env=env,
+        timeout=TIMEOUT_SECONDS,
     )
 
 
@@ -445,7 +449,7 @@
     assert run_command("version").stdout.startswith("ironhinge ")
     assert run_command("serve").returncode == 2
     path = tmp_path / "config.json"
-    good = configuration([endpoint("s-00000001", "127.0.0.1:9")])
+    good = configuration([endpoint_config("s-00000001", "127.0.0.1:9")])
     for content, word in [
         (None, "config.json"),
         ("{", "config.json"),
@@ -453,8 +457,8 @@
         ({**good, "settings": {}}, "'classes'"),
         ({**good, "seed": 5}, "'seed'"),
         ({**good, "limits": []}, "'limits'"),
-        (configuration([{**endpoint("s-1", "127.0.0.1:9"), "zone": "north"}]), "'north'"),
-        (configuration([{**endpoint("s-1", "127.0.0.1:9"), "status": "WELL"}]), "'status'"),
+        (configuration([{**endpoint_config("s-1", "127.0.0.1:9"), "zone": "north"}]), "'north'"),
+        (configuration([{**endpoint_config("s-1", "127.0.0.1:9"), "status": "WELL"}]), "'status'"),
     ]:
         if content is not None:
             path.write_text(content if isinstance(content, str) else json.dumps(content))
