--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -127,11 +127,11 @@
     )
 
 
-class Rules:
+class RuleChecker:
     """What is allowed, worked out anew from the whole record at every action."""
 
     def __init__(self, deployment):
-        self.deployment, self.rows, self.purges, self.came, self.sent, self.ended = (
+        self.deployment, self.endpoints, self.purges, self.requests, self.attempts, self.final_states = (
             deployment,
             {},
             [],
@@ -139,181 +139,208 @@
             {},
             {},
         )
-        self.works = {}  # sending times of each vhost's reqs
-        self.loads = {}  # node: what was sent to it while cold
-
-    def happened(self, now, what):
-        if type(what) is interface.RequestReceived:
-            self.came[what.request_id], self.sent[what.request_id] = (now, what), []
-            self.works.setdefault(what.class_index, []).append(
-                what.size * 10_000 / self.deployment.transfer_rate
+        self.expected_work = {}  # sending times of each vhost's reqs
+        self.slow_start_work = {}  # node: what was sent to it while cold
+
+    def record_event(self, now, event):
+        if type(event) is interface.RequestReceived:
+            self.requests[event.request_id], self.attempts[event.request_id] = (now, event), []
+            self.expected_work.setdefault(event.class_index, []).append(
+                event.size * 10_000 / self.deployment.transfer_rate
             )
-        elif type(what) is interface.EndpointsUpdated:
-            for one in what.endpoints:
-                self.rows[one.id] = one
-            if what.is_full:
-                for name in set(self.rows) - {one.id for one in what.endpoints}:
-                    self.rows[name] = self.rows[name]._replace(state=EndpointState.REMOVED)
-        elif type(what) is interface.PurgeNotified:
-            self.purges.append((now - what.age, what))
-        elif type(what) is interface.AttemptFinished:
-            self.sent[what.request_id][what.attempt_number][2] = what.result
-            if what.request_closed:
-                self.ended[what.request_id] = "done"
-        elif type(what) is interface.ClientDisconnected:
-            self.ended.setdefault(what.request_id, "left")
-
-    def acted(self, now, act):
-        if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
-            self.dispatched(now, act)
-        elif type(act) in (interface.RejectRequest, interface.FailRequest):
-            assert act.request_id not in self.ended, "two final answers"
-            at, came = self.came[act.request_id]
-            assert now <= at + came.time_remaining, "answered after the client timeout"
-            if type(act) is interface.RejectRequest:
-                assert self.harmless(act.request_id, now), "denied what may have run"
-            self.ended[act.request_id] = "answered"
-
-    def ran(self, name):
+        elif type(event) is interface.EndpointsUpdated:
+            for endpoint in event.endpoints:
+                self.endpoints[endpoint.id] = endpoint
+            if event.is_full:
+                for endpoint_id in set(self.endpoints) - {endpoint.id for endpoint in event.endpoints}:
+                    self.endpoints[endpoint_id] = self.endpoints[endpoint_id]._replace(
+                        state=EndpointState.REMOVED
+                    )
+        elif type(event) is interface.PurgeNotified:
+            self.purges.append((now - event.age, event))
+        elif type(event) is interface.AttemptFinished:
+            self.attempts[event.request_id][event.attempt_number][2] = event.result
+            if event.request_closed:
+                self.final_states[event.request_id] = "done"
+        elif type(event) is interface.ClientDisconnected:
+            self.final_states.setdefault(event.request_id, "left")
+
+    def check_command(self, now, command):
+        if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill):
+            self.check_attempt(now, command)
+        elif type(command) in (interface.RejectRequest, interface.FailRequest):
+            assert command.request_id not in self.final_states, "two final answers"
+            received_at, request = self.requests[command.request_id]
+            assert now <= received_at + request.time_remaining, "answered after the client timeout"
+            if type(command) is interface.RejectRequest:
+                assert self.is_safe_to_resend(command.request_id, now), "denied what may have run"
+            self.final_states[command.request_id] = "answered"
+
+    def possibly_run_attempts(self, request_id):
         return [
-            one for one in self.sent[name] if one[2] in ("done", "error", "timeout", "reset", "cancelled")
+            attempt
+            for attempt in self.attempts[request_id]
+            if attempt[2] in ("done", "error", "timeout", "reset", "cancelled")
         ]
 
-    def harmless(self, name, now):
-        vhost, ran = self.deployment.request_classes[self.came[name][1].class_index], self.ran(name)
+    def is_safe_to_resend(self, request_id, now):
+        request_class, possibly_run = (
+            self.deployment.request_classes[self.requests[request_id][1].class_index],
+            self.possibly_run_attempts(request_id),
+        )
         return (
-            not ran
-            or vhost.idempotency == Idempotency.IDEMPOTENT
-            or (vhost.idempotency == Idempotency.KEYED and vhost.dedup_scope == "all")
+            not possibly_run
+            or request_class.idempotency == Idempotency.IDEMPOTENT
+            or (request_class.idempotency == Idempotency.KEYED and request_class.dedup_scope == "all")
         )
 
-    def dispatched(self, now, act):
-        at, came = self.came[act.request_id]
-        vhost, before = self.deployment.request_classes[came.class_index], self.sent[act.request_id]
-        assert act.request_id not in self.ended, "sent after the end"
-        assert len(before) < self.deployment.max_attempts
-        assert all(one[2] for one in before), "two dispatches out together"
-        assert now < act.deadline <= at + came.time_remaining
-        ran = self.ran(act.request_id)
-        if ran and vhost.idempotency != Idempotency.IDEMPOTENT:
-            assert vhost.idempotency == Idempotency.KEYED, "an effect twice"
-            assert now < ran[0][1] + vhost.dedup_window, "an effect twice"
+    def check_attempt(self, now, command):
+        received_at, request = self.requests[command.request_id]
+        request_class, earlier_attempts = (
+            self.deployment.request_classes[request.class_index],
+            self.attempts[command.request_id],
+        )
+        assert command.request_id not in self.final_states, "sent after the end"
+        assert len(earlier_attempts) < self.deployment.max_attempts
+        assert all(attempt[2] for attempt in earlier_attempts), "two dispatches out together"
+        assert now < command.deadline <= received_at + request.time_remaining
+        possibly_run = self.possibly_run_attempts(command.request_id)
+        if possibly_run and request_class.idempotency != Idempotency.IDEMPOTENT:
+            assert request_class.idempotency == Idempotency.KEYED, "an effect twice"
+            assert now < possibly_run[0][1] + request_class.dedup_window, "an effect twice"
             assert (
-                vhost.dedup_scope == "all" or self.rows[act.endpoint_id].cell == self.rows[ran[0][0]].cell
+                request_class.dedup_scope == "all"
+                or self.endpoints[command.endpoint_id].cell == self.endpoints[possibly_run[0][0]].cell
             ), "outside its group"
-        source = getattr(act, "source_id", act.endpoint_id)
-        for name in {act.endpoint_id, source}:
-            assert self.rows[name].state == "ready", "sent to a node that drains or is gone"
-            self.load(now, name, came, act.endpoint_id)
+        source_id = getattr(command, "source_id", command.endpoint_id)
+        for endpoint_id in {command.endpoint_id, source_id}:
+            assert self.endpoints[endpoint_id].state == "ready", "sent to a node that drains or is gone"
+            self.check_slow_start(now, endpoint_id, request, command.endpoint_id)
         purges = [
-            when
-            for when, what in self.purges
-            if (what.object_id == came.object_id if what.object_id is not None else what.group == came.group)
-            and when + self.deployment.purge_retention >= now
+            purged_at
+            for purged_at, purge in self.purges
+            if (
+                purge.object_id == request.object_id
+                if purge.object_id is not None
+                else purge.group == request.group
+            )
+            and purged_at + self.deployment.purge_retention >= now
         ]
-        if purges and act.endpoint_id != "o":
-            assert type(act) is interface.SendAttemptWithFill, "an old copy would do"
-            assert 0 < act.max_copy_age <= max(1, now - max(purges)), "an old copy would do"
-        if type(act) is interface.SendAttemptWithFill and vhost.freshness_lifetime:
-            assert act.max_copy_age <= vhost.freshness_lifetime + vhost.stale_grace
-        before.append([act.endpoint_id, now, None])
-
-    def load(self, now, name, came, node):
-        one, deployment, parent = self.rows[name], self.deployment, self.rows[name].kind == PARENT
-        length = deployment.parent_slow_start_duration if parent else deployment.slow_start_duration
-        if not one.started_at or now >= one.started_at + length or one.kind == ORIGIN:
+        if purges and command.endpoint_id != "o":
+            assert type(command) is interface.SendAttemptWithFill, "an old copy would do"
+            assert 0 < command.max_copy_age <= max(1, now - max(purges)), "an old copy would do"
+        if type(command) is interface.SendAttemptWithFill and request_class.freshness_lifetime:
+            assert command.max_copy_age <= request_class.freshness_lifetime + request_class.stale_grace
+        earlier_attempts.append([command.endpoint_id, now, None])
+
+    def check_slow_start(self, now, endpoint_id, request, cache_id):
+        endpoint, deployment, is_parent = (
+            self.endpoints[endpoint_id],
+            self.deployment,
+            self.endpoints[endpoint_id].kind == PARENT,
+        )
+        duration = deployment.parent_slow_start_duration if is_parent else deployment.slow_start_duration
+        if not endpoint.started_at or now >= endpoint.started_at + duration or endpoint.kind == ORIGIN:
             return
-        works = self.works[came.class_index]
-        work = came.size * 10_000 / self.deployment.transfer_rate if parent else sum(works) / len(works)
-        loads = self.loads.setdefault((name, one.started_at), [])
-        loads.append((now, work))
-        least, multiple = (
+        class_work = self.expected_work[request.class_index]
+        work = (
+            request.size * 10_000 / self.deployment.transfer_rate
+            if is_parent
+            else sum(class_work) / len(class_work)
+        )
+        sent_work = self.slow_start_work.setdefault((endpoint_id, endpoint.started_at), [])
+        sent_work.append((now, work))
+        min_share, multiple = (
             (deployment.parent_slow_start_min_share, deployment.parent_overload_multiple)
-            if parent
+            if is_parent
             else (deployment.slow_start_min_share, deployment.overload_multiple)
         )
-        share = least + (1 - least) * max(0, now - one.started_at) / length
-        routers = deployment.router_count if parent else deployment.local_router_count
-        assert sum(work for when, work in loads if when > now - deployment.overload_window) <= (
-            multiple * share * one.weight * deployment.overload_window / routers
+        share = min_share + (1 - min_share) * max(0, now - endpoint.started_at) / duration
+        routers = deployment.router_count if is_parent else deployment.local_router_count
+        assert sum(work for sent_at, work in sent_work if sent_at > now - deployment.overload_window) <= (
+            multiple * share * endpoint.weight * deployment.overload_window / routers
         ), "a cold node pushed over"
 
 
-def random_event(chance, rules, now, number):
+def random_event(random, checker, now, request_count):
     """The next event from outside: a request, a client that leaves, a purge or a change of the list."""
-    dice = chance.random()
-    if dice < 0.7:
+    draw = random.random()
+    if draw < 0.7:
         return request_received(
-            f"r{number + 1}",
-            chance.randrange(40),
-            chance.randrange(4),
-            chance.choice([50.0, 500.0, 4000.0]),
-            chance.choice([500, 9000, 25000]),
-            chance.randrange(3),
+            f"r{request_count + 1}",
+            random.randrange(40),
+            random.randrange(4),
+            random.choice([50.0, 500.0, 4000.0]),
+            random.choice([500, 9000, 25000]),
+            random.randrange(3),
         )
-    if dice < 0.78:
-        held = [name for name in rules.came if name not in rules.ended]
-        return interface.ClientDisconnected(chance.choice(held)) if held else None
-    if dice < 0.86:
-        object_id = chance.choice([None, chance.randrange(40)])
-        return interface.PurgeNotified(object_id, chance.randrange(3), chance.randrange(3000))
-    name = chance.choice([*CACHES, "p0", "p1", "o"])
-    state = chance.choice(["ready", "ready", "draining", "gone"])
-    return interface.EndpointsUpdated(False, (new_endpoint(name, state, chance.choice([0, now])),))
-
-
-def play(seed, deployment, steps=400):
+    if draw < 0.78:
+        open_requests = [name for name in checker.requests if name not in checker.final_states]
+        return interface.ClientDisconnected(random.choice(open_requests)) if open_requests else None
+    if draw < 0.86:
+        object_id = random.choice([None, random.randrange(40)])
+        return interface.PurgeNotified(object_id, random.randrange(3), random.randrange(3000))
+    name = random.choice([*CACHES, "p0", "p1", "o"])
+    state = random.choice(["ready", "ready", "draining", "gone"])
+    return interface.EndpointsUpdated(False, (new_endpoint(name, state, random.choice([0, now])),))
+
+
+def run_random_events(seed, deployment, total_requests=400):
     """Plays random happenings against a router and the rules; returns how many reqs ended in each way."""
-    chance, rules, now, number = Random(seed), Rules(deployment), 0, 0
-    router, out, names = Router(deployment, seed), [], [*CACHES, "p0", "p1", "o"]
-
-    def tell(what):
-        rules.happened(now, what)
-        for act in router.handle(now, what):
-            rules.acted(now, act)
-            if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
-                due = min(act.deadline, now + int(chance.expovariate(1 / 3000)) + 1)
-                out.append(
+    random, checker, now, request_count = Random(seed), RuleChecker(deployment), 0, 0
+    router, in_flight, names = Router(deployment, seed), [], [*CACHES, "p0", "p1", "o"]
+
+    def handle(event):
+        checker.record_event(now, event)
+        for command in router.handle(now, event):
+            checker.check_command(now, command)
+            if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill):
+                end = min(command.deadline, now + int(random.expovariate(1 / 3000)) + 1)
+                in_flight.append(
                     (
-                        due,
-                        len(rules.came) * 10 + len(rules.sent[act.request_id]),
-                        act,
-                        len(rules.sent[act.request_id]) - 1,
-                        act.deadline,
+                        end,
+                        len(checker.requests) * 10 + len(checker.attempts[command.request_id]),
+                        command,
+                        len(checker.attempts[command.request_id]) - 1,
+                        command.deadline,
                     )
                 )
 
-    tell(interface.InstanceStarted())
-    tell(interface.EndpointsUpdated(True, tuple(new_endpoint(name) for name in names)))
-    while number < steps or out:
-        then = now + chance.randrange(200)
-        while out and min(out)[0] <= then:
-            due = min(out)
-            out.remove(due)
-            now, act, place, until = max(now, due[0]), due[2], due[3], due[4]
-            result = chance.choice(["done"] * 9 + ["miss", "full", "error", "reset", "unconnected"])
+    handle(interface.InstanceStarted())
+    handle(interface.EndpointsUpdated(True, tuple(new_endpoint(name) for name in names)))
+    while request_count < total_requests or in_flight:
+        step_end = now + random.randrange(200)
+        while in_flight and min(in_flight)[0] <= step_end:
+            end = min(in_flight)
+            in_flight.remove(end)
+            now, command, attempt_number, deadline = max(now, end[0]), end[2], end[3], end[4]
+            result = random.choice(["done"] * 9 + ["miss", "full", "error", "reset", "unconnected"])
             result = (
-                "cancelled" if act.request_id in rules.ended else "timeout" if due[0] == until else result
+                "cancelled"
+                if command.request_id in checker.final_states
+                else "timeout"
+                if end[0] == deadline
+                else result
             )
-            tell(
+            handle(
                 attempt_finished(
-                    act,
+                    command,
                     result,
-                    place,
+                    attempt_number,
                     200,
-                    result == "done" or act.request_id in rules.ended,
-                    chance.randrange(11),
+                    result == "done" or command.request_id in checker.final_states,
+                    random.randrange(11),
                 )
             )
-        now = then
-        if number >= steps:
+        now = step_end
+        if request_count >= total_requests:
             continue
-        what = random_event(chance, rules, now, number)
-        number += type(what) is interface.RequestReceived
-        if what is not None:
-            tell(what)
-    assert set(rules.ended) == set(rules.came), "a req without a final answer"
-    return rules
+        event = random_event(random, checker, now, request_count)
+        request_count += type(event) is interface.RequestReceived
+        if event is not None:
+            handle(event)
+    assert set(checker.final_states) == set(checker.requests), "a req without a final answer"
+    return checker
 
 
 # Stand-ins on loopback sockets, with framing of their own
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .helpers import new_deployment, play
+from .helpers import new_deployment, run_random_events
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -13,4 +13,4 @@
         {"cache_status_level": "hit", "coalesces_fills": False},
         {"max_attempts": 2, "transfer_rate": 900.0},
     ][seed % 4]
-    assert len(play(seed, new_deployment(**other)).came) == 400
+    assert len(run_random_events(seed, new_deployment(**other)).requests) == 400
