--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -28,19 +28,22 @@
 TRACE = "9b1f03aa5c7e2d41"
 
 
-class Scripted:
+class FakeRouter:
     """In the module's place: answers each kind of happening with the next of its scripted actions."""
 
-    def __init__(self, **script):
-        self.script, self.told = {name: list(acts) for name, acts in script.items()}, []
+    def __init__(self, **commands_by_event):
+        self.commands_by_event, self.events = (
+            {name: list(commands) for name, commands in commands_by_event.items()},
+            [],
+        )
 
-    def handle(self, now, what):
-        self.told.append(what)
-        acts = self.script.get(type(what).__name__)
-        return acts.pop(0)(now) if acts else []
+    def handle(self, now, event):
+        self.events.append(event)
+        commands = self.commands_by_event.get(type(event).__name__)
+        return commands.pop(0)(now) if commands else []
 
-    def got(self, kind):
-        return [what for what in self.told if type(what) is kind]
+    def events_of(self, kind):
+        return [event for event in self.events if type(event) is kind]
 
 
 class FakeWriter:
@@ -63,76 +66,76 @@
         self.frames.append("finish")
 
 
-def run_polled(main):
+def run_with_selector(main):
     """Runs `main(selector)` on an event loop with the selector of the program."""
     selector = TimedSelector()
     anyio.run(main, selector, backend_options={"loop_factory": lambda: asyncio.SelectorEventLoop(selector)})
 
 
-def came(stream, **fields):
+def request_frame(stream, **fields):
     values = {"route": "film", "trace": TRACE, "patience": "9000", "entity": "7f3a9c21e0b4d655", **fields}
     return client_wire.RequestFrame(stream, values, b"")
 
 
-def play(script, scene, upstreams=None, datagrams=None, **other):
+def run_director(fake_router, scenario, upstreams=None, datagrams=None, **overrides):
     """Runs a scene with a director before two nodes; returns what the module was told."""
-    one, two = upstreams or (FakeUpstream(has_all_objects=True), FakeUpstream(has_all_objects=True))
-    rows = [endpoint_config("s-00000001", one.address), endpoint_config("s-00000002", two.address)]
-    told = read_director_config(configuration(rows, **other))
+    first, second = upstreams or (FakeUpstream(has_all_objects=True), FakeUpstream(has_all_objects=True))
+    endpoints = [endpoint_config("s-00000001", first.address), endpoint_config("s-00000002", second.address)]
+    config = read_director_config(configuration(endpoints, **overrides))
 
     async def run(selector):
         async with anyio.create_task_group() as tasks:
-            director = Director(told, ConnectionManager(tasks, told.limits, selector))
+            director = Director(config, ConnectionManager(tasks, config.limits, selector))
             director.decisions.router = (
-                script(told.deployment, told.seed) if isinstance(script, type) else script
+                fake_router(config.deployment, config.seed) if isinstance(fake_router, type) else fake_router
             )
             director.gossip.sock = datagrams
             director.start()
-            for work in (director.run_timers, director.run_maintenance, director.gossip.receive_loop):
-                tasks.start_soon(work)
+            for task in (director.run_timers, director.run_maintenance, director.gossip.receive_loop):
+                tasks.start_soon(task)
             client = ClientConnection(director)
             client.connection = FakeWriter()
 
-            async def until(true):
+            async def wait_until(condition):
                 with anyio.fail_after(TIMEOUT_SECONDS):
-                    while not true():  # noqa: ASYNC110 - what it waits for sets no event
+                    while not condition():  # noqa: ASYNC110 - what it waits for sets no event
                         await anyio.sleep(0.005)
 
-            await scene(director, client, until)
+            await scenario(director, client, wait_until)
             tasks.cancel_scope.cancel()
 
-    run_polled(run)
-    return script
+    run_with_selector(run)
+    return fake_router
 
 
-def ask(upstream="s-00000001", after=90000, name=TRACE):
-    return lambda now: [interface.SendAttempt(name, upstream, now + after)]
+def send_attempt(endpoint_id="s-00000001", after=90000, request_id=TRACE):
+    return lambda now: [interface.SendAttempt(request_id, endpoint_id, now + after)]
 
 
-def fetch(source, after=90000, **other):
-    how = {
+def send_attempt_with_fill(source, after=90000, **overrides):
+    fields = {
         "admission_rank": 2,
         "max_copy_age": 15,
         "may_join_fill": True,
         "revalidates": True,
         "source_cached_only": True,
-        **other,
+        **overrides,
     }
-    return lambda now: [interface.SendAttemptWithFill(TRACE, "s-00000001", now + after, source, **how)]
+    return lambda now: [interface.SendAttemptWithFill(TRACE, "s-00000001", now + after, source, **fields)]
 
 
 def test_a_fault_of_the_module_costs_the_req_not_the_program():
-    script = Scripted(RequestReceived=[lambda now: 1 / 0, ask()])
+    fake_router = FakeRouter(RequestReceived=[lambda now: 1 / 0, send_attempt()])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         assert client.connection.frames == [b"".join(client_wire.answer(1, 3, {}))]
         assert not director.requests
-        director.admit(client, came(2))
+        director.admit(client, request_frame(2))
         director.manager.flush()
-        await until(lambda: len(client.connection.frames) == 2)
+        await wait_until(lambda: len(client.connection.frames) == 2)
 
-    play(script, scene)
+    run_director(fake_router, scenario)
 
 
 def test_a_req_takes_one_answer_and_late_ends_still_reach_the_module():
@@ -143,30 +146,30 @@
             interface.FailRequest(TRACE),
         ]
 
-    script = Scripted(RequestReceived=[twice])
+    fake_router = FakeRouter(RequestReceived=[twice])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
         assert client.connection.frames == [b"".join(client_wire.answer(1, 2, {"pause": "5"}))]
-        assert script.got(interface.AttemptFinished)[0].request_closed
+        assert fake_router.events_of(interface.AttemptFinished)[0].request_closed
         assert not director.requests
         assert not client.open_requests
 
-    play(script, scene)
+    run_director(fake_router, scenario)
 
 
 def test_every_field_of_a_fetch_is_on_the_wire():
     upstream = FakeUpstream()
-    script = Scripted(RequestReceived=[fetch("s-00000002")])
+    fake_router = FakeRouter(RequestReceived=[send_attempt_with_fill("s-00000002")])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1, part="3", have="4be0c1927d55a6f3", nonce="715d2556fdad052d"))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1, part="3", have="4be0c1927d55a6f3", nonce="715d2556fdad052d"))
         director.manager.flush()
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
 
-    play(script, scene, (upstream, FakeUpstream()))
+    run_director(fake_router, scenario, (upstream, FakeUpstream()))
     _verb, name, fields, _ = upstream.next_command()
     assert name == TRACE
     assert 8900 < int(fields.pop("ms")) <= 9000
@@ -181,7 +184,7 @@
         "hints": "join+held+renew",
         "got": "4be0c1927d55a6f3",
     }
-    (end,) = script.got(interface.AttemptFinished)
+    (end,) = fake_router.events_of(interface.AttemptFinished)
     assert (end.result, end.request_closed, end.cache_status, end.load_report) == ("done", True, 1, None)
 
 
@@ -189,57 +192,57 @@
 def test_only_copies_have_a_tag_and_a_date(route, result):
     """What answers a write is no copy; a read's bytes without them can't be told from spoilt ones."""
     upstream = FakeUpstream(lambda command: resp_array(command[1], "ACK", "res=h", b"written"))
-    script = Scripted(RequestReceived=[ask()])
+    fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1, route=route))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1, route=route))
         director.manager.flush()
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
 
-    play(script, scene, (upstream, upstream))
-    assert script.got(interface.AttemptFinished)[0].result == result
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert fake_router.events_of(interface.AttemptFinished)[0].result == result
 
 
 def test_load_reports_come_in_the_order_of_the_settings():
     upstream = FakeUpstream(
         lambda command: resp_array(command[1], "AGAIN", "gauges=inflight:7;util:0.61", b"")
     )
-    script = Scripted(RequestReceived=[ask()])
+    fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
         assert list(director.requests) == [TRACE]  # the module has not answered it yet
 
-    play(script, scene, (upstream, upstream))
-    (end,) = script.got(interface.AttemptFinished)
+    run_director(fake_router, scenario, (upstream, upstream))
+    (end,) = fake_router.events_of(interface.AttemptFinished)
     assert (end.result, end.request_closed, end.load_report) == ("full", False, (0.61, 7.0))
 
 
 def test_same_for_a_client_without_a_copy_is_no_answer():
     """Guards against a node that says the client's copy is the one when there is none."""
     upstream = FakeUpstream(lambda command: resp_array(command[1], "NOMOD", "-", b""))
-    script = Scripted(RequestReceived=[ask()])
+    fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
         assert not client.connection.frames
 
-    play(script, scene, (upstream, upstream))
-    assert script.got(interface.AttemptFinished)[0].result == "error"
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert fake_router.events_of(interface.AttemptFinished)[0].result == "error"
 
 
 @pytest.mark.parametrize("news", ["drain", "drain of the source", "move", "purge", "group purge", "other"])
 def test_what_waits_for_a_connection_is_taken_back_by_news(news):
     """Guards drains and purges: a dispatch that could not be sent yet is not sent later."""
-    script = Scripted(RequestReceived=[fetch("s-00000002")])
+    fake_router = FakeRouter(RequestReceived=[send_attempt_with_fill("s-00000002")])
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         upstream = director.pool.upstreams["s-00000001"]
-        director.admit(client, came(1, group="17"))
+        director.admit(client, request_frame(1, group="17"))
         (waiting,) = upstream.connections  # not up yet: the event loop had no turn
         if news.startswith("drain"):
             row = endpoint_config(
@@ -255,15 +258,15 @@
             event = {"index": 2, "evict": {**which, "unix_ms": 5}}
         told = read_director_config(configuration([], updates=[event]))
         director.discovery.apply(told.known[1])
-        taken = [end.result for end in script.got(interface.AttemptFinished)]
+        taken = [end.result for end in fake_router.events_of(interface.AttemptFinished)]
         assert taken == ([] if news == "other" else ["unsent"])
         assert bool(waiting.connection.pending_frames) is (news == "other")
 
-    play(script, scene)
+    run_director(fake_router, scenario)
 
 
 def test_timers_ring_and_time_outs_end_dispatches_in_order():
-    script = Scripted(
+    fake_router = FakeRouter(
         InstanceStarted=[
             lambda now: [
                 interface.SetTimer(600, "b"),
@@ -272,20 +275,20 @@
                 interface.RequestFullList(),
             ]
         ],
-        RequestReceived=[ask(after=400)],
+        RequestReceived=[send_attempt(after=400)],
         AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]],
     )
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
-        await until(lambda: len(script.got(interface.TimerFired)) == 2)
+        await wait_until(lambda: len(fake_router.events_of(interface.TimerFired)) == 2)
         assert client.connection.frames == [b"".join(client_wire.answer(1, 3, {}))]
 
     upstream = FakeUpstream(lambda command: None)
-    play(script, scene, (upstream, upstream))
-    assert [what.token for what in script.got(interface.TimerFired)] == ["a", "b"]
-    (end,) = script.got(interface.AttemptFinished)
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert [what.token for what in fake_router.events_of(interface.TimerFired)] == ["a", "b"]
+    (end,) = fake_router.events_of(interface.AttemptFinished)
     assert end.result == "timeout"
     assert end.duration >= 390
     assert not end.request_closed
@@ -294,18 +297,18 @@
 
 def test_a_connection_silent_through_a_time_out_takes_nothing_more():
     """Guards against connections to a machine that has vanished: they stay open and never answer."""
-    script = Scripted(
-        RequestReceived=[ask(after=200)],
-        AttemptFinished=[ask(after=200), lambda now: [interface.FailRequest(TRACE)]],
+    fake_router = FakeRouter(
+        RequestReceived=[send_attempt(after=200)],
+        AttemptFinished=[send_attempt(after=200), lambda now: [interface.FailRequest(TRACE)]],
     )
     upstream = FakeUpstream(lambda command: None)
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
-        await until(lambda: client.connection.frames)
+        await wait_until(lambda: client.connection.frames)
 
-    play(script, scene, (upstream, upstream))
+    run_director(fake_router, scenario, (upstream, upstream))
     assert upstream.next_command()[3] is not upstream.next_command()[3]
 
 
@@ -314,9 +317,9 @@
     """Guards against two dispatches out together: time-outs that cross between two connections were written
     connection by connection, so that the second dispatch of one came before the end of its first."""
     other = TRACE[::-1]
-    script = Scripted(
-        RequestReceived=[ask("s-00000001"), ask("s-00000002", name=other)],
-        AttemptFinished=[ask("s-00000002"), ask("s-00000001", name=other)],
+    fake_router = FakeRouter(
+        RequestReceived=[send_attempt("s-00000001"), send_attempt("s-00000002", request_id=other)],
+        AttemptFinished=[send_attempt("s-00000002"), send_attempt("s-00000001", request_id=other)],
     )
     reading = threading.Event()  # until then the first node takes one command and reads no further
     upstreams = (
@@ -324,11 +327,11 @@
         FakeUpstream(lambda command: None),
     )
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
-        director.admit(client, came(2, trace=other))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
+        director.admit(client, request_frame(2, trace=other))
         director.manager.flush()
-        await until(lambda: upstreams[0].request_ids and upstreams[1].request_ids)
+        await wait_until(lambda: upstreams[0].request_ids and upstreams[1].request_ids)
         first = director.pool.upstreams["s-00000001"].connections[0]
         if stuck:
             first.connection.write_now((b"x" * 2**24,))  # more than the system takes
@@ -343,9 +346,12 @@
         assert any(other.encode() in each for each in queued)
         assert not any(b"never_mind" in each for each in queued)
 
-    play(script, scene, upstreams)
+    run_director(fake_router, scenario, upstreams)
     reading.set()
-    assert [end.result for end in script.got(interface.AttemptFinished)][:2] == ["timeout", "timeout"]
+    assert [end.result for end in fake_router.events_of(interface.AttemptFinished)][:2] == [
+        "timeout",
+        "timeout",
+    ]
     if not stuck:
         assert upstreams[0].next_command("never_mind")[1] == TRACE
         assert upstreams[1].next_command("never_mind")[1] == other
@@ -359,7 +365,7 @@
     theirs.bind(("127.0.0.1", 0))
     theirs.settimeout(TIMEOUT_SECONDS)
     peers = [f"127.0.0.1:{each.getsockname()[1]}" for each in (ours, theirs)]
-    script = Scripted(
+    fake_router = FakeRouter(
         EndpointsUpdated=[
             lambda now: [
                 interface.SendHealthCheck("s-00000001"),
@@ -369,45 +375,50 @@
         ]
     )
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         director.manager.flush()
-        await until(lambda: script.got(interface.HealthCheckFinished))
+        await wait_until(lambda: fake_router.events_of(interface.HealthCheckFinished))
         assert [theirs.recv(300), theirs.recv(300)] == [b"one", b"all"]
         theirs.sendto(b"back", ours.getsockname())
-        await until(lambda: script.got(interface.GossipReceived))
+        await wait_until(lambda: fake_router.events_of(interface.GossipReceived))
 
-    play(script, scene, (upstream, upstream), ours, peers=peers, peers_all=peers[1])
-    (probed,) = script.got(interface.HealthCheckFinished)
+    run_director(fake_router, scenario, (upstream, upstream), ours, peers=peers, peers_all=peers[1])
+    (probed,) = fake_router.events_of(interface.HealthCheckFinished)
     assert (probed.endpoint_id, probed.result, probed.load_report) == ("s-00000001", "error", (0.5, 2.0))
-    assert script.got(interface.GossipReceived) == [interface.GossipReceived(1, b"back")]
+    assert fake_router.events_of(interface.GossipReceived) == [interface.GossipReceived(1, b"back")]
 
 
 def test_a_dispatch_past_its_time_or_after_the_end_is_never_sent():
-    script = Scripted(RequestReceived=[lambda now: [interface.SendAttempt(TRACE, "s-00000001", now - 1)]])
+    fake_router = FakeRouter(
+        RequestReceived=[lambda now: [interface.SendAttempt(TRACE, "s-00000001", now - 1)]]
+    )
     upstream = FakeUpstream()
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         client.open_requests.clear()
         director.on_client_disconnected(director.requests[TRACE])
         assert not director.requests
 
-    play(script, scene, (upstream, upstream))
-    assert script.got(interface.AttemptFinished)[0].result == RESULTS[AttemptEnd.NOT_SENT]
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert fake_router.events_of(interface.AttemptFinished)[0].result == RESULTS[AttemptEnd.NOT_SENT]
     assert upstream.commands.empty()
 
 
 def test_a_wait_before_reading_counts_against_the_clients_patience():
     """Guards against pauses of the program: what it reads first has waited already."""
-    script = Scripted()
+    fake_router = FakeRouter()
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         client.connection.unread_for = 0.2
-        director.admit(client, came(1, patience="900"))
+        director.admit(client, request_frame(1, patience="900"))
         director.monitor.loop_lag = 1000
-        director.admit(client, came(2, patience="900", trace=TRACE[::-1]))
+        director.admit(client, request_frame(2, patience="900", trace=TRACE[::-1]))
 
-    first, second = (what.time_remaining for what in play(script, scene).got(interface.RequestReceived))
+    first, second = (
+        what.time_remaining
+        for what in run_director(fake_router, scenario).events_of(interface.RequestReceived)
+    )
     assert 7000 < first <= 7500
     assert 6000 < second <= 6500
 
@@ -415,9 +426,9 @@
 def test_a_start_told_again_is_the_same_instant():
     """Guards against the two clocks drifting: a start that moves on looks like another restart, and a restart
     makes the module forget what it knew of the node."""
-    script = Scripted()
+    fake_router = FakeRouter()
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         for index in (2, 3):
             row = endpoint_config("s-00000001", "127.0.0.1:9", since_ms=1764576000123)
             event = {"index": index, "endpoints": {"endpoints": [row], "snapshot": False}}
@@ -425,7 +436,8 @@
             director.clock.from_unix = lambda unix_ms: 10**12
 
     _, first, second = (
-        what.endpoints[0].started_at for what in play(script, scene).got(interface.EndpointsUpdated)
+        what.endpoints[0].started_at
+        for what in run_director(fake_router, scenario).events_of(interface.EndpointsUpdated)
     )
     assert first == second < 10**12
 
@@ -446,7 +458,7 @@
     """Guards the memory on a long day on which new ids replace old ones all the time."""
     router = Router(read_director_config(configuration([])).deployment, 1)
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         for i in range(1000):
             new = endpoint_config(f"s-{i + 16:08x}", "127.0.0.1:9")
             director.discovery.apply(
@@ -455,32 +467,32 @@
             director.close_idle_connections()
         assert len(director.pool.upstreams) == len(router.upstreams.by_id) == 3
 
-    play(router, scene)
+    run_director(router, scenario)
 
 
 @pytest.mark.parametrize("written", [True, False, "and one times out"])
 def test_a_connection_that_breaks_is_one_failure_however_many_are_out_on_it(written):
     """Guards a healthy node's name against a reset, and the reqs beside against another wait."""
     names = [f"{i:016x}" for i in range(6)]
-    script = Scripted(RequestReceived=[ask(name=name) for name in names])
+    fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=name) for name in names])
     upstream = FakeUpstream(lambda command: None)
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         director.pool.connections_per_upstream = 1
         for i, name in enumerate(names):
-            director.admit(client, came(i + 1, trace=name))
+            director.admit(client, request_frame(i + 1, trace=name))
         (carrier,) = director.pool.upstreams["s-00000001"].connections
         if written:
             director.manager.flush()
-            await until(lambda: len(upstream.request_ids) == 6)
+            await wait_until(lambda: len(upstream.request_ids) == 6)
         else:
             carrier.connection.is_connected = True  # and nothing was written yet
         if isinstance(written, str):
             director.attempts.abandon(director.requests[names[0]].attempt, AttemptEnd.TIMED_OUT)
         carrier.connection.close(AttemptEnd.RESET)
 
-    play(script, scene, (upstream, upstream))
-    results = [end.result for end in script.got(interface.AttemptFinished)]
+    run_director(fake_router, scenario, (upstream, upstream))
+    results = [end.result for end in fake_router.events_of(interface.AttemptFinished)]
     ends = {True: ["reset"] + ["cancelled"] * 5, False: ["cut"] + ["unsent"] * 5}
     assert results == ends.get(written, ["timeout"] + ["cancelled"] * 5)
 
@@ -488,61 +500,65 @@
 @pytest.mark.parametrize("late", [True, False])
 def test_an_answer_that_stops_within_ends_its_connection_unless_it_is_we_who_are_late(late):
     upstream = FakeUpstream(lambda command: b"*4\r\n$1")
-    script = Scripted(RequestReceived=[ask()])
+    fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
         (carrier,) = director.pool.upstreams["s-00000001"].connections
-        await until(lambda: carrier.wire.has_partial_answer())
+        await wait_until(lambda: carrier.wire.has_partial_answer())
         carrier.connection.last_received_at -= 1
         carrier.connection.has_unread = lambda: late
         carrier.check_timeouts(director.clock.now(), 0)
         assert carrier.connection.is_closed is not late
 
-    play(script, scene, (upstream, upstream))
-    assert [end.result for end in script.got(interface.AttemptFinished)] == ([] if late else ["reset"])
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert [end.result for end in fake_router.events_of(interface.AttemptFinished)] == (
+        [] if late else ["reset"]
+    )
 
 
 def test_what_is_out_is_spread_over_connections_and_an_idle_one_is_used_again():
-    script = Scripted(RequestReceived=[ask(name=f"{i:016x}") for i in range(9)])
+    fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=f"{i:016x}") for i in range(9)])
     upstreams = FakeUpstream(), FakeUpstream()
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         director.pool.connections_per_upstream, links = 3, director.pool.upstreams["s-00000001"].connections
         for i in range(4):
-            director.admit(client, came(i + 1, trace=f"{i:016x}"))
+            director.admit(client, request_frame(i + 1, trace=f"{i:016x}"))
         assert [len(each.operations) for each in links] == [2, 1, 1]
         director.manager.flush()
-        await until(lambda: len(script.got(interface.AttemptFinished)) == 4)
-        director.admit(client, came(5, trace=f"{4:016x}"))
+        await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 4)
+        director.admit(client, request_frame(5, trace=f"{4:016x}"))
         assert len(links) == 3
         assert sum(len(each.operations) for each in links) == 1
 
-    play(script, scene, upstreams)
+    run_director(fake_router, scenario, upstreams)
 
 
 def test_connections_that_end_leave_no_circles():
     """Guards the memory while collection is rare: thousands of connections a minute must free themselves."""
     upstream = FakeUpstream(lambda command: resp_array(command[1], "NOENT", "-", b""))
-    script = Scripted(RequestReceived=[ask()], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]])
+    fake_router = FakeRouter(
+        RequestReceived=[send_attempt()], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]]
+    )
     seen = []
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         seen.extend(
             weakref.ref(each.connection) for each in director.pool.upstreams["s-00000001"].connections
         )
         seen.extend(weakref.ref(each) for each in director.pool.upstreams["s-00000001"].connections)
         director.manager.flush()
-        await until(lambda: client.connection.frames)
+        await wait_until(lambda: client.connection.frames)
         gc.collect()
         gc.disable()
         director.pool.upstreams["s-00000001"].connections[0].connection.close(AttemptEnd.CLOSED)
-        await until(lambda: not any(each() for each in seen))
+        await wait_until(lambda: not any(each() for each in seen))
 
     try:
-        play(script, scene, (upstream, upstream))
+        run_director(fake_router, scenario, (upstream, upstream))
     finally:
         gc.enable()
     assert len(seen) == 2
@@ -550,27 +566,27 @@
 
 def test_an_answer_older_than_was_asked_for_is_not_passed_on():
     """Guards purges against a node that forgets them."""
-    script = Scripted(RequestReceived=[fetch("s-00000002")])
+    fake_router = FakeRouter(RequestReceived=[send_attempt_with_fill("s-00000002")])
     upstream = FakeUpstream(
         lambda command: resp_array(command[1], "ACK", "digest=4b,dated=1764576000123,res=h", b"old")
     )
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
         assert not client.connection.frames
 
-    play(script, scene, (upstream, upstream))
-    assert script.got(interface.AttemptFinished)[0].result == "error"
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert fake_router.events_of(interface.AttemptFinished)[0].result == "error"
 
 
 def test_room_for_new_clients_is_made_by_those_who_waited_longest_and_no_more_than_needed():
     """Guards usual clients: one whose idle connection is closed comes back at once, so closing many of them
     makes a crowd (the incident r6d922e)."""
-    script = Scripted(RequestReceived=[ask()])
+    fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         clients, now = [], director.clock.now()
         for waited, asked in [(20000, True), (9000, True), (5000, False), (3000, True), (100, False)]:
             one = ClientConnection(director)
@@ -578,7 +594,7 @@
             one.waiting_since, one.usage = now - waited, Usage.REQUESTS if asked else Usage.NONE
             director.clients.add(one)
             clients.append(one)
-        director.admit(clients[0], came(1))
+        director.admit(clients[0], request_frame(1))
 
         def left():
             return [clients.index(one) for one in director.clients if one.phase is Phase.OPEN]
@@ -593,4 +609,4 @@
         assert left() == [0, 4, 3]
         assert not director.clients.reclaim_descriptor(True)
 
-    play(script, scene)
+    run_director(fake_router, scenario)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -44,27 +44,27 @@
     served_answer,
     settings,
 )
-from .test_director import TRACE, Scripted, ask, came, play, run_polled
+from .test_director import TRACE, FakeRouter, request_frame, run_director, run_with_selector, send_attempt
 
 DENIED = 2
 
 
-def request(stream, trace=TRACE):
+def request_bytes(stream, trace=TRACE):
     """A request's bytes."""
     fields = {"route": "film", "trace": trace, "patience": "9000", "entity": "7f3a9c21e0b4d655"}
     return b"".join(client_wire.frame(7, stream, client_wire.write_fields(fields)))
 
 
-def no_room(is_full):
+def reclaim_nothing(is_full):
     """Nobody can be ended to make room."""
     return False
 
 
-class Heard:
+class RecordingReceiver:
     """A receiver that keeps what came."""
 
     def __init__(self):
-        self.link, self.data, self.over = None, b"", False
+        self.link, self.data, self.is_closed = None, b"", False
 
     def on_connected(self, link):
         self.link = link
@@ -73,10 +73,10 @@
         self.data += bytes(data)
 
     def on_closed(self, link, ending):
-        self.over = True
+        self.is_closed = True
 
 
-def connected(scene):
+def run_with_connection(scenario):
     """Runs a scene with a link of a driver's and the plain socket at its other end; buffers are small."""
 
     async def run(selector):
@@ -85,17 +85,17 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         peer.connect(listener.getsockname())
         async with anyio.create_task_group() as tasks:
-            driver, heard = ConnectionManager(tasks, ResourceLimits(0, 0), selector), Heard()
-            driver.adopt(listener.accept()[0], heard)
-            heard.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            manager, receiver = ConnectionManager(tasks, ResourceLimits(0, 0), selector), RecordingReceiver()
+            manager.adopt(listener.accept()[0], receiver)
+            receiver.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             with anyio.fail_after(TIMEOUT_SECONDS):
-                await scene(heard, peer)
+                await scenario(receiver, peer)
             tasks.cancel_scope.cancel()
 
-    run_polled(run)
+    run_with_selector(run)
 
 
-async def all_of(peer):
+async def receive_all(peer):
     """What comes on a socket up to its orderly end; a reset raises."""
     peer.setblocking(False)
     data = b""
@@ -112,8 +112,8 @@
     """Guards drains, purges and clients that left while a peer reads nothing: a frame that lies in the ring
     behind others has not begun."""
 
-    async def scene(heard, peer):
-        link = heard.link
+    async def scenario(receiver, peer):
+        link = receiver.link
         frames = [link.write([bytes([65 + i]) * 3000, b"."]) for i in range(20)]
         link.send_pending()
         assert link.write_wait_scope is not None  # the system takes no more
@@ -123,34 +123,37 @@
         last = link.write([b"last"])
         link.finish()
         link.manager.flush()
-        data = await all_of(peer)
+        data = await receive_all(peer)
         expected = b"".join(bytes([65 + i]) * 3000 + b"." for i in range(len(begun)))
         assert data == expected + b"last"
         assert link.is_written(last)
         assert not link.manager.queued_bytes
 
-    connected(scene)
+    run_with_connection(scenario)
 
 
 def test_nothing_begins_for_a_client_that_left_where_nothing_may_be_called_off():
     """A dispatch that waits for its connection is not written once its client has gone."""
     upstream = FakeUpstream(has_all_objects=True)
-    script = Scripted(
-        RequestReceived=[ask(), lambda now: [interface.SendAttempt(TRACE[::-1], "s-00000001", now + 90000)]]
+    fake_router = FakeRouter(
+        RequestReceived=[
+            send_attempt(),
+            lambda now: [interface.SendAttempt(TRACE[::-1], "s-00000001", now + 90000)],
+        ]
     )
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         client.on_data(client.connection, memoryview(b"".join(client_wire.frame(9, 1))))
         director.manager.flush()
         (link,) = director.pool.upstreams["s-00000001"].connections
-        await until(lambda: link.connection.is_connected)
-        director.admit(client, came(2, trace=TRACE[::-1]))
+        await wait_until(lambda: link.connection.is_connected)
+        director.admit(client, request_frame(2, trace=TRACE[::-1]))
         director.manager.flush()
-        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
+        await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (upstream, upstream))
-    assert [end.result for end in script.got(interface.AttemptFinished)] == ["unsent", "done"]
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert [end.result for end in fake_router.events_of(interface.AttemptFinished)] == ["unsent", "done"]
     assert upstream.next_command()[1] == TRACE[::-1]
     assert upstream.request_ids == {TRACE[::-1]}
 
@@ -159,9 +162,9 @@
 def test_a_request_that_comes_as_a_resting_connection_is_ended_is_answered(by):
     """The bytes come right after the look for unread ones. The client is told first, and all that comes for a
     while after that is answered; then our side ends, and no reset takes anything along."""
-    script = Scripted(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]])
+    fake_router = FakeRouter(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]])
 
-    async def scene(director, _, until):
+    async def scenario(director, _, wait_until):
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
         client = ClientConnection(director)
@@ -174,44 +177,46 @@
             client.waiting_since, client.usage = now - 10**6, Usage.REQUESTS
             assert director.clients.reclaim_descriptor(True)
         assert client.phase is Phase.ANNOUNCED
-        peer.sendall(request(1))
+        peer.sendall(request_bytes(1))
         director.manager.flush()
         expected = b"".join(client_wire.goaway()) + b"".join(client_wire.answer(1, DENIED, {}))
-        await until(lambda: not client.open_requests and script.got(interface.RequestReceived))
+        await wait_until(
+            lambda: not client.open_requests and fake_router.events_of(interface.RequestReceived)
+        )
         client.waiting_since -= 10**6  # quiet for long enough
         client.check_timeouts(director.clock.now() + 10**6)
         assert client.phase is Phase.HALF_CLOSED
         client.close_not_before = director.clock.now() + 10**6
         director.manager.flush()
-        assert await all_of(peer) == expected
+        assert await receive_all(peer) == expected
         for _ in range(2):  # what comes later still meets no reset
             peer.sendall(b"more")
             await anyio.wait_all_tasks_blocked()
         assert not peer.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         peer.close()
-        await until(lambda: client not in director.clients)
+        await wait_until(lambda: client not in director.clients)
 
-    play(script, scene)
-    assert len(script.got(interface.RequestReceived)) == 1
+    run_director(fake_router, scenario)
+    assert len(fake_router.events_of(interface.RequestReceived)) == 1
 
 
 def test_a_connection_in_use_does_not_end_while_requests_come_on_it():
     """A client that goes on asking after the announcement is answered each time."""
-    script = Scripted(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]] * 3)
+    fake_router = FakeRouter(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]] * 3)
 
-    async def scene(director, _, until):
+    async def scenario(director, _, wait_until):
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
         client = ClientConnection(director)
         director.manager.adopt(listener.accept()[0], client)
         client.announce_close(CloseCause.IDLE, 100)
         for stream in (1, 2, 3):
-            peer.sendall(request(stream))
-            await until(lambda: director.diagnostics.counters["denied"] == stream)  # noqa: B023
+            peer.sendall(request_bytes(stream))
+            await wait_until(lambda: director.diagnostics.counters["denied"] == stream)  # noqa: B023
             client.check_timeouts(client.waiting_since + client.quiet_period - 1)
             assert client.phase is Phase.ANNOUNCED
 
-    play(script, scene)
+    run_director(fake_router, scenario)
 
 
 def test_a_second_answer_is_not_taken_for_the_next_dispatchs():
@@ -228,15 +233,15 @@
         return served_answer(command[1], b"the bytes") if conns[1] is not conns[0] else None
 
     upstream = FakeUpstream(handle_command)
-    script = Scripted(RequestReceived=[ask()], AttemptFinished=[ask()])
+    fake_router = FakeRouter(RequestReceived=[send_attempt()], AttemptFinished=[send_attempt()])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
-        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
+        await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (upstream, upstream))
-    assert [end.result for end in script.got(interface.AttemptFinished)] == ["error", "done"]
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert [end.result for end in fake_router.events_of(interface.AttemptFinished)] == ["error", "done"]
 
 
 @pytest.mark.parametrize("when", ["with the answer", "after it", "and never more"])
@@ -258,23 +263,25 @@
 
     upstream, other = FakeUpstream(handle_command), TRACE[::-1]
     first = lambda now: [interface.SendAttempt(TRACE, "s-00000001", now + 2000)]  # noqa: E731
-    script = Scripted(RequestReceived=[first, ask(name=other)], AttemptFinished=[lambda now: []])
+    fake_router = FakeRouter(
+        RequestReceived=[first, send_attempt(request_id=other)], AttemptFinished=[lambda now: []]
+    )
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         director.pool.transport = director.pool.transport._replace(connect_timeout=10**6)
-        director.admit(client, came(1))
+        director.admit(client, request_frame(1))
         director.manager.flush()
         (link,) = director.pool.upstreams["s-00000001"].connections
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
         more.set()
         if when == "after it":
-            await until(lambda: link.wire.has_partial_answer() or link.connection.is_closed)
-        director.admit(client, came(2, trace=other))
+            await wait_until(lambda: link.wire.has_partial_answer() or link.connection.is_closed)
+        director.admit(client, request_frame(2, trace=other))
         director.manager.flush()
-        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
+        await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (upstream, upstream))
-    assert script.got(interface.AttemptFinished)[1].result == "done"
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert fake_router.events_of(interface.AttemptFinished)[1].result == "done"
 
 
 def test_a_connection_that_its_node_has_closed_takes_no_dispatch():
@@ -286,22 +293,22 @@
         return served_answer(command[1], b"the bytes")
 
     upstream = FakeUpstream(handle_command)
-    script = Scripted(RequestReceived=[ask(), ask(name=other)])
+    fake_router = FakeRouter(RequestReceived=[send_attempt(), send_attempt(request_id=other)])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1))
         director.manager.flush()
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
         (link,) = director.pool.upstreams["s-00000001"].connections
         conns[0].shutdown(socket.SHUT_RDWR)
         while not link.connection.peer_has_closed():
             time.sleep(0.001)  # noqa: ASYNC251 - the event loop must have no turn
-        director.admit(client, came(2, trace=other))
+        director.admit(client, request_frame(2, trace=other))
         director.manager.flush()
-        await until(lambda: len(script.got(interface.AttemptFinished)) == 2)
+        await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 2)
 
-    play(script, scene, (upstream, upstream))
-    assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert [end.result for end in fake_router.events_of(interface.AttemptFinished)] == ["done", "done"]
 
 
 @pytest.mark.parametrize(
@@ -323,86 +330,91 @@
     upstream = FakeUpstream(
         lambda command: resp_array(command[1], "NOMOD", f"dated={int(time.time() * 1000)},{named}", b"")
     )
-    script = Scripted(RequestReceived=[ask()])
+    fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
-    async def scene(director, client, until):
-        director.admit(client, came(1, have="4be0c1927d55a6f3"))
+    async def scenario(director, client, wait_until):
+        director.admit(client, request_frame(1, have="4be0c1927d55a6f3"))
         director.manager.flush()
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
         assert not client.connection.frames
 
-    play(script, scene, (upstream, upstream))
-    assert script.got(interface.AttemptFinished)[0].result == "error"
+    run_director(fake_router, scenario, (upstream, upstream))
+    assert fake_router.events_of(interface.AttemptFinished)[0].result == "error"
 
 
 def test_the_coordinator_is_reached_while_no_descriptor_is_left_for_others():
     coordinator = FakeCoordinator()
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         director.manager.descriptor_limit = director.manager.open_sockets
         director.manager.task_group.start_soon(director.discovery.follow)
-        await until(
+        await wait_until(
             lambda: (
                 director.discovery.connection is not None
                 and director.discovery.connection.connection.is_connected
             )
         )
 
-    play(Scripted(), scene, coordinator=coordinator.address)
+    run_director(FakeRouter(), scenario, coordinator=coordinator.address)
 
 
 def test_an_idle_connection_to_a_node_makes_room_for_another_nodes():
     """Guards the way to nodes where there are more of them than descriptors."""
     upstreams = FakeUpstream(has_all_objects=True), FakeUpstream(has_all_objects=True)
-    script = Scripted(RequestReceived=[ask(), ask("s-00000002", name=TRACE[::-1])])
+    fake_router = FakeRouter(
+        RequestReceived=[send_attempt(), send_attempt("s-00000002", request_id=TRACE[::-1])]
+    )
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         director.manager.descriptor_limit = director.manager.open_sockets + 1
         for stream, trace in enumerate((TRACE, TRACE[::-1])):
-            director.admit(client, came(stream + 1, trace=trace))
+            director.admit(client, request_frame(stream + 1, trace=trace))
             director.manager.flush()
-            await until(
+            await wait_until(
                 lambda: (
-                    len(script.got(interface.AttemptFinished)) == director.diagnostics.counters["requests"]
+                    len(fake_router.events_of(interface.AttemptFinished))
+                    == director.diagnostics.counters["requests"]
                 )
             )
 
-    play(script, scene, upstreams)
-    assert [end.result for end in script.got(interface.AttemptFinished)] == ["done", "done"]
+    run_director(fake_router, scenario, upstreams)
+    assert [end.result for end in fake_router.events_of(interface.AttemptFinished)] == ["done", "done"]
 
 
 def test_reqs_read_when_all_is_said_are_answered_at_once_and_sent_nowhere():
-    script = Scripted()
+    fake_router = FakeRouter()
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         director.begin_shutdown(5000)
         director.stop_admitting()
         director.admission_deadline -= 1
-        director.admit(client, came(1))
+        director.admit(client, request_frame(1))
         assert client.connection.frames[-1] == b"".join(client_wire.answer(1, DENIED, {}))
 
-    play(script, scene)
-    assert not script.got(interface.RequestReceived)
+    run_director(fake_router, scenario)
+    assert not fake_router.events_of(interface.RequestReceived)
 
 
 def test_the_backlog_is_taken_before_the_listener_closes():
     async def run():
         async with anyio.create_task_group() as tasks:
-            driver, heard = ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()), []
+            manager, receivers = ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()), []
             listener = listen(Address("127.0.0.1", 0))
             at = listener.getsockname()
-            tasks.start_soon(driver.accept, listener, Heard, no_room)
+            tasks.start_soon(manager.accept, listener, RecordingReceiver, reclaim_nothing)
             await anyio.wait_all_tasks_blocked()
             peers = [socket.create_connection(at) for _ in range(3)]  # no turn for accept
-            await driver.close_listener(listener, lambda: heard.append(Heard()) or heard[-1], no_room, 5.0)
-            assert len(heard) == 3
-            assert all(each.link.is_connected for each in heard)
+            await manager.close_listener(
+                listener, lambda: receivers.append(RecordingReceiver()) or receivers[-1], reclaim_nothing, 5.0
+            )
+            assert len(receivers) == 3
+            assert all(each.link.is_connected for each in receivers)
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(at)
             for peer in peers:
                 peer.sendall(b"a req")
             with anyio.fail_after(TIMEOUT_SECONDS):
-                while any(each.data != b"a req" for each in heard):  # noqa: ASYNC110 - no event to wait for
+                while any(each.data != b"a req" for each in receivers):  # noqa: ASYNC110 - no event to wait for
                     await anyio.sleep(0.005)
             tasks.cancel_scope.cancel()
 
@@ -421,17 +433,17 @@
     """And not the end of the program: it resets what holds unread bytes. The backlog's one is ended too."""
     seen = []
 
-    async def scene(director, client, until):
+    async def scenario(director, client, wait_until):
         listener = listen(Address("127.0.0.1", 0))
         peers = [socket.create_connection(listener.getsockname()) for _ in range(2)]
         director.manager.adopt(listener.accept()[0], ClientConnection(director))
         began = time.monotonic()
         director.manager.task_group.start_soon(drain, director, listener)
         for peer in peers:
-            seen.append(await all_of(peer))
+            seen.append(await receive_all(peer))
         assert time.monotonic() - began < 1.0
 
-    play(Router, scene, settings=short_settings())
+    run_director(Router, scenario, settings=short_settings())
     assert seen == [b"".join(client_wire.goaway())] * 2
 
 
@@ -479,7 +491,7 @@
 def test_room_is_made_for_new_connections_while_the_program_ends():
     """Clients that rest hold all descriptors: they have been told of the end, and can go for others."""
 
-    async def scene(director, _, until):
+    async def scenario(director, _, wait_until):
         listener = listen(Address("127.0.0.1", 0))
         resting = []
         for _ in range(4):
@@ -491,7 +503,7 @@
         director.begin_shutdown(5 * SECOND)
         director.manager.descriptor_limit = director.manager.open_sockets
         late = socket.create_connection(listener.getsockname())
-        late.sendall(request(1))
+        late.sendall(request_bytes(1))
         await director.manager.close_listener(
             listener, lambda: ClientConnection(director), director.clients.reclaim_descriptor, 3.0
         )
@@ -500,23 +512,27 @@
             await anyio.wait_readable(late)
         assert late.recv(1000)
 
-    play(Scripted(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]]), scene)
+    run_director(FakeRouter(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]]), scenario)
 
 
 def test_a_repeat_that_waits_past_the_window_is_never_sent():
     """Guards 'no effect twice': repeats are dropped for a while, and the connection comes up after that."""
     late = lambda now: [interface.SendAttempt(TRACE, "s-00000001", now + 90000, now + 200)]  # noqa: E731
-    script = Scripted(RequestReceived=[late], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]])
+    fake_router = FakeRouter(
+        RequestReceived=[late], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]]
+    )
 
-    async def scene(director, client, until):
-        director.admit(client, came(1))  # not flushed: the connection is not up before the window ends
+    async def scenario(director, client, wait_until):
+        director.admit(
+            client, request_frame(1)
+        )  # not flushed: the connection is not up before the window ends
         (link,) = director.pool.upstreams["s-00000001"].connections
         link.connection.send_pending = lambda: None
-        await until(lambda: script.got(interface.AttemptFinished))
+        await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
         assert not link.connection.pending_frames
 
-    play(script, scene)
-    (end,) = script.got(interface.AttemptFinished)
+    run_director(fake_router, scenario)
+    (end,) = fake_router.events_of(interface.AttemptFinished)
     assert end.result == "unsent"
     assert end.duration < 10000
 
@@ -597,9 +613,12 @@
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            one, heard = ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()), Heard()
-            await one.close_listener(Backlog(), lambda: heard, no_room, 5.0)
-            assert heard.link is not None
+            one, receiver = (
+                ConnectionManager(tasks, ResourceLimits(0, 0), TimedSelector()),
+                RecordingReceiver(),
+            )
+            await one.close_listener(Backlog(), lambda: receiver, reclaim_nothing, 5.0)
+            assert receiver.link is not None
             assert not Backlog.found
             tasks.cancel_scope.cancel()
 
