--- a/tests/test_traffic_account.py
+++ b/tests/test_traffic_account.py
@@ -17,7 +17,15 @@
 from ironhinge.traffic.types import Outcome, Route, TransferKind
 
 from .helpers import free_port
-from .traffic_helpers import HOUR_MS, UNIX_MS, end, fill, new_ledger, start, transferred
+from .traffic_helpers import (
+    HOUR_MS,
+    UNIX_MS,
+    end_attempt,
+    new_ledger,
+    start_attempt,
+    transferred_bytes,
+    try_fill,
+)
 
 WARM_UP_FILLS = 30
 
@@ -27,42 +35,57 @@
     """A ledger that has seen fills of 10 KB which took 10 ms."""
     ledger = new_ledger()
     for number in range(WARM_UP_FILLS):
-        start(ledger, 0, f"w{number}")
-        end(ledger, 100, f"w{number}")
+        start_attempt(ledger, 0, f"w{number}")
+        end_attempt(ledger, 100, f"w{number}")
     return ledger
 
 
 def test_a_fill_is_booked_by_where_it_came_from():
     ledger = new_ledger()
     for name, source in (("r0", "p0"), ("r1", "p1"), ("r2", "o")):
-        start(ledger, 0, name, source)
-        end(ledger, 10, name)
-    assert [transferred(ledger, route=route) for route in Route] == [10_000, 10_000, 10_000, 0]
-    assert transferred(ledger, outcome=Outcome.STORED) == 30_000
+        start_attempt(ledger, 0, name, source)
+        end_attempt(ledger, 10, name)
+    assert [transferred_bytes(ledger, route=route) for route in Route] == [10_000, 10_000, 10_000, 0]
+    assert transferred_bytes(ledger, outcome=Outcome.STORED) == 30_000
 
 
 @pytest.mark.parametrize(
     ("ending", "booked", "guessed"),
     [
-        pytest.param({"note": 1}, 0, 0, id="hit"),
-        pytest.param({"note": 4}, 0, 0, id="joined: the attempt that began the fill has the bytes"),
-        pytest.param({"note": 3}, 10_000, 0, id="filled from the origin"),
-        pytest.param({"note": 2, "body": None}, 10_000, 10_000, id="the client's copy stands for it"),
-        pytest.param({"result": "miss", "note": 0, "body": None}, 0, 0, id="miss"),
-        pytest.param({"result": "full", "note": 9, "body": None}, 0, 0, id="rejected"),
-        pytest.param({"result": "unconnected", "note": 0, "body": None}, 0, 0, id="not connected"),
-        pytest.param({"result": "error", "note": 6, "body": None}, 0, 0, id="rejected by the source"),
+        pytest.param({"cache_status": 1}, 0, 0, id="hit"),
+        pytest.param({"cache_status": 4}, 0, 0, id="joined: the attempt that began the fill has the bytes"),
+        pytest.param({"cache_status": 3}, 10_000, 0, id="filled from the origin"),
+        pytest.param(
+            {"cache_status": 2, "body_size": None}, 10_000, 10_000, id="the client's copy stands for it"
+        ),
+        pytest.param({"result": "miss", "cache_status": 0, "body_size": None}, 0, 0, id="miss"),
+        pytest.param({"result": "full", "cache_status": 9, "body_size": None}, 0, 0, id="rejected"),
+        pytest.param(
+            {"result": "unconnected", "cache_status": 0, "body_size": None}, 0, 0, id="not connected"
+        ),
+        pytest.param(
+            {"result": "error", "cache_status": 6, "body_size": None}, 0, 0, id="rejected by the source"
+        ),
         pytest.param(
-            {"result": "timeout", "note": 0, "body": None, "took": 50},
+            {"result": "timeout", "cache_status": 0, "body_size": None, "duration": 50},
             5_000,
             5_000,
             id="timed out at half of its usual time",
         ),
         pytest.param(
-            {"result": "reset", "note": 0, "body": None, "took": 5000}, 10_000, 10_000, id="reset late"
+            {"result": "reset", "cache_status": 0, "body_size": None, "duration": 5000},
+            10_000,
+            10_000,
+            id="reset late",
         ),
         pytest.param(
-            {"result": "cancelled", "note": 0, "body": None, "took": 25, "closed": True},
+            {
+                "result": "cancelled",
+                "cache_status": 0,
+                "body_size": None,
+                "duration": 25,
+                "request_closed": True,
+            },
             2_500,
             2_500,
             id="cancelled at a quarter of its usual time",
@@ -70,60 +93,60 @@
     ],
 )
 def test_each_end_books_what_can_be_known_of_it(warm, ending, booked, guessed):
-    before = transferred(warm)
-    start(warm, 200, "r")
-    end(warm, 300, "r", **ending)
+    before = transferred_bytes(warm)
+    start_attempt(warm, 200, "r")
+    end_attempt(warm, 300, "r", **ending)
     found = warm.account.transfers("period")
-    assert transferred(warm) - before == booked
+    assert transferred_bytes(warm) - before == booked
     assert sum(record.guessed for record in found) == guessed
     assert not warm.attempts
 
 
 def test_an_unresponsive_source_gave_nothing_and_neither_did_one_that_refuses(warm):
-    before = transferred(warm)
-    start(warm, 200, "r0")
-    start(warm, 300, "r1")
-    end(warm, 15_000, "r0", "timeout", 0, None, 14_800)
-    assert transferred(warm) == before
-    end(warm, 15_000, "r1", "error", 7, None, 3)
-    assert transferred(warm) == before
-    start(warm, 16_000, "slow")
-    start(warm, 16_001, "beside")
-    end(warm, 16_100, "beside")
-    end(warm, 31_000, "slow", "timeout", 0, None, 15_000)
-    assert transferred(warm) == before + 20_000
+    before = transferred_bytes(warm)
+    start_attempt(warm, 200, "r0")
+    start_attempt(warm, 300, "r1")
+    end_attempt(warm, 15_000, "r0", "timeout", 0, None, 14_800)
+    assert transferred_bytes(warm) == before
+    end_attempt(warm, 15_000, "r1", "error", 7, None, 3)
+    assert transferred_bytes(warm) == before
+    start_attempt(warm, 16_000, "slow")
+    start_attempt(warm, 16_001, "beside")
+    end_attempt(warm, 16_100, "beside")
+    end_attempt(warm, 31_000, "slow", "timeout", 0, None, 15_000)
+    assert transferred_bytes(warm) == before + 20_000
 
 
 def test_before_any_answer_no_bytes_are_guessed():
     ledger = new_ledger()
-    start(ledger, 0, "r", size=100.0)
-    end(ledger, 50, "r", "cancelled", 0, None, 50, True)
-    assert transferred(ledger) == 0
+    start_attempt(ledger, 0, "r", size=100.0)
+    end_attempt(ledger, 50, "r", "cancelled", 0, None, 50, True)
+    assert transferred_bytes(ledger) == 0
 
 
 def test_wasted_repeated_revalidated_and_passed_through_bytes_are_told_apart():
     ledger = new_ledger()
-    start(ledger, 0, "first", source="p0")
-    end(ledger, 0, "first", took=90)
-    start(ledger, 0, "r", rank=0)
-    end(ledger, 5, "r", "timeout", 0, None, 100)
-    start(ledger, 10, "r")
-    end(ledger, 20, "r")
-    assert transferred(ledger, outcome=Outcome.WASTED) == 10_000
-    assert transferred(ledger, outcome=Outcome.REPEATED) == 10_000
-    start(ledger, 30, "old", revalidates=True)
-    end(ledger, 40, "old", note=5)
-    assert transferred(ledger, outcome=Outcome.WASTED) == 20_000
-    start(ledger, 50, "by", source="", endpoint="p1")  # past the caches
-    end(ledger, 60, "by")
-    assert transferred(ledger, outcome=Outcome.PASSED_THROUGH) == 10_000
+    start_attempt(ledger, 0, "first", source_id="p0")
+    end_attempt(ledger, 0, "first", duration=90)
+    start_attempt(ledger, 0, "r", admission_rank=0)
+    end_attempt(ledger, 5, "r", "timeout", 0, None, 100)
+    start_attempt(ledger, 10, "r")
+    end_attempt(ledger, 20, "r")
+    assert transferred_bytes(ledger, outcome=Outcome.WASTED) == 10_000
+    assert transferred_bytes(ledger, outcome=Outcome.REPEATED) == 10_000
+    start_attempt(ledger, 30, "old", revalidates=True)
+    end_attempt(ledger, 40, "old", cache_status=5)
+    assert transferred_bytes(ledger, outcome=Outcome.WASTED) == 20_000
+    start_attempt(ledger, 50, "by", source_id="", endpoint_id="p1")  # past the caches
+    end_attempt(ledger, 60, "by")
+    assert transferred_bytes(ledger, outcome=Outcome.PASSED_THROUGH) == 10_000
     assert not ledger.requests_with_transfers
 
 
 def test_what_hubs_drew_from_the_origin_is_booked_beside():
     ledger = new_ledger()
-    start(ledger, 0, "r")
-    end(ledger, 10, "r", note=3)
+    start_attempt(ledger, 0, "r")
+    end_attempt(ledger, 10, "r", cache_status=3)
     found = [(record.transferred, record.from_origin) for record in ledger.account.transfers("period")]
     assert found == [(10_000, 10_000)]
 
@@ -179,8 +202,8 @@
 def test_metrics_show_what_is_booked():
     ledger = new_ledger('r: {rate: "100KB/s", burst: "50KB", begin: "full"}')
     port = free_port()
-    fill(ledger, 0, "r0")
-    end(ledger, 0, "r0")
+    try_fill(ledger, 0, "r0")
+    end_attempt(ledger, 0, "r0")
     metrics = MetricsExporter(records.Metrics(port, "127.0.0.1"))
     try:
         metrics.publish(ledger)
--- a/tests/test_traffic_budgets.py
+++ b/tests/test_traffic_budgets.py
@@ -13,12 +13,12 @@
     REMOVED,
     SECOND,
     UNIX_MS,
-    end,
+    end_attempt,
     endpoint_in,
-    fill,
     new_ledger,
-    transferred,
-    update,
+    transferred_bytes,
+    try_fill,
+    update_endpoints,
 )
 
 RATE = 'r: {rate: "100KB/s", burst: "50KB", begin: "full"}'
@@ -26,21 +26,21 @@
 
 def test_a_rate_with_its_burst_holds_and_says_when_there_is_room():
     ledger = new_ledger(RATE)
-    waits = [fill(ledger, 0, f"r{number}") for number in range(7)]
+    waits = [try_fill(ledger, 0, f"r{number}") for number in range(7)]
     assert waits == [0] * 5 + [1001] * 2  # 10 KB at 100 KB a second
-    assert fill(ledger, 999, "early")
-    assert not fill(ledger, 1001, "then")
-    assert not fill(ledger, 0, "own", source="p0"), "the own hub is not of this budget"
+    assert try_fill(ledger, 999, "early")
+    assert not try_fill(ledger, 1001, "then")
+    assert not try_fill(ledger, 0, "own", source_id="p0"), "the own hub is not of this budget"
 
 
 def test_fills_in_flight_are_charged_and_then_settled():
     ledger = new_ledger(RATE)
     regular = ledger.budgets["r"].regular
     for number in range(5):
-        fill(ledger, 0, f"r{number}")
-    end(ledger, 0, "r0", note=1)  # a hit after all
-    assert not fill(ledger, 0, "again")
-    end(ledger, 0, "r1", body=20_000)  # more than the request told
+        try_fill(ledger, 0, f"r{number}")
+    end_attempt(ledger, 0, "r0", cache_status=1)  # a hit after all
+    assert not try_fill(ledger, 0, "again")
+    end_attempt(ledger, 0, "r1", body_size=20_000)  # more than the request told
     assert regular.buckets[0].level == -10_000
     assert regular.spent == 20_000
     assert regular.outstanding == 40_000
@@ -48,22 +48,22 @@
 
 def test_sizes_that_are_not_told_are_taken_for_the_most_that_were_seen():
     ledger = new_ledger(RATE)
-    fill(ledger, 0, "r0", size=0)
-    end(ledger, 0, "r0", body=30_000)
-    assert fill(ledger, 0, "r1", size=0) == 1001, "30 KB of 50 are spent, and as much is needed"
-    assert not fill(ledger, 1001, "r2", size=0)
+    try_fill(ledger, 0, "r0", size=0)
+    end_attempt(ledger, 0, "r0", body_size=30_000)
+    assert try_fill(ledger, 0, "r1", size=0) == 1001, "30 KB of 50 are spent, and as much is needed"
+    assert not try_fill(ledger, 1001, "r2", size=0)
     assert ledger.budgets["r"].regular.outstanding == 30_000
 
 
 def test_a_sum_is_paced_over_what_remains_of_its_period():
     ledger = new_ledger('s: {sum: "3600KB", ahead: 0.01}')
-    assert fill(ledger, 0, "r0")
-    assert not fill(ledger, 10 * SECOND + 1, "r1")
+    assert try_fill(ledger, 0, "r0")
+    assert not try_fill(ledger, 10 * SECOND + 1, "r1")
     fills = 0
     for second in range(3600):
         ledger.handle(second * SECOND, ClockTick(UNIX_MS + second * 1000))
-        while not fill(ledger, second * SECOND, f"x{fills}"):
-            end(ledger, second * SECOND, f"x{fills}")
+        while not try_fill(ledger, second * SECOND, f"x{fills}"):
+            end_attempt(ledger, second * SECOND, f"x{fills}")
             fills += 1
     assert 3_500_000 <= fills * 10_000 + 10_000 <= 3_600_000
 
@@ -73,16 +73,16 @@
         'all: {rate: "20KB/s", burst: "20KB", begin: "full", ways: ["own-hub", "other-hub"]}\n'
         'far: {rate: "1MB/s", begin: "full", within: "all"}'
     )
-    assert not fill(ledger, 0, "r0")
-    assert not fill(ledger, 0, "r1", source="p0")
-    assert fill(ledger, 0, "r2")
-    assert fill(ledger, 0, "r3", source="p0")
+    assert not try_fill(ledger, 0, "r0")
+    assert not try_fill(ledger, 0, "r1", source_id="p0")
+    assert try_fill(ledger, 0, "r2")
+    assert try_fill(ledger, 0, "r3", source_id="p0")
 
 
 def test_directors_that_request_the_last_of_it_at_once_stay_within_their_parts():
     topology = new_deployment(router_count=8, local_router_count=2)
     ledgers = [new_ledger(RATE, topology), new_ledger(RATE, topology)]
-    fills = sum(not fill(ledger, 0, f"r{number}") for number in range(20) for ledger in ledgers)
+    fills = sum(not try_fill(ledger, 0, f"r{number}") for number in range(20) for ledger in ledgers)
     assert fills == 4  # 2 x 25 KB
 
 
@@ -164,16 +164,18 @@
 
 def test_a_dead_hub_diverts_fills_that_draw_on_the_allowance_until_it_returns(ledger, preferring):
     object_id = preferring["p0"][0]
-    assert not fill(ledger, 0, "r0", object_id=preferring["p1"][0])
-    assert fill(ledger, 0, "r1", object_id=preferring["p1"][1]), "fills from preferred hubs have no allowance"
-    update(ledger, 0, P0_REMOVED)
-    allowed = [not fill(ledger, 0, f"f{number}", object_id=object_id) for number in range(6)]
+    assert not try_fill(ledger, 0, "r0", object_id=preferring["p1"][0])
+    assert try_fill(ledger, 0, "r1", object_id=preferring["p1"][1]), (
+        "fills from preferred hubs have no allowance"
+    )
+    update_endpoints(ledger, 0, P0_REMOVED)
+    allowed = [not try_fill(ledger, 0, f"f{number}", object_id=object_id) for number in range(6)]
     assert allowed == [True, True, True, False, False, False]
     for number in range(3):
-        end(ledger, 10, f"f{number}")
-    assert transferred(ledger, diverted=True) == 30_000
+        end_attempt(ledger, 10, f"f{number}")
+    assert transferred_bytes(ledger, diverted=True) == 30_000
     assert ledger.budgets["e"].emergency.spent == 30_000
-    update(ledger, 20, ENDPOINTS[2]._replace(started_at=20))
+    update_endpoints(ledger, 20, ENDPOINTS[2]._replace(started_at=20))
     assert not is_diverted(ledger, object_id, "p0")
     assert is_diverted(ledger, object_id, "p1"), "while it warms up others serve, diverted"
 
@@ -181,17 +183,19 @@
 def test_a_hub_that_flaps_opens_no_second_allowance(ledger, preferring):
     object_id, fills = preferring["p0"][0], 0
     for turn in range(20):
-        update(ledger, turn, P0_REMOVED)
-        fills += sum(not fill(ledger, turn, f"{turn}.{number}", object_id=object_id) for number in range(5))
-        update(ledger, turn, ENDPOINTS[2]._replace(started_at=turn))
+        update_endpoints(ledger, turn, P0_REMOVED)
+        fills += sum(
+            not try_fill(ledger, turn, f"{turn}.{number}", object_id=object_id) for number in range(5)
+        )
+        update_endpoints(ledger, turn, ENDPOINTS[2]._replace(started_at=turn))
     assert fills <= 4 + 1
 
 
 def test_departed_hubs_are_forgotten_in_time_and_number(ledger):
     for now in range(500):
         hub = endpoint_in(2, f"p{now + 9}")
-        update(ledger, now, hub)
-        update(ledger, now, hub._replace(state=REMOVED))
+        update_endpoints(ledger, now, hub)
+        update_endpoints(ledger, now, hub._replace(state=REMOVED))
     assert len(ledger.directory.removed_at) <= 10
     assert len(ledger.directory.hubs) <= 12
     ledger.handle(700 * SECOND, ClockTick(UNIX_MS))
--- a/tests/test_traffic_exchange.py
+++ b/tests/test_traffic_exchange.py
@@ -11,7 +11,7 @@
 from ironhinge.traffic.types import BroadcastDatagram, ClockTick, DatagramReceived
 
 from .helpers import new_deployment, request_received
-from .traffic_helpers import SECOND, UNIX_MS, end, fill, new_ledger
+from .traffic_helpers import SECOND, UNIX_MS, end_attempt, new_ledger, try_fill
 
 BUDGETS = 'r: {rate: "100KB/s", burst: "100KB"}\ns: {sum: "2000KB"}'
 RATE_ONLY = BUDGETS.split("\n")[0]
@@ -32,8 +32,8 @@
 def fill_all(ledger, now, name):
     """Fills until there is no more room; returns how many."""
     fills = 0
-    while not fill(ledger, now, f"{name}.{fills}"):
-        end(ledger, now, f"{name}.{fills}")
+    while not try_fill(ledger, now, f"{name}.{fills}"):
+        end_attempt(ledger, now, f"{name}.{fills}")
         fills += 1
     return fills
 
@@ -43,7 +43,7 @@
     for _ in range(2000):
         decode(random.randbytes(random.randrange(300)))
         decode(b"i1" + random.randbytes(random.randrange(280)))
-    (good,) = tick(new_ledger(BUDGETS, peer_index=1, more=SHARE), SECOND)
+    (good,) = tick(new_ledger(BUDGETS, peer_index=1, more_settings=SHARE), SECOND)
     assert len(good) <= MAX_BYTES
     assert decode(good).sender == 1
     assert all(decode(good[:cut]) is None or cut >= 16 for cut in range(len(good)))
@@ -89,8 +89,8 @@
             greedy = peers[random.randrange(count)]
             for _ in range(8):
                 number += 1
-                if not fill(greedy, now, f"r{number}"):
-                    end(greedy, now, f"r{number}")
+                if not try_fill(greedy, now, f"r{number}"):
+                    end_attempt(greedy, now, f"r{number}")
                     spent += 10_000
         assert spent <= 100_000 + 100_000 * now / SECOND + 1
     assert spent <= 2_000_000
--- a/tests/test_traffic_restarts.py
+++ b/tests/test_traffic_restarts.py
@@ -14,7 +14,7 @@
 from ironhinge.traffic.snapshot import Snapshot, pack, unpack
 from ironhinge.traffic.types import ClockTick, LogNotice
 
-from .traffic_helpers import HOUR_MS, SECOND, UNIX_MS, end, fill, new_ledger, transferred
+from .traffic_helpers import HOUR_MS, SECOND, UNIX_MS, end_attempt, new_ledger, transferred_bytes, try_fill
 
 SUM = 's: {sum: "100KB", ahead: 1, begin: "full"}'
 
@@ -51,14 +51,14 @@
 def test_a_new_period_opens_its_sums_and_counts_what_is_in_flight_in_it():
     ledger = new_ledger(SUM)
     for number in range(10):
-        assert not fill(ledger, 0, f"r{number}")
-    assert fill(ledger, 0, "none")
+        assert not try_fill(ledger, 0, f"r{number}")
+    assert try_fill(ledger, 0, "none")
     later = 3600 * SECOND
     ledger.handle(later, ClockTick(UNIX_MS + HOUR_MS))
     quota = ledger.budgets["s"].regular.buckets[0]
     assert quota.remaining == 0, "all that is in flight may still come in the new period"
     for number in range(10):
-        end(ledger, later, f"r{number}", note=1)
+        end_attempt(ledger, later, f"r{number}", cache_status=1)
     assert quota.remaining == 100_000
 
 
@@ -70,7 +70,7 @@
         ledger = new_ledger('s: {sum: "3600KB"}', now=begun * SECOND, unix_ms=UNIX_MS + begun * 1000)
         for second in range(begun, killed):
             number = 0
-            while not fill(ledger, second * SECOND, f"{incarnation}.{second}.{number}"):
+            while not try_fill(ledger, second * SECOND, f"{incarnation}.{second}.{number}"):
                 spent += 10_000
                 number += 1
         begun = killed
@@ -115,24 +115,24 @@
     """The state of a ledger that has spent 40 KB: the last one of its incarnation, and one that is not."""
     ledger = new_ledger(SUM)
     for number in range(4):
-        fill(ledger, 0, f"r{number}")
-        end(ledger, 0, f"r{number}")
+        try_fill(ledger, 0, f"r{number}")
+        end_attempt(ledger, 0, f"r{number}")
     return ledger_state.capture(ledger, is_final=True), ledger_state.capture(ledger, is_final=False)
 
 
 def test_a_restart_goes_on_and_says_what_it_can_not_know(states):
     final, unfinished = states
     again, notices = restart(final, UNIX_MS + 2000)
-    assert transferred(again) == 40_000
+    assert transferred_bytes(again) == 40_000
     assert not notices
     assert again.unknown_ms == 0
     assert again.budgets["s"].regular.buckets[0].remaining == 60_000
     again, notices = restart(unfinished, UNIX_MS + 2000)
-    assert transferred(again) == 40_000
+    assert transferred_bytes(again) == 40_000
     assert again.unknown_ms == 2000
     assert notices == [LogNotice(TIME_UNACCOUNTED, {"duration_ms": 2000})]
     assert again.budgets["s"].regular.buckets[0].remaining <= 0, "what may have been spent counts as spent"
-    assert fill(again, 0, "more")
+    assert try_fill(again, 0, "more")
 
 
 def test_a_restart_after_the_clock_was_set_back_goes_on_from_the_snapshot(states):
--- a/tests/test_traffic_streams.py
+++ b/tests/test_traffic_streams.py
@@ -7,7 +7,15 @@
 from ironhinge.traffic.types import ClockTick
 
 from .helpers import new_deployment
-from .traffic_helpers import SECOND, UNIX_MS, end, fill, new_ledger, start, transferred
+from .traffic_helpers import (
+    SECOND,
+    UNIX_MS,
+    end_attempt,
+    new_ledger,
+    start_attempt,
+    transferred_bytes,
+    try_fill,
+)
 
 STREAMS = 'l: {rate: "100KB/s", burst: "100KB", begin: "full", streams: {part: 0.8, interval: "500ms"}}'
 INTERVAL = SECOND // 2
@@ -24,7 +32,7 @@
 
 
 def first_segment(ledger, now, name, viewer, **request):
-    return fill(ledger, now, name, object_id=viewer, connection_id=viewer + 1, **request)
+    return try_fill(ledger, now, name, object_id=viewer, connection_id=viewer + 1, **request)
 
 
 def play_streams(budgets, per_second, segments=10, seconds=40, body=10):
@@ -44,7 +52,7 @@
             if segment and tries < 2:
                 due.append((now + 1000, viewer, segment, tries + 1))
             continue
-        end(ledger, now, name, body=body * 1000)
+        end_attempt(ledger, now, name, body_size=body * 1000)
         begun += segment == 0
         complete += segment == segments - 1
         if segment < segments - 1:
@@ -58,16 +66,16 @@
     share_without, _, ledger_without = play_streams(without, 3)
     assert share >= 0.97
     assert share_without + 0.03 < 0.97
-    assert transferred(ledger) <= transferred(ledger_without)
+    assert transferred_bytes(ledger) <= transferred_bytes(ledger_without)
     assert begun >= 30
-    assert transferred(ledger) <= 100_000 * 45 + 100_000
+    assert transferred_bytes(ledger) <= 100_000 * 45 + 100_000
 
 
 def test_a_stream_that_needs_no_fills_for_a_while_stays_open(ledger, reservations):
-    fill(ledger, 0, "r0", object_id=1, connection_id=1)
+    try_fill(ledger, 0, "r0", object_id=1, connection_id=1)
     for segment in range(1, 12):
         now = segment * INTERVAL
-        start(ledger, now, f"r{segment}", source="", object_id=1, connection_id=1, part=segment)
+        start_attempt(ledger, now, f"r{segment}", source_id="", object_id=1, connection_id=1, part=segment)
     assert reservations.stream_count == 1
     ledger.handle(12 * INTERVAL + 4 * SECOND, ClockTick(UNIX_MS))
     assert reservations.stream_count == 0
@@ -80,7 +88,7 @@
     present = new.budgets["l"].reservations
     new.streams.adopt(ledger.streams, {id(reservations): present})
     assert present.stream_count == 3
-    assert not fill(new, INTERVAL, "next", object_id=1, connection_id=2, part=1)
+    assert not try_fill(new, INTERVAL, "next", object_id=1, connection_id=2, part=1)
     new.handle(9 * SECOND, ClockTick(UNIX_MS))
     assert (present.stream_count, present.rate) == (0, 0)
 
@@ -89,20 +97,20 @@
     for viewer in range(4):
         first_segment(ledger, 0, f"r{viewer}", viewer)
     assert reservations.stream_count == 4
-    assert fill(ledger, 0, "more", object_id=9, connection_id=9), "80 KB a second are reserved"
+    assert try_fill(ledger, 0, "more", object_id=9, connection_id=9), "80 KB a second are reserved"
     ledger.handle(4 * SECOND, ClockTick(UNIX_MS + 4000))
     found = (reservations.stream_count, reservations.rate, reservations.segment_bytes)
     assert found == (0, 0, 0)
-    assert not fill(ledger, 4 * SECOND, "then", object_id=9, connection_id=9)
+    assert not try_fill(ledger, 4 * SECOND, "then", object_id=9, connection_id=9)
 
 
 def test_a_flood_of_first_segments_reserves_no_more_than_its_share_and_not_for_long(ledger, reservations):
     for viewer in range(2000):
         first_segment(ledger, viewer, f"f{viewer}", viewer)
-        end(ledger, viewer, f"f{viewer}", note=1)
+        end_attempt(ledger, viewer, f"f{viewer}", cache_status=1)
     assert reservations.rate <= 1.01 * reservations.max_rate
     assert reservations.reserved_bytes() <= reservations.max_bytes
-    wait_time = fill(ledger, 2000, "card", class_index=0, object_id=5000, connection_id=9999)
+    wait_time = try_fill(ledger, 2000, "card", class_index=0, object_id=5000, connection_id=9999)
     assert not wait_time or reservations.stream_count <= 4
     ledger.handle(2 * SECOND, ClockTick(UNIX_MS + 2000))
     assert reservations.stream_count == 0
@@ -116,7 +124,9 @@
     ledger = new_ledger(STREAMS, topology)
     for viewer in range(3):
         first_segment(ledger, 0, f"s{viewer}", viewer)
-    fills = sum(not fill(ledger, 0, f"o{index}", class_index=1, object_id=100 + index) for index in range(20))
+    fills = sum(
+        not try_fill(ledger, 0, f"o{index}", class_index=1, object_id=100 + index) for index in range(20)
+    )
     assert fills == 4  # of 70 KB, 30 KB stay for the next segments
     for viewer in range(3):
         assert not first_segment(ledger, 0, f"t{viewer}", viewer, part=1)
@@ -124,12 +134,12 @@
 
 def test_ten_thousand_streams_stay_within_their_memory():
     budgets = 'l: {rate: "10GB/s", burst: "10GB", begin: "full", streams: {}}'
-    ledger = new_ledger(budgets, more="most_streams: 10000")
+    ledger = new_ledger(budgets, more_settings="most_streams: 10000")
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for viewer in range(12_000):
         assert not first_segment(ledger, 0, f"r{viewer}", viewer)
-        end(ledger, 0, f"r{viewer}")
+        end_attempt(ledger, 0, f"r{viewer}")
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     assert len(ledger.streams) == 10_000
--- a/tests/traffic_helpers.py
+++ b/tests/traffic_helpers.py
@@ -14,8 +14,8 @@
 REMOVED = interface.EndpointState.REMOVED
 
 
-def endpoint_in(zone, name):
-    return new_endpoint(name)._replace(zone=zone)
+def endpoint_in(zone, endpoint_id):
+    return new_endpoint(endpoint_id)._replace(zone=zone)
 
 
 ENDPOINTS = (
@@ -27,14 +27,16 @@
 )
 
 
-def load_config(budgets="", more=""):
-    text = 'traffic: {period: "1h"\n%s\nbudgets: {%s}}' % (more, budgets)  # noqa: UP031 - full of braces
-    return load_texts([("f", text)]).operations.traffic
+def load_config(budgets="", more_settings=""):
+    source = 'traffic: {period: "1h"\n%s\nbudgets: {%s}}' % (more_settings, budgets)  # noqa: UP031 - full of braces
+    return load_texts([("f", source)]).operations.traffic
 
 
-def new_ledger(budgets="", topology=None, peer_index=0, incarnation=1, more="", now=0, unix_ms=UNIX_MS):
+def new_ledger(
+    budgets="", topology=None, peer_index=0, incarnation=1, more_settings="", now=0, unix_ms=UNIX_MS
+):
     ledger = TrafficLedger(
-        load_config(budgets, more),
+        load_config(budgets, more_settings),
         topology or new_deployment(router_count=1, local_router_count=1),
         DirectorIdentity("n0", ZONES, CLASSES, peer_index),
         incarnation,
@@ -44,39 +46,52 @@
     return ledger
 
 
-def update(ledger, now, *endpoints):
+def update_endpoints(ledger, now, *endpoints):
     """Changes the endpoint list."""
     ledger.handle(now, interface.EndpointsUpdated(False, endpoints))
 
 
-def new_request(name, size=10.0, object_id=1, class_index=0, part=0, connection_id=0):
-    return request_received(name, object_id, class_index, size)._replace(
+def new_request(request_id, size=10.0, object_id=1, class_index=0, part=0, connection_id=0):
+    return request_received(request_id, object_id, class_index, size)._replace(
         part=part, connection_id=connection_id
     )
 
 
-def start(ledger, now, name, source="p1", rank=1, endpoint="c0", revalidates=False, **request):
+def start_attempt(
+    ledger, now, request_id, source_id="p1", admission_rank=1, endpoint_id="c0", revalidates=False, **request
+):
     """Sends an attempt, whatever the budgets say."""
-    event = AttemptStarted(new_request(name, **request), endpoint, source, rank, revalidates)
+    event = AttemptStarted(
+        new_request(request_id, **request), endpoint_id, source_id, admission_rank, revalidates
+    )
     ledger.handle(now, event)
 
 
-def end(ledger, now, name, result="done", note=2, body=10_000, took=100, closed=False):
-    ledger.handle(now, AttemptEnded(name, result, note, body, took, closed))
+def end_attempt(
+    ledger,
+    now,
+    request_id,
+    result="done",
+    cache_status=2,
+    body_size=10_000,
+    duration=100,
+    request_closed=False,
+):
+    ledger.handle(now, AttemptEnded(request_id, result, cache_status, body_size, duration, request_closed))
 
 
-def fill(ledger, now, name, source="p1", **request):
+def try_fill(ledger, now, request_id, source_id="p1", **request):
     """Sends an attempt if the budgets have room; returns the time until they do, else 0."""
-    wait_time = ledger.wait_time(now, new_request(name, **request), source)
+    wait_time = ledger.wait_time(now, new_request(request_id, **request), source_id)
     if not wait_time:
-        start(ledger, now, name, source, **request)
+        start_attempt(ledger, now, request_id, source_id, **request)
     return wait_time
 
 
-def transferred(ledger, **cut):
+def transferred_bytes(ledger, **kind_fields):
     """The bytes in the account of this period, by fields of their kind."""
     return sum(
         record.transferred
         for record in ledger.account.transfers("period")
-        if all(getattr(record.kind, name) == value for name, value in cut.items())
+        if all(getattr(record.kind, field) == value for field, value in kind_fields.items())
     )
