--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -295,10 +295,10 @@
         for command in router.handle(now, event):
             checker.check_command(now, command)
             if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill):
-                end = min(command.deadline, now + int(random.expovariate(1 / 3000)) + 1)
+                ends_at = min(command.deadline, now + int(random.expovariate(1 / 3000)) + 1)
                 in_flight.append(
                     (
-                        end,
+                        ends_at,
                         len(checker.requests) * 10 + len(checker.attempts[command.request_id]),
                         command,
                         len(checker.attempts[command.request_id]) - 1,
@@ -311,15 +311,20 @@
     while request_count < total_requests or in_flight:
         step_end = now + random.randrange(200)
         while in_flight and min(in_flight)[0] <= step_end:
-            end = min(in_flight)
-            in_flight.remove(end)
-            now, command, attempt_number, deadline = max(now, end[0]), end[2], end[3], end[4]
+            next_end = min(in_flight)
+            in_flight.remove(next_end)
+            now, command, attempt_number, deadline = (
+                max(now, next_end[0]),
+                next_end[2],
+                next_end[3],
+                next_end[4],
+            )
             result = random.choice(["done"] * 9 + ["miss", "full", "error", "reset", "unconnected"])
             result = (
                 "cancelled"
                 if command.request_id in checker.final_states
                 else "timeout"
-                if end[0] == deadline
+                if next_end[0] == deadline
                 else result
             )
             handle(
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -245,10 +245,10 @@
         director.admit(client, request_frame(1, group="17"))
         (waiting,) = upstream.connections  # not up yet: the event loop had no turn
         if news.startswith("drain"):
-            row = endpoint_config(
+            entry = endpoint_config(
                 "s-00000002" if "source" in news else "s-00000001", "127.0.0.1:9", status="DRAINING"
             )
-            event = {"index": 2, "endpoints": {"endpoints": [row], "snapshot": False}}
+            event = {"index": 2, "endpoints": {"endpoints": [entry], "snapshot": False}}
         elif news == "move":
             event = {"index": 2, "endpoints": {"endpoints": [endpoint_config("s-00000001", "127.0.0.1:9")]}}
         elif news == "other":
@@ -256,8 +256,8 @@
         else:
             which = {"ref": "7f3a9c21e0b4d655"} if news == "purge" else {"shard": 17}
             event = {"index": 2, "evict": {**which, "unix_ms": 5}}
-        told = read_director_config(configuration([], updates=[event]))
-        director.discovery.apply(told.known[1])
+        config = read_director_config(configuration([], updates=[event]))
+        director.discovery.apply(config.known[1])
         taken = [end.result for end in fake_router.events_of(interface.AttemptFinished)]
         assert taken == ([] if news == "other" else ["unsent"])
         assert bool(waiting.connection.pending_frames) is (news == "other")
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -50,8 +50,8 @@
 
 
 def config_for(upstream, **other):
-    rows = [endpoint_config("s-00000001", upstream.address)]
-    return configuration(rows, f"127.0.0.1:{free_port()}", **other)
+    endpoints = [endpoint_config("s-00000001", upstream.address)]
+    return configuration(endpoints, f"127.0.0.1:{free_port()}", **other)
 
 
 def wait_until(condition):
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -414,7 +414,7 @@
             for peer in peers:
                 peer.sendall(b"a req")
             with anyio.fail_after(TIMEOUT_SECONDS):
-                while any(each.data != b"a req" for each in receivers):  # noqa: ASYNC110 - no event to wait for
+                while any(each.data != b"a req" for each in receivers):  # noqa: ASYNC110 - no event to await
                     await anyio.sleep(0.005)
             tasks.cancel_scope.cancel()
 
@@ -424,8 +424,8 @@
 def short_settings():
     """Reqs live for 0.3 s, so that SIGKILL may come 1 s after SIGTERM."""
     custom_settings = settings()
-    for vhost in custom_settings["classes"]:
-        vhost.update(aim=100000, deadline=300000)
+    for request_class in custom_settings["classes"]:
+        request_class.update(aim=100000, deadline=300000)
     return custom_settings
 
 
@@ -538,12 +538,12 @@
 
 
 def test_a_repeat_is_to_begin_within_the_window_of_the_first():
-    one = new_router(new_deployment(cancellation_allowed=False))
-    first = one.handle(1000, request_received("a", class_index=2))[0]
-    then = one.handle(1100, attempt_finished(first, "reset"))[0]
+    router = new_router(new_deployment(cancellation_allowed=False))
+    first = router.handle(1000, request_received("a", class_index=2))[0]
+    then = router.handle(1100, attempt_finished(first, "reset"))[0]
     assert (first.start_deadline, then.start_deadline) == (
         0,
-        1000 + one.deployment.request_classes[2].dedup_window,
+        1000 + router.deployment.request_classes[2].dedup_window,
     )
 
 
@@ -556,19 +556,19 @@
     deployment = new_deployment(
         router_count=count, local_router_count=count, weight_kind="nominal", overload_window=10000
     )
-    many, seeds = [new_router(deployment, ("c0", "o")) for _ in range(count)], Random(count)
+    routers, seeds = [new_router(deployment, ("c0", "o")) for _ in range(count)], Random(count)
     start, total = 200000, 0
-    for one in many:
-        one.random.state = seeds.getrandbits(64)  # each has a seed of its own
-        one.handle(start, interface.EndpointsUpdated(False, (new_endpoint("c0", started_at=start),)))
-        one.slow_start.allows(start, one_request(one, start), one.upstreams.by_id["c0"])
+    for router in routers:
+        router.random.state = seeds.getrandbits(64)  # each has a seed of its own
+        router.handle(start, interface.EndpointsUpdated(False, (new_endpoint("c0", started_at=start),)))
+        router.slow_start.allows(start, one_request(router, start), router.upstreams.by_id["c0"])
     for at in range(start + 10000, start + deployment.slow_start_duration, 2500):
         sent = 0
-        for one in many:
-            cache, request = one.upstreams.by_id["c0"], one_request(one, at)
+        for router in routers:
+            cache, request = router.upstreams.by_id["c0"], one_request(router, at)
             before = cache.tokens, cache.tokens_updated_at
-            while one.slow_start.allows(at, request, cache):  # all that it would send at once
-                cache.tokens -= one.slow_start.cost(request, cache)
+            while router.slow_start.allows(at, request, cache):  # all that it would send at once
+                cache.tokens -= router.slow_start.cost(request, cache)
                 sent += 1
             cache.tokens, cache.tokens_updated_at = before
         share = (
@@ -577,7 +577,7 @@
             * (at - deployment.overload_window - start)
             / deployment.slow_start_duration
         )
-        cost = one.slow_start.cost(request, cache)
+        cost = router.slow_start.cost(request, cache)
         most = deployment.overload_multiple * share * 20.0 * deployment.overload_window / cost
         assert sent + SAFETY_SHARE * most <= most + 2 * most**0.5 + 2
         total += sent
@@ -585,10 +585,12 @@
 
 
 def test_a_warming_cache_has_a_cost_where_no_target_and_no_size_is_known():
-    vhosts = tuple(vhost._replace(latency_target=0) for vhost in new_deployment().request_classes)
-    one = new_router(new_deployment(request_classes=vhosts), ("c0", "o"))
-    one.handle(1000, interface.EndpointsUpdated(False, (new_endpoint("c0", started_at=1000),)))
-    assert one.handle(2000, request_received("a", size=0.0))
+    request_classes = tuple(
+        request_class._replace(latency_target=0) for request_class in new_deployment().request_classes
+    )
+    router = new_router(new_deployment(request_classes=request_classes), ("c0", "o"))
+    router.handle(1000, interface.EndpointsUpdated(False, (new_endpoint("c0", started_at=1000),)))
+    assert router.handle(2000, request_received("a", size=0.0))
 
 
 def test_a_failed_accept_takes_no_others_of_the_backlog_along(monkeypatch):
@@ -625,8 +627,8 @@
     anyio.run(run)
 
 
-def one_request(one, now):
-    return RequestState(request_received("x", size=500.0), one.request_classes[0], now, 1000)
+def one_request(router, now):
+    return RequestState(request_received("x", size=500.0), router.request_classes[0], now, 1000)
 
 
 def test_a_restarted_router_serves_also_where_all_caches_warm_up_and_none_has_a_weight():
@@ -634,8 +636,8 @@
     deployment = new_deployment(
         weight_kind="none", router_count=4, local_router_count=4, direct_to_source=False
     )
-    one, start = Router(deployment, 7), 10
-    one.handle(
+    router, start = Router(deployment, 7), 10
+    router.handle(
         start,
         interface.EndpointsUpdated(
             True, tuple(new_endpoint(n, started_at=start) for n in (*CACHES, "p0", "o"))
@@ -644,7 +646,7 @@
     commands = [
         command
         for i in range(200)
-        for command in one.handle(start + i * 500, request_received(f"a{i}", object_id=i, size=50.0))
+        for command in router.handle(start + i * 500, request_received(f"a{i}", object_id=i, size=50.0))
     ]
     assert any(
         type(command) in (interface.SendAttempt, interface.SendAttemptWithFill) for command in commands
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -38,10 +38,10 @@
             FakeUpstream(has_all_objects=True),
             FakeCoordinator(),
         )
-        rows = [endpoint_config(f"s-{i + 1:08x}", cache.address) for i, cache in enumerate(caches)]
-        rows.append(endpoint_config("s-000000ff", self.origin.address, "origin"))
+        endpoints = [endpoint_config(f"s-{i + 1:08x}", cache.address) for i, cache in enumerate(caches)]
+        endpoints.append(endpoint_config("s-000000ff", self.origin.address, "origin"))
         config = configuration(
-            rows, f"127.0.0.1:{free_port()}", updates, coordinator=self.coordinator.address
+            endpoints, f"127.0.0.1:{free_port()}", updates, coordinator=self.coordinator.address
         )
         config.update(other)
         self.program = DirectorProcess(folder, config)
--- a/tests/test_traffic_budgets.py
+++ b/tests/test_traffic_budgets.py
@@ -80,21 +80,21 @@
 
 
 def test_directors_that_request_the_last_of_it_at_once_stay_within_their_parts():
-    topology = new_deployment(router_count=8, local_router_count=2)
-    ledgers = [new_ledger(RATE, topology), new_ledger(RATE, topology)]
+    deployment = new_deployment(router_count=8, local_router_count=2)
+    ledgers = [new_ledger(RATE, deployment), new_ledger(RATE, deployment)]
     fills = sum(not try_fill(ledger, 0, f"r{number}") for number in range(20) for ledger in ledgers)
     assert fills == 4  # 2 x 25 KB
 
 
 def test_a_purge_that_refills_a_whole_group_at_once_stays_within_the_budget():
-    topology = new_deployment(direct_to_source=False, router_count=1, local_router_count=1)
-    ledger = new_ledger(RATE.replace("{", '{ways: ["own-hub", "other-hub", "origin"], '), topology)
-    one = new_router(topology, ("c0", "c1", "p0", "p1", "o"))
-    one.fill_budget = ledger
+    deployment = new_deployment(direct_to_source=False, router_count=1, local_router_count=1)
+    ledger = new_ledger(RATE.replace("{", '{ways: ["own-hub", "other-hub", "origin"], '), deployment)
+    router = new_router(deployment, ("c0", "c1", "p0", "p1", "o"))
+    router.fill_budget = ledger
     fills = rejected = 0
     for number in range(60):
         request = request_received(f"r{number}", number, size=10.0)
-        commands = one.handle(0, request)
+        commands = router.handle(0, request)
         while commands and type(commands[0]) in (interface.SendAttemptWithFill, interface.SendAttempt):
             command = commands[0]
             has_fill = (
@@ -107,8 +107,8 @@
                 fills += 1
                 break
             ledger.handle(0, AttemptEnded(command.request_id, "miss", 0, None, 1, False))
-            number_of_attempt = one.requests[command.request_id].attempt_count - 1
-            commands = one.handle(0, attempt_finished(command, "miss", number_of_attempt))
+            number_of_attempt = router.requests[command.request_id].attempt_count - 1
+            commands = router.handle(0, attempt_finished(command, "miss", number_of_attempt))
         if commands and type(commands[0]) is interface.RejectRequest:
             rejected += 1
             assert commands[0].retry_after >= 1000, "told to come back before there is room"
@@ -119,7 +119,7 @@
 
 def test_without_budgets_the_router_decides_as_before():
     plain, watched = new_router(), new_router()
-    watched.fill_budget = new_ledger(topology=new_deployment())
+    watched.fill_budget = new_ledger(deployment=new_deployment())
     random, in_flight = Random(5), []
     for step in range(600):
         object_id, class_index = random.randrange(30), random.randrange(4)
--- a/tests/test_traffic_exchange.py
+++ b/tests/test_traffic_exchange.py
@@ -19,8 +19,8 @@
 
 
 def new_peer(index, count=2, incarnation=7, budgets=BUDGETS, **clock):
-    topology = new_deployment(router_count=count, local_router_count=count)
-    return new_ledger(budgets, topology, index, incarnation, SHARE, **clock)
+    deployment = new_deployment(router_count=count, local_router_count=count)
+    return new_ledger(budgets, deployment, index, incarnation, SHARE, **clock)
 
 
 def tick(ledger, now, unix_ms=UNIX_MS):
--- a/tests/test_traffic_service.py
+++ b/tests/test_traffic_service.py
@@ -42,8 +42,8 @@
     """A service whose account holds one fill of 10 KB."""
     clocks = Clocks(lambda: 0, lambda: UNIX_MS)
     identity = DirectorIdentity("n0", ZONES, CLASSES, 0)
-    topology = new_deployment(router_count=1, local_router_count=1)
-    found = AccountService(load(SETTINGS).traffic, topology, identity, clocks, Runner(Budgets(), lambda: 0))
+    deployment = new_deployment(router_count=1, local_router_count=1)
+    found = AccountService(load(SETTINGS).traffic, deployment, identity, clocks, Runner(Budgets(), lambda: 0))
     found.on_endpoints_updated(0, EndpointsUpdated(True, ENDPOINTS))
     request = new_request("r")
     assert found.wait_time(0, request, "p1") == 0
--- a/tests/test_traffic_streams.py
+++ b/tests/test_traffic_streams.py
@@ -117,11 +117,11 @@
 
 
 def test_other_fills_leave_the_next_segments_of_open_streams():
-    topology = new_deployment(router_count=1, local_router_count=1)
-    classes = list(topology.request_classes)
+    deployment = new_deployment(router_count=1, local_router_count=1)
+    classes = list(deployment.request_classes)
     classes[1] = classes[1]._replace(is_segmented=False)
-    topology = new_deployment(router_count=1, local_router_count=1, request_classes=tuple(classes))
-    ledger = new_ledger(STREAMS, topology)
+    deployment = new_deployment(router_count=1, local_router_count=1, request_classes=tuple(classes))
+    ledger = new_ledger(STREAMS, deployment)
     for viewer in range(3):
         first_segment(ledger, 0, f"s{viewer}", viewer)
     fills = sum(
--- a/tests/traffic_helpers.py
+++ b/tests/traffic_helpers.py
@@ -33,11 +33,11 @@
 
 
 def new_ledger(
-    budgets="", topology=None, peer_index=0, incarnation=1, more_settings="", now=0, unix_ms=UNIX_MS
+    budgets="", deployment=None, peer_index=0, incarnation=1, more_settings="", now=0, unix_ms=UNIX_MS
 ):
     ledger = TrafficLedger(
         load_config(budgets, more_settings),
-        topology or new_deployment(router_count=1, local_router_count=1),
+        deployment or new_deployment(router_count=1, local_router_count=1),
         DirectorIdentity("n0", ZONES, CLASSES, peer_index),
         incarnation,
         ClockReading(now, unix_ms),
