--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,8 +15,8 @@
 settings.register_profile("steady", derandomize=True, deadline=None, database=None)
 settings.load_profile("steady")
 
-SHOWN_CHARACTERS = 4000  # of a failure that is let pass
-KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_FAILURE_CHARACTERS = 4000  # of a failure that is let pass
+KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
 class KnownFailure(NamedTuple):
@@ -24,10 +24,10 @@
 
     test: str  # with or without its parameters
     command: str  # what shows the fault, with its seed
-    seen: str
+    observed: str
     issue: str
 
-    def names(self, nodeid: str) -> bool:
+    def matches(self, nodeid: str) -> bool:
         """Whether the entry means a test, whichever of its parameters are meant."""
         return nodeid == self.test or nodeid.startswith(self.test + "[")
 
@@ -37,27 +37,27 @@
 
     def reason(self) -> str:
         """What is printed when it fails."""
-        return f"{self.seen} ({self.command}; {self.issue})"
+        return f"{self.observed} ({self.command}; {self.issue})"
 
 
 def known_failures() -> list[KnownFailure]:
     """The listed tests; a line of another form fails the run."""
-    if not KNOWN_RED.exists():
+    if not KNOWN_RED_FILE.exists():
         return []
-    lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
+    lines = [line for line in KNOWN_RED_FILE.read_text().splitlines() if line.strip()]
     return [KnownFailure(*[field.strip() for field in line.split("|")]) for line in lines]
 
 
-def entry_of(nodeid: str, entries: list[KnownFailure]) -> KnownFailure | None:
+def find_entry(nodeid: str, entries: list[KnownFailure]) -> KnownFailure | None:
     """The entry that names a test."""
-    return next((entry for entry in entries if entry.names(nodeid)), None)
+    return next((entry for entry in entries if entry.matches(nodeid)), None)
 
 
 def pytest_collection_modifyitems(items):
     """Lets the listed tests fail."""
     entries = known_failures()
     for item in items:
-        entry = entry_of(item.nodeid, entries)
+        entry = find_entry(item.nodeid, entries)
         if entry is not None:
             item.add_marker(pytest.mark.xfail(reason=entry.reason(), strict=False))
 
@@ -66,7 +66,7 @@
     """Prints the failures that were let pass."""
     for report in terminalreporter.stats.get("xfailed", []):
         terminalreporter.write_line(f"KNOWN RED {report.nodeid}: {report.wasxfail}")
-        terminalreporter.write_line(report.longreprtext[-SHOWN_CHARACTERS:])
+        terminalreporter.write_line(report.longreprtext[-MAX_FAILURE_CHARACTERS:])
 
 
 def pytest_sessionfinish(session):
@@ -75,8 +75,8 @@
     reporter = session.config.pluginmanager.get_plugin("terminalreporter")
     if reporter is None:
         return
-    failed = {entry_of(report.nodeid, entries) for report in reporter.stats.get("xfailed", [])}
-    passed = {entry_of(report.nodeid, entries) for report in reporter.stats.get("xpassed", [])} - failed
+    failed = {find_entry(report.nodeid, entries) for report in reporter.stats.get("xfailed", [])}
+    passed = {find_entry(report.nodeid, entries) for report in reporter.stats.get("xpassed", [])} - failed
     for entry in filter(None, passed):
         if entry.is_intermittent():
             reporter.write_line(f"KNOWN-RED.txt: {entry.test} passed this time; its fault is intermittent")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -100,10 +100,12 @@
     )
 
 
-def new_router(deployment=None, names=(*CACHES, "p0", "p1", "o")):
+def new_router(deployment=None, endpoint_ids=(*CACHES, "p0", "p1", "o")):
     router = Router(deployment or new_deployment(), 7)
     router.handle(0, interface.InstanceStarted())
-    router.handle(0, interface.EndpointsUpdated(True, tuple(new_endpoint(name) for name in names)))
+    router.handle(
+        0, interface.EndpointsUpdated(True, tuple(new_endpoint(endpoint_id) for endpoint_id in endpoint_ids))
+    )
     return router
 
 
@@ -275,20 +277,22 @@
             random.randrange(3),
         )
     if draw < 0.78:
-        open_requests = [name for name in checker.requests if name not in checker.final_states]
-        return interface.ClientDisconnected(random.choice(open_requests)) if open_requests else None
+        open_request_ids = [
+            request_id for request_id in checker.requests if request_id not in checker.final_states
+        ]
+        return interface.ClientDisconnected(random.choice(open_request_ids)) if open_request_ids else None
     if draw < 0.86:
         object_id = random.choice([None, random.randrange(40)])
         return interface.PurgeNotified(object_id, random.randrange(3), random.randrange(3000))
-    name = random.choice([*CACHES, "p0", "p1", "o"])
+    endpoint_id = random.choice([*CACHES, "p0", "p1", "o"])
     state = random.choice(["ready", "ready", "draining", "gone"])
-    return interface.EndpointsUpdated(False, (new_endpoint(name, state, random.choice([0, now])),))
+    return interface.EndpointsUpdated(False, (new_endpoint(endpoint_id, state, random.choice([0, now])),))
 
 
 def run_random_events(seed, deployment, total_requests=400):
     """Plays random happenings against a router and the rules; returns how many reqs ended in each way."""
     random, checker, now, request_count = Random(seed), RuleChecker(deployment), 0, 0
-    router, in_flight, names = Router(deployment, seed), [], [*CACHES, "p0", "p1", "o"]
+    router, in_flight, endpoint_ids = Router(deployment, seed), [], [*CACHES, "p0", "p1", "o"]
 
     def handle(event):
         checker.record_event(now, event)
@@ -307,7 +311,7 @@
                 )
 
     handle(interface.InstanceStarted())
-    handle(interface.EndpointsUpdated(True, tuple(new_endpoint(name) for name in names)))
+    handle(interface.EndpointsUpdated(True, tuple(new_endpoint(endpoint_id) for endpoint_id in endpoint_ids)))
     while request_count < total_requests or in_flight:
         step_end = now + random.randrange(200)
         while in_flight and min(in_flight)[0] <= step_end:
@@ -489,11 +493,11 @@
     def serve(self, connection):
         reader = connection.makefile("rb")
         while True:
-            count = int(reader.readline()[1:] or b"x")
+            item_count = int(reader.readline()[1:] or b"x")
             items = []
-            for _ in range(count):
-                size = int(reader.readline()[1:])
-                items.append(reader.read(size + 2)[:size])
+            for _ in range(item_count):
+                item_bytes = int(reader.readline()[1:])
+                items.append(reader.read(item_bytes + 2)[:item_bytes])
             verb, operation_id = items[0].decode(), items[1].decode()
             text = items[2].decode() if len(items) > 2 else "-"
             fields = dict(part.split("=", 1) for part in text.split(",")) if text != "-" else {}
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -40,7 +40,7 @@
 
 
 def test_requests_that_nobody_can_serve_are_rejected_at_once():
-    router = new_router(names=())
+    router = new_router(endpoint_ids=())
     (command,) = router.handle(5, request_received("a"))
     assert type(command) is interface.RejectRequest
     assert command.retry_after <= 10000
@@ -89,7 +89,7 @@
 
 
 def test_origin_that_rejected_is_not_used_again_at_once():
-    router = new_router(names=(*CACHES, "o"))
+    router = new_router(endpoint_ids=(*CACHES, "o"))
     command = sent_command(router.handle(10, request_received("a", object_id=3)))
     assert command.source_id == "o"
     for other in router.handle(300, attempt_finished(command, "full", duration=250, cache_status=6)):
@@ -128,7 +128,7 @@
 
 
 def test_rejected_clients_come_back_before_their_target():
-    router = new_router(names=())
+    router = new_router(endpoint_ids=())
     (command,) = router.handle(5, request_received("a", size=500.0))
     assert command.retry_after <= 4000 + 0.6 * 1000
 
@@ -194,7 +194,7 @@
 
 
 def test_unresponsive_caches_cast_no_suspicion_on_their_source():
-    router = new_router(names=("c0", "p0", "o"))
+    router = new_router(endpoint_ids=("c0", "p0", "o"))
     sent_command(router.handle(10, request_received("a")))
     router.handle(12000, request_received("b", object_id=2))
     assert router.slow_start.is_warming_up(12000, router.upstreams.by_id["c0"])
@@ -235,7 +235,7 @@
 
 
 def test_first_requests_rank_lowest():
-    router = new_router(names=("c0", "p0", "o"))
+    router = new_router(endpoint_ids=("c0", "p0", "o"))
     ranks = [sent_command(router.handle(10 + i, request_received(f"a{i}"))).admission_rank for i in range(3)]
     assert ranks == [1, 3, 3]
 
@@ -285,7 +285,7 @@
 
 def test_more_in_flight_is_no_congestion_where_as_many_were_uncongested():
     """Guards against rejections while nothing is full and what is in flight swings (the incident r75352c)."""
-    router, now = new_router(names=(*CACHES, "p0", "o")), 10
+    router, now = new_router(endpoint_ids=(*CACHES, "p0", "o")), 10
     commands = [
         sent_command(
             router.handle(now + i, request_received(f"a{i}", object_id=i, size=2000, time_remaining=60000))
@@ -370,7 +370,7 @@
 
 def test_a_cache_without_requests_warms_up_all_the_same():
     """What a check changes is checked with each request, wherever the cache stands in the order."""
-    router = new_router(names=(*CACHES, "p0", "o"))
+    router = new_router(endpoint_ids=(*CACHES, "p0", "o"))
     router.handle(1000, interface.EndpointsUpdated(False, (new_endpoint("c2", started_at=1000),)))
     cache = router.upstreams.by_id["c2"]
     router.handle(1001, request_received("a"))
@@ -391,7 +391,7 @@
 
 def test_remembered_orders_stay_right_while_caches_come_and_go():
     """Caches join, drain, come back and go for good, one at a time and many at once."""
-    router, random, ready = new_router(names=("c0", "p0", "o")), Random(4), set()
+    router, random, ready = new_router(endpoint_ids=("c0", "p0", "o")), Random(4), set()
     for step in range(400):
         for _ in range(random.choice([1, 1, 1, 90])):
             name = f"c{2 * random.randrange(150)}"
@@ -432,7 +432,7 @@
 
 def test_an_endpoint_may_change_its_zone_under_an_attempt():
     """Guards the result of that attempt: whether it crosses the ingress link is decided when it is sent."""
-    router = new_router(names=("c0",))
+    router = new_router(endpoint_ids=("c0",))
     command = sent_command(router.handle(10, request_received("a", size=50.0)))
     assert type(command) is interface.SendAttempt
     router.handle(20, interface.EndpointsUpdated(False, (new_endpoint("c0")._replace(zone=1),)))
@@ -447,7 +447,7 @@
     scope = {"zone": interface.DedupScope.ZONE, "cell": interface.DedupScope.CELL}[field]
     request_class = new_deployment().request_classes[1]._replace(dedup_scope=scope)
     deployment = new_deployment(request_classes=(request_class,), direct_to_source=True)
-    router = new_router(deployment, names=())
+    router = new_router(deployment, endpoint_ids=())
     here, there = {"zone": 0, "cell": 0}, {"zone": 0, "cell": 0, field: 1}
     router.handle(5, interface.EndpointsUpdated(True, (new_endpoint("c0")._replace(**here),)))
     first = sent_command(router.handle(10, request_received("a", size=50.0)))
