--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -12,15 +12,15 @@
 import ironhinge
 
 from .helpers import (
-    PATIENCE,
+    TIMEOUT_SECONDS,
+    DirectorProcess,
     FakeClient,
     FakeCoordinator,
-    FakeNode,
-    Program,
+    FakeUpstream,
     configuration,
-    endpoint,
+    endpoint_config,
+    endpoint_record,
     free_port,
-    list_record,
     settings,
 )
 
@@ -36,21 +36,21 @@
     """Starts a director with a fault script before one node that holds everything, and a coordinator."""
     started = []
 
-    def start(script, sockets=1024, told=None, **other):
+    def start(script, sockets=1024, custom_settings=None, **other):
         monkeypatch.setenv("PYTHONPATH", INJECTION)
         monkeypatch.setenv("IRONHINGE_FAULTS", json.dumps({"seed": 3, **script}))
-        node, coordinator = FakeNode(holds_all=True), FakeCoordinator()
+        upstream, coordinator = FakeUpstream(has_all_objects=True), FakeCoordinator()
         config = configuration(
-            [endpoint("s-00000001", node.address)],
+            [endpoint_config("s-00000001", upstream.address)],
             f"127.0.0.1:{free_port()}",
             coordinator=coordinator.address,
-            settings=told or settings(),
+            settings=custom_settings or settings(),
             limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets},
             **other,
         )
-        program = Program(tmp_path, config)
+        program = DirectorProcess(tmp_path, config)
         started.append(program)
-        return program, node, coordinator
+        return program, upstream, coordinator
 
     yield start
     for program in started:
@@ -66,7 +66,7 @@
     client = FakeClient(port)
     for _ in range(count):
         try:
-            assert client.answer(client.ask(patience=3000))[0] in ANSWERS
+            assert client.read_answer(client.send_request(patience=3000))[0] in ANSWERS
         except (EOFError, OSError) as error:
             lost.append(repr(error))
             client = FakeClient(port)
@@ -79,7 +79,7 @@
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(PATIENCE)
+        thread.join(TIMEOUT_SECONDS)
     assert not any(thread.is_alive() for thread in threads)
     return lost
 
@@ -131,9 +131,9 @@
     program, _node, _ = faulty({"calls": [rule], "log": log})
     client = FakeClient(program.port)
     for i in range(60):
-        assert client.answer(client.ask(entity=f"{i:016x}", patience=3000))[0] == SERVED
+        assert client.read_answer(client.send_request(entity=f"{i:016x}", patience=3000))[0] == SERVED
     assert failed_calls(log)
-    logged = program.text()
+    logged = program.log_text()
     assert "REFUSED" not in logged
     assert "NEVER_UP" not in logged
 
@@ -148,10 +148,10 @@
     clients = [FakeClient(program.port) for _ in range(10)]
     assert all(client.is_ready() for client in clients)
     flag.touch()
-    streams = [client.ask(patience=3000) for client in clients]
+    streams = [client.send_request(patience=3000) for client in clients]
     time.sleep(0.4)
     flag.unlink()
-    assert [client.answer(stream)[0] for client, stream in zip(clients, streams, strict=True)] == [
+    assert [client.read_answer(stream)[0] for client, stream in zip(clients, streams, strict=True)] == [
         SERVED
     ] * 10
     assert len(failed_calls(log)) < 10 * 100  # of 10 connections in 0.4 s
@@ -166,13 +166,13 @@
     program.process.send_signal(signal.SIGTERM)
     for _ in range(50):
         client = FakeClient(program.port)
-        clients.append((client, client.ask(patience=1500)))
+        clients.append((client, client.send_request(patience=1500)))
         time.sleep(0.01)
     time.sleep(0.4)  # the time in which new connections come is over, and not one could be taken
     flag.unlink()
     for client, stream in clients:
         try:
-            assert client.answer(stream)[0] in ANSWERS
+            assert client.read_answer(stream)[0] in ANSWERS
         except (EOFError, OSError) as error:
             lost.append(repr(error))
     assert lost == []
@@ -185,16 +185,16 @@
     for cut in (2, 30, 60, 100):
         client = FakeClient(program.port)
         assert client.is_ready()
-        data = client.request()
+        data = client.encode_request()
         client.sock.sendall(data[:cut])
         clients.append((client, client.stream, data[cut:]))
     crowd = []
     for _ in range(120):
-        crowd.append(socket.create_connection(("127.0.0.1", program.port), timeout=PATIENCE))
+        crowd.append(socket.create_connection(("127.0.0.1", program.port), timeout=TIMEOUT_SECONDS))
         time.sleep(0.005)
     for client, stream, rest in clients:
         client.sock.sendall(rest)
-        assert client.answer(stream)[0] in ANSWERS
+        assert client.read_answer(stream)[0] in ANSWERS
 
 
 def test_a_request_that_crosses_the_end_of_a_resting_connection_on_a_slow_path_is_answered(faulty):
@@ -202,12 +202,12 @@
     program, _, _ = faulty({})
     client = FakeClient(program.port)
     assert client.is_ready()
-    client.sock.settimeout(PATIENCE)
+    client.sock.settimeout(TIMEOUT_SECONDS)
     first = client.sock.recv(1, socket.MSG_PEEK)  # the director's word that it ends, or the end itself
     time.sleep(SLOW_PATH)
-    stream = client.ask()
+    stream = client.send_request()
     assert first
-    assert client.answer(stream)[0] in ANSWERS
+    assert client.read_answer(stream)[0] in ANSWERS
 
 
 def purge_record(obj):
@@ -217,37 +217,37 @@
 @pytest.mark.parametrize("step", [7.0, 3600.0, -7.0, -3600.0])
 def test_a_purge_is_kept_when_the_wall_clock_steps(faulty, step):
     """A copy from before the purge must not do, whatever the time of day seems to be."""
-    program, node, coordinator = faulty({"steps": [[2.0, step]]})
+    program, upstream, coordinator = faulty({"steps": [[2.0, step]]})
     began = time.monotonic()
-    coordinator.hellos.get(timeout=PATIENCE)
+    coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
     time.sleep(max(0.0, 2.2 - (time.monotonic() - began)))  # the step has come
-    coordinator.tell(2, 3, purge_record(0x7F3A9C21E0B4D655))
+    coordinator.publish(2, 3, purge_record(0x7F3A9C21E0B4D655))
     time.sleep(0.4)
     client = FakeClient(program.port)
     for _ in range(5):
-        assert client.answer(client.ask())[0] in ANSWERS
-        accept = int(node.next()[2].get("accept", 0))
+        assert client.read_answer(client.send_request())[0] in ANSWERS
+        accept = int(upstream.next_command()[2].get("accept", 0))
         assert 0 < accept <= 2000
 
 
 def test_a_cold_node_is_spared_when_the_wall_clock_steps(faulty):
     """A node that started a moment ago did not start an hour ago."""
-    program, node, coordinator = faulty({"steps": [[1.0, 3600.0]]})
+    program, upstream, coordinator = faulty({"steps": [[1.0, 3600.0]]})
     began = time.monotonic()
     client = FakeClient(program.port)
-    coordinator.hellos.get(timeout=PATIENCE)
-    cold = FakeNode(holds_all=True)
+    coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
+    cold = FakeUpstream(has_all_objects=True)
     time.sleep(max(0.0, 1.2 - (time.monotonic() - began)))
-    record = bytearray(list_record("s-00000002", cold.address, 0))
+    record = bytearray(endpoint_record("s-00000002", cold.address, 0))
     record[-8:] = int(time.time() * 1000).to_bytes(8, "big")
-    coordinator.tell(2, 2, bytes(record))
+    coordinator.publish(2, 2, bytes(record))
     time.sleep(0.2)
     streams = []
     for i in range(200):
-        streams.append(client.ask(entity=f"{i:016x}", size="400", patience=3000))
+        streams.append(client.send_request(entity=f"{i:016x}", size="400", patience=3000))
         if len(streams) == 20:
-            assert all(client.answer(stream)[0] in ANSWERS for stream in streams)
+            assert all(client.read_answer(stream)[0] in ANSWERS for stream in streams)
             streams = []
     # at 20 transfers at full pace, a fifth of it cold, three times that: 12 at 80 ms each in its first second
-    assert len(cold.wanted) <= 40
-    assert len(node.wanted) >= 100
+    assert len(cold.request_ids) <= 40
+    assert len(upstream.request_ids) >= 100
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,15 @@
 from ironhinge.traffic.snapshot_files import file_name, read_folder
 from ironhinge.traffic.types import DirectorIdentity
 
-from .helpers import FakeClient, FakeNode, Program, configuration, deployment, endpoint, free_port
+from .helpers import (
+    DirectorProcess,
+    FakeClient,
+    FakeUpstream,
+    configuration,
+    endpoint_config,
+    free_port,
+    new_deployment,
+)
 
 TIMEOUT = 60  # seconds after which something has gone wrong
 
@@ -90,7 +98,7 @@
     return path
 
 
-class AccountingProgram(Program):
+class AccountingProgram(DirectorProcess):
     """A director that is started with an operations file."""
 
     def __init__(self, folder, config, path):
@@ -99,35 +107,38 @@
 
     def wait_for_log(self, text):
         end = time.monotonic() + TIMEOUT
-        while text not in self.text():
-            assert time.monotonic() < end, self.text()
+        while text not in self.log_text():
+            assert time.monotonic() < end, self.log_text()
             time.sleep(0.02)
 
 
-def director_config(node, parent):
-    endpoints = [endpoint("s-00000001", node.address), endpoint("s-00000002", parent.address, "parent")]
+def director_config(upstream, parent):
+    endpoints = [
+        endpoint_config("s-00000001", upstream.address),
+        endpoint_config("s-00000002", parent.address, "parent"),
+    ]
     return configuration(endpoints, f"127.0.0.1:{free_port()}")
 
 
 def test_invalid_settings_change_nothing_and_valid_ones_apply_at_once(tmp_path):
-    node, parent = FakeNode(), FakeNode(holds_all=True)
+    upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path = write_operations(tmp_path, 'a: {rate: "1MB/s", begin: "full"}')
-    program = AccountingProgram(tmp_path, director_config(node, parent), path)
+    program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
     try:
         client = FakeClient(program.port)
-        assert client.answer(client.ask())[0] == 1
+        assert client.read_answer(client.send_request())[0] == 1
         path.write_text("traffic: {budgets: {a: {rate: 5}}}")
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("settings_reload_failed error=")
         path.write_text('traffic: {budgets: {a: {rate: "1B/s", into: "nowhere"}}}')
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log('found "nowhere", expected one of east, west')
-        assert client.answer(client.ask(entity="00000000000000aa"))[0] == 1
+        assert client.read_answer(client.send_request(entity="00000000000000aa"))[0] == 1
         write_operations(tmp_path, 'a: {rate: "1B/s", ways: ["other-hub", "own-hub", "origin"]}')
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("budgets_reloaded budgets=a\n")
-        client.answer(client.ask(entity="00000000000000bb"))  # may take all that there was
-        code, fields, _ = client.answer(client.ask(entity="00000000000000cc"))
+        client.read_answer(client.send_request(entity="00000000000000bb"))  # may take all that there was
+        code, fields, _ = client.read_answer(client.send_request(entity="00000000000000cc"))
         assert code == 2, "an exhausted budget rejects at once"
         assert int(fields["pause"]) > 0
         program.process.terminate()
@@ -141,15 +152,18 @@
 
 
 def test_a_killed_director_resumes_its_account_and_starts_a_new_one_after_a_torn_snapshot(tmp_path):
-    node, parent = FakeNode(), FakeNode(holds_all=True)
+    upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path, folder = write_operations(tmp_path, 'a: {rate: "1MB/s", ways: ["neighbour"]}'), tmp_path / "kept"
-    config = director_config(node, parent)
+    config = director_config(upstream, parent)
     totals, log = [], ""
     for incarnation in range(3):
         program = AccountingProgram(tmp_path, config, path)
         try:
             client = FakeClient(program.port)
-            assert client.answer(client.ask(entity=f"00000000000000c{incarnation}", size="1"))[0] == 1
+            assert (
+                client.read_answer(client.send_request(entity=f"00000000000000c{incarnation}", size="1"))[0]
+                == 1
+            )
             end = time.monotonic() + TIMEOUT
             while True:
                 found, _ = read_folder(folder)
@@ -157,7 +171,7 @@
                     break
                 assert time.monotonic() < end
                 time.sleep(0.02)
-            log += program.text()
+            log += program.log_text()
         finally:
             program.stop()  # by force
         totals.append(collect(read_folder(folder)[0]).total())
@@ -175,7 +189,7 @@
     one = load_texts([("f", f'traffic: keep: {{folder: "{tmp_path}"}}')]).operations.traffic
     runner, identity = Runner(Budgets(), lambda: 0), DirectorIdentity("n0", ("a",), ("film",), 0)
     clocks = Clocks(lambda: 0, lambda: 1_764_576_000_000)
-    service = AccountService(one, deployment(), identity, clocks, runner)
+    service = AccountService(one, new_deployment(), identity, clocks, runner)
     slow = service.pack_snapshot(is_final=False)
     service.close()
     service.write_snapshot(tmp_path / file_name("n0"), *slow)
@@ -194,15 +208,15 @@
 
 
 def test_the_report_and_watch_commands_print_the_account(tmp_path):
-    node, parent = FakeNode(), FakeNode(holds_all=True)
+    upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path = write_operations(tmp_path, 'a: {sum: "1GB", ahead: 1, begin: "full"}')
     path.write_text(
         path.read_text().replace("traffic: {", "traffic: {distributions: true, prices: [{per_gb: 5}], ")
     )
-    program = AccountingProgram(tmp_path, director_config(node, parent), path)
+    program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
     try:
         client = FakeClient(program.port)
-        assert client.answer(client.ask())[0] == 1
+        assert client.read_answer(client.send_request())[0] == 1
         program.process.terminate()
         program.process.wait(TIMEOUT)
     finally:
--- a/tests/test_traffic_exchange.py
+++ b/tests/test_traffic_exchange.py
@@ -10,8 +10,8 @@
 from ironhinge.traffic.quota_datagram import MAX_BYTES, decode
 from ironhinge.traffic.types import BroadcastDatagram, ClockTick, DatagramReceived
 
-from .helpers import deployment, req
-from .traffic_helpers import SECOND, UNIX_MS, end, fill, new_ledger
+from .helpers import new_deployment, request_received
+from .traffic_helpers import SECOND, UNIX_MS, end_attempt, new_ledger, try_fill
 
 BUDGETS = 'r: {rate: "100KB/s", burst: "100KB"}\ns: {sum: "2000KB"}'
 RATE_ONLY = BUDGETS.split("\n")[0]
@@ -19,8 +19,8 @@
 
 
 def new_peer(index, count=2, incarnation=7, budgets=BUDGETS, **clock):
-    topology = deployment(router_count=count, local_router_count=count)
-    return new_ledger(budgets, topology, index, incarnation, SHARE, **clock)
+    deployment = new_deployment(router_count=count, local_router_count=count)
+    return new_ledger(budgets, deployment, index, incarnation, SHARE, **clock)
 
 
 def tick(ledger, now, unix_ms=UNIX_MS):
@@ -32,8 +32,8 @@
 def fill_all(ledger, now, name):
     """Fills until there is no more room; returns how many."""
     fills = 0
-    while not fill(ledger, now, f"{name}.{fills}"):
-        end(ledger, now, f"{name}.{fills}")
+    while not try_fill(ledger, now, f"{name}.{fills}"):
+        end_attempt(ledger, now, f"{name}.{fills}")
         fills += 1
     return fills
 
@@ -43,7 +43,7 @@
     for _ in range(2000):
         decode(random.randbytes(random.randrange(300)))
         decode(b"i1" + random.randbytes(random.randrange(280)))
-    (good,) = tick(new_ledger(BUDGETS, peer_index=1, more=SHARE), SECOND)
+    (good,) = tick(new_ledger(BUDGETS, peer_index=1, more_settings=SHARE), SECOND)
     assert len(good) <= MAX_BYTES
     assert decode(good).sender == 1
     assert all(decode(good[:cut]) is None or cut >= 16 for cut in range(len(good)))
@@ -89,8 +89,8 @@
             greedy = peers[random.randrange(count)]
             for _ in range(8):
                 number += 1
-                if not fill(greedy, now, f"r{number}"):
-                    end(greedy, now, f"r{number}")
+                if not try_fill(greedy, now, f"r{number}"):
+                    end_attempt(greedy, now, f"r{number}")
                     spent += 10_000
         assert spent <= 100_000 + 100_000 * now / SECOND + 1
     assert spent <= 2_000_000
@@ -133,5 +133,5 @@
 
 def test_a_source_that_is_not_listed_never_waits(granted):
     recipient, _ = granted
-    assert recipient.wait_time(0, req("x"), "p9") == 0
+    assert recipient.wait_time(0, request_received("x"), "p9") == 0
     assert NEVER > SECOND
