--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -147,16 +147,17 @@
     def __init__(self, deployment):
         self.deployment, self.endpoints, self.purges, self.requests, self.attempts, self.final_states = (
             deployment,
-            {},
-            [],
-            {},
-            {},
-            {},
+            {},  # by id, also the removed ones
+            [],  # instant of the purge, event
+            {},  # request id: instant at which it was received, event
+            {},  # request id: its attempts as [endpoint id, instant at which it was sent, result or None]
+            {},  # request id: "answered", "done" or "left"; open requests are missing
         )
         self.expected_work = {}  # class index: transfer times of all its requests
         self.slow_start_work = {}  # (endpoint id, its start): work sent to it during slow start
 
     def record_event(self, now, event):
+        """Records an event before the router handles it."""
         if type(event) is interface.RequestReceived:
             self.requests[event.request_id], self.attempts[event.request_id] = (now, event), []
             self.expected_work.setdefault(event.class_index, []).append(
@@ -180,6 +181,7 @@
             self.final_states.setdefault(event.request_id, "left")
 
     def check_command(self, now, command):
+        """Checks that a command is allowed, and records the attempt or the final answer."""
         if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill):
             self.check_attempt(now, command)
         elif type(command) in (interface.RejectRequest, interface.FailRequest):
@@ -191,6 +193,7 @@
             self.final_states[command.request_id] = "answered"
 
     def possibly_run_attempts(self, request_id):
+        """Returns the attempts whose results mean that the request ran or may have run."""
         return [
             attempt
             for attempt in self.attempts[request_id]
@@ -198,6 +201,7 @@
         ]
 
     def is_safe_to_resend(self, request_id, now):
+        """Returns whether the client can send the request again without its running twice."""
         request_class, possibly_run = (
             self.deployment.request_classes[self.requests[request_id][1].class_index],
             self.possibly_run_attempts(request_id),
@@ -252,6 +256,7 @@
         earlier_attempts.append([command.endpoint_id, now, None])
 
     def check_slow_start(self, now, endpoint_id, request, cache_id):
+        """Checks that an endpoint in slow start gets no more work per window than its share allows."""
         endpoint, deployment, is_parent = (
             self.endpoints[endpoint_id],
             self.deployment,
@@ -281,7 +286,7 @@
 
 
 def random_event(random, checker, now, request_count):
-    """Returns a request, a disconnect, a purge or an endpoint update; None if no client can disconnect."""
+    """Returns a request, a disconnect (None if no request is open), a purge or an endpoint update."""
     draw = random.random()
     if draw < 0.7:
         return request_received(
@@ -499,6 +504,7 @@
 
 
 def body_of(object_id, part):
+    """Returns the body that fake upstreams serve for a part of an object."""
     return (f"{object_id}/{part} ").encode() * 400
 
 
@@ -573,6 +579,7 @@
 
 
 def served_answer(operation_id, body, fields="res=h"):
+    """Encodes an answer with a body that is produced now."""
     return resp_array(operation_id, "ACK", f"digest=4b,dated={int(time.time() * 1000)},{fields}", body)
 
 
@@ -683,7 +690,7 @@
         return self.buffered_answers.pop(stream)
 
     def is_ready(self):
-        """Asks the director whether it is ready."""
+        """Sends a readiness query and returns the director's report; other frames are dropped."""
         self.send_frame(1, 0, b"\0")
         while True:
             kind, _, payload = self.read_frame()
