--- a/ironhinge/net/client_request.py
+++ b/ironhinge/net/client_request.py
@@ -1,7 +1,7 @@
 """Parses the fields of a client's request, and maps their names on the wire to those of the code.
 
 The fields arrive as text. The router gets them parsed, as a `RequestReceived`; fields that are forwarded to
-upstreams unchanged become `PassedFields`.
+upstreams unchanged become `ForwardedFields`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     """A field of a request is not acceptable; the text names the field and what was expected."""
 
 
-class PassedFields(NamedTuple):
+class ForwardedFields(NamedTuple):
     """The fields of a client's request that are forwarded to upstreams unchanged."""
 
     route: str
@@ -37,25 +37,18 @@
     """A client's request whose fields have been checked."""
 
     received: RequestReceived
-    passed: PassedFields
+    forwarded: ForwardedFields
 
 
 def read_request(
     fields: dict[str, str], names: SettingsNames, deployment: Deployment, connection_id: int, margin: int
 ) -> ClientRequest:
-    """Parses and checks a request's fields.
+    """Parses and checks a request's fields, which have their names on the wire as keys.
 
-    Args:
-        fields: The fields by their names on the wire.
-        names: The names of the request classes, among others.
-        deployment: The configuration of the router.
-        connection_id: Number of the client connection.
-        margin: Subtracted from the time that the client still waits, in tenths of a millisecond: see
-            `LoopMonitor.deadline_margin`.
+    `margin`, in ticks, is subtracted from the client's remaining time: see `LoopMonitor.deadline_margin`.
 
     Raises:
-        ValueError: A field is missing or not acceptable (`RequestFieldError`, or `FieldError` from
-            `client_wire`); the text names it.
+        RequestFieldError, client_wire.FieldError: A field is missing or not acceptable; the text names it.
     """
     request_id = client_wire.hex_id_of(fields, "trace")
     route = client_wire.text_of(fields, "route")
@@ -85,5 +78,5 @@
         connection_id=connection_id,
     )
     return ClientRequest(
-        received, PassedFields(route, fields["entity"], fields.get("part"), fields.get("nonce"), held_tag)
+        received, ForwardedFields(route, fields["entity"], fields.get("part"), fields.get("nonce"), held_tag)
     )
--- a/ironhinge/net/open_request.py
+++ b/ironhinge/net/open_request.py
@@ -33,8 +33,8 @@
         "client",
         "client_disconnected",
         "deadline",
+        "forwarded",
         "is_closed",
-        "passed",
         "received",
         "request_id",
         "stream",
@@ -44,7 +44,7 @@
         self, request: ClientRequest, client: AnswerReceiver, stream: int, body: bytes, deadline: int
     ):
         self.received: RequestReceived = request.received
-        self.passed = request.passed
+        self.forwarded = request.forwarded
         self.request_id = request.received.request_id
         self.client = client
         self.stream = stream
@@ -70,7 +70,7 @@
         self.attempt_number = request.attempt_count
         self.source = source  # the upstream that a miss is filled from
         self.oldest_copy_unix_ms = 0  # a copy produced earlier must not be served; 0: no limit
-        self.leaves_copy = not request.received.is_write
+        self.answer_is_copy = not request.received.is_write
 
     def is_outdated(self) -> bool:
         """Returns whether a change of the endpoint list since the command rules this attempt out.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,9 @@
-"""A small deployment, random happenings for it, the slow plain model of the rules, and stand-ins for all that
-a director talks to."""
+"""Helpers of the tests.
+
+For the router: a small deployment, random events, and a checker that verifies each command by a simple, slow
+computation. For the director: fake upstreams, a fake coordinator and fake clients on loopback sockets, and
+the director as a process.
+"""
 
 import contextlib
 import json
@@ -28,8 +32,9 @@
 )
 
 
-def deployment(**other):
-    vhosts = tuple(
+def new_deployment(**overrides):
+    """Returns a deployment with four request classes, one for each entry of `IDEMPOTENCY`."""
+    request_classes = tuple(
         interface.RequestClass(
             4000,
             1.6,
@@ -47,8 +52,8 @@
         )
         for i, (idempotency, dedup_scope) in enumerate(IDEMPOTENCY)
     )
-    facts = {
-        "request_classes": vhosts,
+    fields = {
+        "request_classes": request_classes,
         "zone": 0,
         "router_count": 2,
         "local_router_count": 2,
@@ -84,233 +89,306 @@
         "min_batch_interval": 20,
         "prices": (),
     }
-    return interface.Deployment(**{**facts, **other})
+    return interface.Deployment(**{**fields, **overrides})
 
 
-def row(name, state="ready", started=0, weight=20.0):
-    kind = ORIGIN if name == "o" else PARENT if name[0] == "p" else 0
+def new_endpoint(endpoint_id, state="ready", started_at=0, weight=20.0):
+    """Returns an endpoint whose id gives its kind: "o" is the origin, "p..." a parent, any other a cache."""
+    kind = ORIGIN if endpoint_id == "o" else PARENT if endpoint_id[0] == "p" else 0
     return interface.Endpoint(
-        name, EndpointState(state), int(name[1:] or 0) % 2, 1 if kind else 0, started, weight, kind
+        endpoint_id,
+        EndpointState(state),
+        int(endpoint_id[1:] or 0) % 2,
+        1 if kind else 0,
+        started_at,
+        weight,
+        kind,
     )
 
 
-def router(facts=None, names=(*CACHES, "p0", "p1", "o")):
-    one = Router(facts or deployment(), 7)
-    one.handle(0, interface.InstanceStarted())
-    one.handle(0, interface.EndpointsUpdated(True, tuple(row(name) for name in names)))
-    return one
+def new_router(deployment=None, endpoint_ids=(*CACHES, "p0", "p1", "o")):
+    """Returns a router that was started at time 0 and has received the endpoint list."""
+    router = Router(deployment or new_deployment(), 7)
+    router.handle(0, interface.InstanceStarted())
+    router.handle(
+        0, interface.EndpointsUpdated(True, tuple(new_endpoint(endpoint_id) for endpoint_id in endpoint_ids))
+    )
+    return router
 
 
-def req(name, obj=1, vhost=0, size=500.0, left=25000, group=0):
-    return interface.RequestReceived(name, obj, 0, group, size, left, vhost, False, False)
+def request_received(request_id, object_id=1, class_index=0, size=500.0, time_remaining=25000, group=0):
+    return interface.RequestReceived(
+        request_id, object_id, 0, group, size, time_remaining, class_index, False, False
+    )
 
 
-def outcome(act, result, number=0, took=100, closed=None, note=0):
+def attempt_finished(command, result, attempt_number=0, duration=100, request_closed=None, cache_status=0):
+    """Returns the end of the attempt that a command sent; by default "done" closes the request."""
     return interface.AttemptFinished(
-        act.request_id,
-        number,
-        act.endpoint_id,
+        command.request_id,
+        attempt_number,
+        command.endpoint_id,
         result,
-        took,
-        result == "done" if closed is None else closed,
-        note,
+        duration,
+        result == "done" if request_closed is None else request_closed,
+        cache_status,
         0,
         None,
     )
 
 
-class Rules:
-    """What is allowed, worked out anew from the whole record at every action."""
-
-    def __init__(self, facts):
-        self.facts, self.rows, self.purges, self.came, self.sent, self.ended = facts, {}, [], {}, {}, {}
-        self.works = {}  # sending times of each vhost's reqs
-        self.loads = {}  # node: what was sent to it while cold
-
-    def happened(self, now, what):
-        if type(what) is interface.RequestReceived:
-            self.came[what.request_id], self.sent[what.request_id] = (now, what), []
-            self.works.setdefault(what.class_index, []).append(what.size * 10_000 / self.facts.transfer_rate)
-        elif type(what) is interface.EndpointsUpdated:
-            for one in what.endpoints:
-                self.rows[one.id] = one
-            if what.is_full:
-                for name in set(self.rows) - {one.id for one in what.endpoints}:
-                    self.rows[name] = self.rows[name]._replace(state=EndpointState.REMOVED)
-        elif type(what) is interface.PurgeNotified:
-            self.purges.append((now - what.age, what))
-        elif type(what) is interface.AttemptFinished:
-            self.sent[what.request_id][what.attempt_number][2] = what.result
-            if what.request_closed:
-                self.ended[what.request_id] = "done"
-        elif type(what) is interface.ClientDisconnected:
-            self.ended.setdefault(what.request_id, "left")
-
-    def acted(self, now, act):
-        if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
-            self.dispatched(now, act)
-        elif type(act) in (interface.RejectRequest, interface.FailRequest):
-            assert act.request_id not in self.ended, "two final answers"
-            at, came = self.came[act.request_id]
-            assert now <= at + came.time_remaining, "answered after the client timeout"
-            if type(act) is interface.RejectRequest:
-                assert self.harmless(act.request_id, now), "denied what may have run"
-            self.ended[act.request_id] = "answered"
-
-    def ran(self, name):
+class RuleChecker:
+    """Checks each command of a router against the rules.
+
+    It records all events and attempts, and for each command computes from them anew what is allowed, without
+    the incremental state of the router.
+    """
+
+    def __init__(self, deployment):
+        self.deployment, self.endpoints, self.purges, self.requests, self.attempts, self.final_states = (
+            deployment,
+            {},  # by id, also the removed ones
+            [],  # instant of the purge, event
+            {},  # request id: instant at which it was received, event
+            {},  # request id: its attempts as [endpoint id, instant at which it was sent, result or None]
+            {},  # request id: "answered", "done" or "left"; open requests are missing
+        )
+        self.expected_work = {}  # class index: transfer times of all its requests
+        self.slow_start_work = {}  # (endpoint id, its start): work sent to it during slow start
+
+    def record_event(self, now, event):
+        """Records an event before the router handles it."""
+        if type(event) is interface.RequestReceived:
+            self.requests[event.request_id], self.attempts[event.request_id] = (now, event), []
+            self.expected_work.setdefault(event.class_index, []).append(
+                event.size * 10_000 / self.deployment.transfer_rate
+            )
+        elif type(event) is interface.EndpointsUpdated:
+            for endpoint in event.endpoints:
+                self.endpoints[endpoint.id] = endpoint
+            if event.is_full:
+                for endpoint_id in set(self.endpoints) - {endpoint.id for endpoint in event.endpoints}:
+                    self.endpoints[endpoint_id] = self.endpoints[endpoint_id]._replace(
+                        state=EndpointState.REMOVED
+                    )
+        elif type(event) is interface.PurgeNotified:
+            self.purges.append((now - event.age, event))
+        elif type(event) is interface.AttemptFinished:
+            self.attempts[event.request_id][event.attempt_number][2] = event.result
+            if event.request_closed:
+                self.final_states[event.request_id] = "done"
+        elif type(event) is interface.ClientDisconnected:
+            self.final_states.setdefault(event.request_id, "left")
+
+    def check_command(self, now, command):
+        """Checks that a command is allowed, and records the attempt or the final answer."""
+        if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill):
+            self.check_attempt(now, command)
+        elif type(command) in (interface.RejectRequest, interface.FailRequest):
+            assert command.request_id not in self.final_states, "two final answers"
+            received_at, request = self.requests[command.request_id]
+            assert now <= received_at + request.time_remaining, "answered after the client timeout"
+            if type(command) is interface.RejectRequest:
+                assert self.is_safe_to_resend(command.request_id, now), "rejected a request that may have run"
+            self.final_states[command.request_id] = "answered"
+
+    def possibly_run_attempts(self, request_id):
+        """Returns the attempts whose results mean that the request ran or may have run."""
         return [
-            one for one in self.sent[name] if one[2] in ("done", "error", "timeout", "reset", "cancelled")
+            attempt
+            for attempt in self.attempts[request_id]
+            if attempt[2] in ("done", "error", "timeout", "reset", "cancelled")
         ]
 
-    def harmless(self, name, now):
-        vhost, ran = self.facts.request_classes[self.came[name][1].class_index], self.ran(name)
+    def is_safe_to_resend(self, request_id, now):
+        """Returns whether the client can send the request again without its running twice."""
+        request_class, possibly_run = (
+            self.deployment.request_classes[self.requests[request_id][1].class_index],
+            self.possibly_run_attempts(request_id),
+        )
         return (
-            not ran
-            or vhost.idempotency == Idempotency.IDEMPOTENT
-            or (vhost.idempotency == Idempotency.KEYED and vhost.dedup_scope == "all")
+            not possibly_run
+            or request_class.idempotency == Idempotency.IDEMPOTENT
+            or (request_class.idempotency == Idempotency.KEYED and request_class.dedup_scope == "all")
         )
 
-    def dispatched(self, now, act):
-        at, came = self.came[act.request_id]
-        vhost, before = self.facts.request_classes[came.class_index], self.sent[act.request_id]
-        assert act.request_id not in self.ended, "sent after the end"
-        assert len(before) < self.facts.max_attempts
-        assert all(one[2] for one in before), "two dispatches out together"
-        assert now < act.deadline <= at + came.time_remaining
-        ran = self.ran(act.request_id)
-        if ran and vhost.idempotency != Idempotency.IDEMPOTENT:
-            assert vhost.idempotency == Idempotency.KEYED, "an effect twice"
-            assert now < ran[0][1] + vhost.dedup_window, "an effect twice"
+    def check_attempt(self, now, command):
+        received_at, request = self.requests[command.request_id]
+        request_class, earlier_attempts = (
+            self.deployment.request_classes[request.class_index],
+            self.attempts[command.request_id],
+        )
+        assert command.request_id not in self.final_states, "sent after the final answer"
+        assert len(earlier_attempts) < self.deployment.max_attempts
+        assert all(attempt[2] for attempt in earlier_attempts), "two attempts in flight for one request"
+        assert now < command.deadline <= received_at + request.time_remaining
+        possibly_run = self.possibly_run_attempts(command.request_id)
+        if possibly_run and request_class.idempotency != Idempotency.IDEMPOTENT:
+            assert request_class.idempotency == Idempotency.KEYED, "could run twice"
+            assert now < possibly_run[0][1] + request_class.dedup_window, "could run twice"
             assert (
-                vhost.dedup_scope == "all" or self.rows[act.endpoint_id].cell == self.rows[ran[0][0]].cell
-            ), "outside its group"
-        source = getattr(act, "source_id", act.endpoint_id)
-        for name in {act.endpoint_id, source}:
-            assert self.rows[name].state == "ready", "sent to a node that drains or is gone"
-            self.load(now, name, came, act.endpoint_id)
+                request_class.dedup_scope == "all"
+                or self.endpoints[command.endpoint_id].cell == self.endpoints[possibly_run[0][0]].cell
+            ), "sent to a cell that does not know its idempotency key"
+        source_id = getattr(command, "source_id", command.endpoint_id)
+        for endpoint_id in {command.endpoint_id, source_id}:
+            assert self.endpoints[endpoint_id].state == "ready", "sent to a draining or removed endpoint"
+            self.check_slow_start(now, endpoint_id, request, command.endpoint_id)
         purges = [
-            when
-            for when, what in self.purges
-            if (what.object_id == came.object_id if what.object_id is not None else what.group == came.group)
-            and when + self.facts.purge_retention >= now
+            purged_at
+            for purged_at, purge in self.purges
+            if (
+                purge.object_id == request.object_id
+                if purge.object_id is not None
+                else purge.group == request.group
+            )
+            and purged_at + self.deployment.purge_retention >= now
         ]
-        if purges and act.endpoint_id != "o":
-            assert type(act) is interface.SendAttemptWithFill, "an old copy would do"
-            assert 0 < act.max_copy_age <= max(1, now - max(purges)), "an old copy would do"
-        if type(act) is interface.SendAttemptWithFill and vhost.freshness_lifetime:
-            assert act.max_copy_age <= vhost.freshness_lifetime + vhost.stale_grace
-        before.append([act.endpoint_id, now, None])
-
-    def load(self, now, name, came, node):
-        one, facts, parent = self.rows[name], self.facts, self.rows[name].kind == PARENT
-        length = facts.parent_slow_start_duration if parent else facts.slow_start_duration
-        if not one.started_at or now >= one.started_at + length or one.kind == ORIGIN:
+        if purges and command.endpoint_id != "o":
+            assert type(command) is interface.SendAttemptWithFill, (
+                "a copy from before the purge could be served"
+            )
+            assert 0 < command.max_copy_age <= max(1, now - max(purges)), (
+                "a copy from before the purge could be served"
+            )
+        if type(command) is interface.SendAttemptWithFill and request_class.freshness_lifetime:
+            assert command.max_copy_age <= request_class.freshness_lifetime + request_class.stale_grace
+        earlier_attempts.append([command.endpoint_id, now, None])
+
+    def check_slow_start(self, now, endpoint_id, request, cache_id):
+        """Checks that an endpoint in slow start gets no more work per window than its share allows."""
+        endpoint, deployment, is_parent = (
+            self.endpoints[endpoint_id],
+            self.deployment,
+            self.endpoints[endpoint_id].kind == PARENT,
+        )
+        duration = deployment.parent_slow_start_duration if is_parent else deployment.slow_start_duration
+        if not endpoint.started_at or now >= endpoint.started_at + duration or endpoint.kind == ORIGIN:
             return
-        works = self.works[came.class_index]
-        work = came.size * 10_000 / self.facts.transfer_rate if parent else sum(works) / len(works)
-        loads = self.loads.setdefault((name, one.started_at), [])
-        loads.append((now, work))
-        least, multiple = (
-            (facts.parent_slow_start_min_share, facts.parent_overload_multiple)
-            if parent
-            else (facts.slow_start_min_share, facts.overload_multiple)
+        class_work = self.expected_work[request.class_index]
+        work = (
+            request.size * 10_000 / self.deployment.transfer_rate
+            if is_parent
+            else sum(class_work) / len(class_work)
+        )
+        sent_work = self.slow_start_work.setdefault((endpoint_id, endpoint.started_at), [])
+        sent_work.append((now, work))
+        min_share, multiple = (
+            (deployment.parent_slow_start_min_share, deployment.parent_overload_multiple)
+            if is_parent
+            else (deployment.slow_start_min_share, deployment.overload_multiple)
         )
-        share = least + (1 - least) * max(0, now - one.started_at) / length
-        routers = facts.router_count if parent else facts.local_router_count
-        assert sum(work for when, work in loads if when > now - facts.overload_window) <= (
-            multiple * share * one.weight * facts.overload_window / routers
-        ), "a cold node pushed over"
-
-
-def random_event(chance, rules, now, number):
-    """The next event from outside: a request, a client that leaves, a purge or a change of the list."""
-    dice = chance.random()
-    if dice < 0.7:
-        return req(
-            f"r{number + 1}",
-            chance.randrange(40),
-            chance.randrange(4),
-            chance.choice([50.0, 500.0, 4000.0]),
-            chance.choice([500, 9000, 25000]),
-            chance.randrange(3),
+        share = min_share + (1 - min_share) * max(0, now - endpoint.started_at) / duration
+        routers = deployment.router_count if is_parent else deployment.local_router_count
+        assert sum(work for sent_at, work in sent_work if sent_at > now - deployment.overload_window) <= (
+            multiple * share * endpoint.weight * deployment.overload_window / routers
+        ), "overloaded an endpoint during slow start"
+
+
+def random_event(random, checker, now, request_count):
+    """Returns a request, a disconnect (None if no request is open), a purge or an endpoint update."""
+    draw = random.random()
+    if draw < 0.7:
+        return request_received(
+            f"r{request_count + 1}",
+            random.randrange(40),
+            random.randrange(4),
+            random.choice([50.0, 500.0, 4000.0]),
+            random.choice([500, 9000, 25000]),
+            random.randrange(3),
         )
-    if dice < 0.78:
-        held = [name for name in rules.came if name not in rules.ended]
-        return interface.ClientDisconnected(chance.choice(held)) if held else None
-    if dice < 0.86:
-        object_id = chance.choice([None, chance.randrange(40)])
-        return interface.PurgeNotified(object_id, chance.randrange(3), chance.randrange(3000))
-    name = chance.choice([*CACHES, "p0", "p1", "o"])
-    state = chance.choice(["ready", "ready", "draining", "gone"])
-    return interface.EndpointsUpdated(False, (row(name, state, chance.choice([0, now])),))
-
-
-def play(seed, facts, steps=400):
-    """Plays random happenings against a router and the rules; returns how many reqs ended in each way."""
-    chance, rules, now, number = Random(seed), Rules(facts), 0, 0
-    one, out, names = Router(facts, seed), [], [*CACHES, "p0", "p1", "o"]
-
-    def tell(what):
-        rules.happened(now, what)
-        for act in one.handle(now, what):
-            rules.acted(now, act)
-            if type(act) in (interface.SendAttempt, interface.SendAttemptWithFill):
-                due = min(act.deadline, now + int(chance.expovariate(1 / 3000)) + 1)
-                out.append(
+    if draw < 0.78:
+        open_request_ids = [
+            request_id for request_id in checker.requests if request_id not in checker.final_states
+        ]
+        return interface.ClientDisconnected(random.choice(open_request_ids)) if open_request_ids else None
+    if draw < 0.86:
+        object_id = random.choice([None, random.randrange(40)])
+        return interface.PurgeNotified(object_id, random.randrange(3), random.randrange(3000))
+    endpoint_id = random.choice([*CACHES, "p0", "p1", "o"])
+    state = random.choice(["ready", "ready", "draining", "gone"])
+    return interface.EndpointsUpdated(False, (new_endpoint(endpoint_id, state, random.choice([0, now])),))
+
+
+def run_random_events(seed, deployment, total_requests=400):
+    """Sends random events to a router and checks all its commands; returns the checker.
+
+    Also checks that every request gets a final answer.
+    """
+    random, checker, now, request_count = Random(seed), RuleChecker(deployment), 0, 0
+    router, in_flight, endpoint_ids = Router(deployment, seed), [], [*CACHES, "p0", "p1", "o"]
+
+    def handle(event):
+        checker.record_event(now, event)
+        for command in router.handle(now, event):
+            checker.check_command(now, command)
+            if type(command) in (interface.SendAttempt, interface.SendAttemptWithFill):
+                ends_at = min(command.deadline, now + int(random.expovariate(1 / 3000)) + 1)
+                in_flight.append(
                     (
-                        due,
-                        len(rules.came) * 10 + len(rules.sent[act.request_id]),
-                        act,
-                        len(rules.sent[act.request_id]) - 1,
-                        act.deadline,
+                        ends_at,
+                        len(checker.requests) * 10 + len(checker.attempts[command.request_id]),
+                        command,
+                        len(checker.attempts[command.request_id]) - 1,
+                        command.deadline,
                     )
                 )
 
-    tell(interface.InstanceStarted())
-    tell(interface.EndpointsUpdated(True, tuple(row(name) for name in names)))
-    while number < steps or out:
-        then = now + chance.randrange(200)
-        while out and min(out)[0] <= then:
-            due = min(out)
-            out.remove(due)
-            now, act, place, until = max(now, due[0]), due[2], due[3], due[4]
-            result = chance.choice(["done"] * 9 + ["miss", "full", "error", "reset", "unconnected"])
+    handle(interface.InstanceStarted())
+    handle(interface.EndpointsUpdated(True, tuple(new_endpoint(endpoint_id) for endpoint_id in endpoint_ids)))
+    while request_count < total_requests or in_flight:
+        step_end = now + random.randrange(200)
+        while in_flight and min(in_flight)[0] <= step_end:
+            next_end = min(in_flight)
+            in_flight.remove(next_end)
+            now, command, attempt_number, deadline = (
+                max(now, next_end[0]),
+                next_end[2],
+                next_end[3],
+                next_end[4],
+            )
+            result = random.choice(["done"] * 9 + ["miss", "full", "error", "reset", "unconnected"])
             result = (
-                "cancelled" if act.request_id in rules.ended else "timeout" if due[0] == until else result
+                "cancelled"
+                if command.request_id in checker.final_states
+                else "timeout"
+                if next_end[0] == deadline
+                else result
             )
-            tell(
-                outcome(
-                    act,
+            handle(
+                attempt_finished(
+                    command,
                     result,
-                    place,
+                    attempt_number,
                     200,
-                    result == "done" or act.request_id in rules.ended,
-                    chance.randrange(11),
+                    result == "done" or command.request_id in checker.final_states,
+                    random.randrange(11),
                 )
             )
-        now = then
-        if number >= steps:
+        now = step_end
+        if request_count >= total_requests:
             continue
-        what = random_event(chance, rules, now, number)
-        number += type(what) is interface.RequestReceived
-        if what is not None:
-            tell(what)
-    assert set(rules.ended) == set(rules.came), "a req without a final answer"
-    return rules
+        event = random_event(random, checker, now, request_count)
+        request_count += type(event) is interface.RequestReceived
+        if event is not None:
+            handle(event)
+    assert set(checker.final_states) == set(checker.requests), "a request without a final answer"
+    return checker
 
 
-# Stand-ins on loopback sockets, with framing of their own
+# Fake peers on loopback sockets; they encode and decode the protocols without the code under test
 
-PATIENCE = 20  # seconds after which a test gives up on what has to come
+TIMEOUT_SECONDS = 20  # a test fails if what it waits for has not happened by then
 
 
-def settings(**policy):
-    vhosts = [
+def settings(**policy_limits):
+    """Returns the settings of a director's configuration; times are in microseconds."""
+    request_classes = [
         {"name": "film", "aim": 400000, "deadline": 15000000, "semantics": "repeatable"},
         {"name": "order", "aim": 400000, "deadline": 15000000, "semantics": "once"},
     ]
     return {
-        "classes": vhosts,
+        "classes": request_classes,
         "extra": {
             "store-kind": 2,
             "second-tier-kind": 1,
@@ -330,7 +408,7 @@
             "may-cancel": True,
             "multiplex": 32,
             "retry-after": True,
-            **policy,
+            **policy_limits,
         },
         "rules": {"cold-from": 0.2, "cold": 5000000, "fall": 1000000, "fall-multiple": 3.0},
         "telemetry": {"fields": ["busy", "rif"], "how": "inline"},
@@ -338,7 +416,8 @@
     }
 
 
-def endpoint(name, address, kind="std", status="SERVING", since_ms=0):
+def endpoint_config(name, address, kind="std", status="SERVING", since_ms=0):
+    """Returns an endpoint as an endpoint list in the configuration has it."""
     return {
         "name": name,
         "address": address,
@@ -351,163 +430,196 @@
     }
 
 
-def configuration(endpoints, listen="127.0.0.1:7001", updates=(), **other):
-    known = [{"index": 1, "endpoints": {"index": 1, "snapshot": True, "endpoints": endpoints}}, *updates]
+def configuration(endpoints, listen="127.0.0.1:7001", updates=(), **overrides):
+    """Returns a director's configuration, whose known updates are the endpoint list and then `updates`."""
+    updates_at_start = [
+        {"index": 1, "endpoints": {"index": 1, "snapshot": True, "endpoints": endpoints}},
+        *updates,
+    ]
     return {
         "name": "n0",
         "listen": listen,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"index": len(known), "updates": known},
+        "known": {"index": len(updates_at_start), "updates": updates_at_start},
         "settings": settings(),
-        **other,
+        **overrides,
     }
 
 
-PORTS = PortAllocator()  # for as long as the tests run
+PORT_ALLOCATOR = PortAllocator()  # keeps its ports reserved until the test run ends
 
 
 def free_port():
-    return PORTS.allocate()
+    return PORT_ALLOCATOR.allocate()
 
 
-def exactly(sock, count):
+def receive_exactly(sock, count):
+    """Returns the next `count` bytes; raises `EOFError` if the connection ends before them."""
     data = b""
     while len(data) < count:
-        more = sock.recv(count - len(data))
-        if not more:
+        chunk = sock.recv(count - len(data))
+        if not chunk:
             raise EOFError
-        data += more
+        data += chunk
     return data
 
 
-class StandIn:
-    """Listens on a port of its own; each connection is served by a thread."""
+class FakeServer:
+    """A server on a port of its own that calls `serve(connection)` in a thread per connection."""
 
     def __init__(self):
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
-        self.conns = []
+        self.connections = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self):
         while True:
             try:
-                conn, _ = self.sock.accept()
+                connection, _ = self.sock.accept()
             except OSError:
                 return
-            self.conns.append(conn)
-            threading.Thread(target=self._guarded, args=(conn,), daemon=True).start()
+            self.connections.append(connection)
+            threading.Thread(target=self._serve_connection, args=(connection,), daemon=True).start()
 
-    def _guarded(self, conn):
+    def _serve_connection(self, connection):
         with contextlib.suppress(OSError, EOFError, ValueError):
-            self.serve(conn)
+            self.serve(connection)
 
-    def refuse(self):
-        """Takes no more connections, and resets those that it has."""
+    def close_and_reset(self):
+        """Stops listening and resets all connections."""
         self.sock.shutdown(socket.SHUT_RDWR)  # wakes the thread in accept
         self.sock.close()
-        for conn in self.conns:
-            reset(conn)
+        for connection in self.connections:
+            reset_connection(connection)
 
 
-def reset(conn):
-    conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+def reset_connection(connection):
+    """Closes a connection with a reset, also while another thread reads from it."""
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     with contextlib.suppress(OSError):
-        conn.shutdown(socket.SHUT_RD)
-    conn.close()
+        connection.shutdown(socket.SHUT_RD)
+    connection.close()
+
 
+def body_of(object_id, part):
+    """Returns the body that fake upstreams serve for a part of an object."""
+    return (f"{object_id}/{part} ").encode() * 400
 
-def body_of(obj, part):
-    return (f"{obj}/{part} ").encode() * 400
 
+class FakeUpstream(FakeServer):
+    """A cache, a parent or the origin.
 
-class FakeNode(StandIn):
-    """A cache node, parent or origin. `act(command)` may return raw bytes to send, or None to stay silent."""
+    Attributes:
+        handle_command: Called with each command; returns the bytes to send, or None to send nothing.
+        has_all_objects: Whether it answers each request as a hit, also for objects that it has not stored.
+        stored: Keys of the stored objects.
+        commands: Queue of the received commands: verb, operation id, fields, connection.
+        request_ids: Operation ids of the received requests.
+    """
 
-    def __init__(self, act=None, holds_all=False):
-        self.act, self.holds_all, self.held = act or self.answer, holds_all, set()
-        self.commands, self.wanted = queue.Queue(), set()
+    def __init__(self, handle_command=None, has_all_objects=False):
+        self.handle_command, self.has_all_objects, self.stored = (
+            handle_command or self.answer_command,
+            has_all_objects,
+            set(),
+        )
+        self.commands, self.request_ids = queue.Queue(), set()
         super().__init__()
 
-    def serve(self, conn):
-        file = conn.makefile("rb")
+    def serve(self, connection):
+        reader = connection.makefile("rb")
         while True:
-            count = int(file.readline()[1:] or b"x")
-            command = []
-            for _ in range(count):
-                size = int(file.readline()[1:])
-                command.append(file.read(size + 2)[:size])
-            word, name = command[0].decode(), command[1].decode()
-            text = command[2].decode() if len(command) > 2 else "-"
+            item_count = int(reader.readline()[1:] or b"x")
+            items = []
+            for _ in range(item_count):
+                item_bytes = int(reader.readline()[1:])
+                items.append(reader.read(item_bytes + 2)[:item_bytes])
+            verb, operation_id = items[0].decode(), items[1].decode()
+            text = items[2].decode() if len(items) > 2 else "-"
             fields = dict(part.split("=", 1) for part in text.split(",")) if text != "-" else {}
-            told = (word, name, fields, conn)
-            if word == "want":
-                self.wanted.add(name)
-            self.commands.put(told)
-            raw = self.act(told)
-            if raw:
-                conn.sendall(raw)
-
-    def answer(self, told):
-        word, name, fields, _ = told
-        if word != "want":
+            command = (verb, operation_id, fields, connection)
+            if verb == "want":
+                self.request_ids.add(operation_id)
+            self.commands.put(command)
+            answer = self.handle_command(command)
+            if answer:
+                connection.sendall(answer)
+
+    def answer_command(self, command):
+        """Answers a request as a cache does: with a hit, a fill from the given parent, or a miss."""
+        verb, operation_id, fields, _ = command
+        if verb != "want":
             return None
         key = fields["obj"], fields.get("seg", "0")
-        if not self.holds_all and key not in self.held and "parent" not in fields:
-            return resp(name, "NOENT", "-", b"")
-        note = "h" if key in self.held or self.holds_all else "f"
+        if not self.has_all_objects and key not in self.stored and "parent" not in fields:
+            return resp_array(operation_id, "NOENT", "-", b"")
+        cache_status = "h" if key in self.stored or self.has_all_objects else "f"
         if "shelf" in fields:
-            self.held.add(key)
+            self.stored.add(key)
         if "got" in fields and fields["got"] == "4be0c1927d55a6f3":
-            return resp(name, "NOMOD", f"digest={fields['got']},dated={int(time.time() * 1000)},res=h", b"")
-        return ack(name, body_of(*key), f"res={note},gauges=inflight:7;util:0.5")
+            return resp_array(
+                operation_id, "NOMOD", f"digest={fields['got']},dated={int(time.time() * 1000)},res=h", b""
+            )
+        return served_answer(operation_id, body_of(*key), f"res={cache_status},gauges=inflight:7;util:0.5")
 
-    def next(self, word="want"):
-        """The next command of that word."""
+    def next_command(self, verb="want"):
+        """Returns the next command with that verb and drops those before it."""
         while True:
-            told = self.commands.get(timeout=PATIENCE)
-            if told[0] == word:
-                return told
+            command = self.commands.get(timeout=TIMEOUT_SECONDS)
+            if command[0] == verb:
+                return command
 
 
-def resp(*items):
+def resp_array(*items):
+    """Encodes items as a RESP array of bulk strings."""
     items = [item if isinstance(item, bytes) else item.encode() for item in items]
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%s\r\n" % (len(item), item) for item in items)
 
 
-def ack(name, body, fields="res=h"):
-    return resp(name, "ACK", f"digest=4b,dated={int(time.time() * 1000)},{fields}", body)
+def served_answer(operation_id, body, fields="res=h"):
+    """Encodes an answer with a body that is produced now."""
+    return resp_array(operation_id, "ACK", f"digest=4b,dated={int(time.time() * 1000)},{fields}", body)
+
 
+class FakeCoordinator(FakeServer):
+    """The discovery service: sends each subscriber all updates after the index that it subscribed with.
+
+    Attributes:
+        subscriptions: Queue of the subscriptions: last known index, connection.
+        updates: The published updates: index, encoded update.
+    """
 
-class FakeCoordinator(StandIn):
     def __init__(self):
-        self.hellos, self.log, self.lock = queue.Queue(), [], threading.Condition()
+        self.subscriptions, self.updates, self.updates_changed = queue.Queue(), [], threading.Condition()
         super().__init__()
 
-    def serve(self, conn):
-        known = int.from_bytes(exactly(conn, 8), "big")
-        self.hellos.put((known, conn))
+    def serve(self, connection):
+        known_index = int.from_bytes(receive_exactly(connection, 8), "big")
+        self.subscriptions.put((known_index, connection))
         while True:
-            with self.lock:
-                while not self.log or self.log[-1][0] <= known:
-                    self.lock.wait()
-                news = [data for number, data in self.log if number > known]
-                known = self.log[-1][0]
-            for data in news:
-                conn.sendall(data)
-
-    def tell(self, number, kind, rest):
-        payload = number.to_bytes(8, "big") + bytes([kind]) + rest
-        with self.lock:
-            self.log.append((number, len(payload).to_bytes(4, "big") + payload))
-            self.lock.notify_all()
-
-
-def list_record(name, address, state):
+            with self.updates_changed:
+                while not self.updates or self.updates[-1][0] <= known_index:
+                    self.updates_changed.wait()
+                new_updates = [data for index, data in self.updates if index > known_index]
+                known_index = self.updates[-1][0]
+            for data in new_updates:
+                connection.sendall(data)
+
+    def publish(self, index, kind, body):
+        """Sends an update to all subscribers, and to later ones that don't have it yet."""
+        payload = index.to_bytes(8, "big") + bytes([kind]) + body
+        with self.updates_changed:
+            self.updates.append((index, len(payload).to_bytes(4, "big") + payload))
+            self.updates_changed.notify_all()
+
+
+def endpoint_record(endpoint_id, address, state):
+    """Encodes an endpoint as in an update from the coordinator."""
     host, port = address.split(":")
     return (
-        int(name[2:], 16).to_bytes(4, "big")
+        int(endpoint_id[2:], 16).to_bytes(4, "big")
         + socket.inet_aton(host)
         + int(port).to_bytes(2, "big")
         + bytes([state, 0, 0])
@@ -516,28 +628,29 @@
 
 
 class FakeClient:
-    """One client's connection, spoken in frames."""
+    """A client on one connection."""
 
-    traces = Random(1)
+    trace_random = Random(1)  # shared, so that the requests of all clients have different traces
 
     def __init__(self, port):
-        self.sock = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
-        self.stream, self.early = 0, {}
+        self.sock = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_SECONDS)
+        self.stream, self.buffered_answers = 0, {}
 
-    def send(self, kind, stream, payload=b""):
+    def send_frame(self, kind, stream, payload=b""):
         self.sock.sendall(struct.pack(">IBI", 5 + len(payload), kind, stream) + payload)
 
-    def ask(self, body=b"", **fields):
-        data = self.request(body, **fields)
+    def send_request(self, body=b"", **fields):
+        """Sends a request and returns its stream."""
+        data = self.encode_request(body, **fields)
         self.sock.sendall(data)
         return self.stream
 
-    def request(self, body=b"", **fields):
-        """The bytes of a request on the next stream, not sent."""
+    def encode_request(self, body=b"", **fields):
+        """Encodes a request on the next stream without sending it; fields that are None are left out."""
         self.stream += 1
         values = {
             "route": "film",
-            "trace": f"{self.traces.getrandbits(64):016x}",
+            "trace": f"{self.trace_random.getrandbits(64):016x}",
             "patience": "15000",
             "entity": "7f3a9c21e0b4d655",
             "part": "3",
@@ -545,61 +658,67 @@
             "size": "40",
             **fields,
         }
-        packed = [(key.encode(), str(value).encode()) for key, value in values.items() if value is not None]
-        text = b"".join(
-            bytes([len(key)]) + key + len(value).to_bytes(2, "big") + value for key, value in packed
+        encoded_fields = [
+            (key.encode(), str(value).encode()) for key, value in values.items() if value is not None
+        ]
+        field_bytes = b"".join(
+            bytes([len(key)]) + key + len(value).to_bytes(2, "big") + value for key, value in encoded_fields
         )
-        payload = bytes([len(packed)]) + text + body
+        payload = bytes([len(encoded_fields)]) + field_bytes + body
         return struct.pack(">IBI", 5 + len(payload), 7, self.stream) + payload
 
-    def frame(self):
-        """The next frame: type, stream, payload."""
-        (length,) = struct.unpack(">I", exactly(self.sock, 4))
-        data = exactly(self.sock, length)
+    def read_frame(self):
+        """Returns the next frame: type, stream, payload."""
+        (length,) = struct.unpack(">I", receive_exactly(self.sock, 4))
+        data = receive_exactly(self.sock, length)
         return data[0], int.from_bytes(data[1:5], "big"), data[5:]
 
-    def answer(self, stream):
-        """The answer on a stream: code, fields, body. Answers on other streams wait for their turn."""
-        while stream not in self.early:
-            kind, got, payload = self.frame()
+    def read_answer(self, stream):
+        """Returns the answer on a stream: code, fields, body. Answers on other streams are buffered."""
+        while stream not in self.buffered_answers:
+            kind, answer_stream, payload = self.read_frame()
             if kind != 8:
                 continue
-            at, fields = 2, {}
+            offset, fields = 2, {}
             for _ in range(payload[1]):
-                name_end = at + 1 + payload[at]
+                name_end = offset + 1 + payload[offset]
                 size = int.from_bytes(payload[name_end : name_end + 2], "big")
-                at, name = name_end + 2 + size, payload[at + 1 : name_end].decode()
-                fields[name] = payload[name_end + 2 : at].decode()
-            assert got not in self.early, "two answers on a stream"
-            self.early[got] = payload[0], fields, payload[at:]
-        return self.early.pop(stream)
+                offset, name = name_end + 2 + size, payload[offset + 1 : name_end].decode()
+                fields[name] = payload[name_end + 2 : offset].decode()
+            assert answer_stream not in self.buffered_answers, "two answers on a stream"
+            self.buffered_answers[answer_stream] = payload[0], fields, payload[offset:]
+        return self.buffered_answers.pop(stream)
 
     def is_ready(self):
-        self.send(1, 0, b"\0")
+        """Sends a readiness query and returns the director's report; other frames are dropped."""
+        self.send_frame(1, 0, b"\0")
         while True:
-            kind, _, payload = self.frame()
+            kind, _, payload = self.read_frame()
             if kind == 2:
                 return payload[0] == 1
 
 
-class Program:
-    """The program as a process of its own."""
+class DirectorProcess:
+    """A director in a process of its own.
+
+    The constructor waits until the director accepts connections, and fails if it is not ready then.
+    """
 
-    args = ()
+    args = ()  # further arguments of `serve`, set by subclasses
 
-    def __init__(self, folder, told):
-        self.port = int(told["listen"].split(":")[1])
-        self.log = (folder / "log").open("w+")  # closed by stop
-        self.config = folder / "config.json"
-        self.config.write_text(json.dumps(told))
-        env = {**os.environ, "PROXY_CONFIG": str(self.config)}
+    def __init__(self, folder, config):
+        self.port = int(config["listen"].split(":")[1])
+        self.log_file = (folder / "log").open("w+")  # closed by stop
+        self.config_path = folder / "config.json"
+        self.config_path.write_text(json.dumps(config))
+        env = {**os.environ, "PROXY_CONFIG": str(self.config_path)}
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "ironhinge", "serve", *self.args], env=env, stderr=self.log
+            [sys.executable, "-m", "ironhinge", "serve", *self.args], env=env, stderr=self.log_file
         )
-        until = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while not self._is_listening():
-            assert self.process.poll() is None, self.text()
-            assert time.monotonic() < until, self.text()
+            assert self.process.poll() is None, self.log_text()
+            assert time.monotonic() < deadline, self.log_text()
             time.sleep(0.02)
 
     def _is_listening(self):
@@ -610,11 +729,11 @@
         assert client.is_ready()
         return True
 
-    def text(self):
-        self.log.seek(0)
-        return self.log.read()
+    def log_text(self):
+        self.log_file.seek(0)
+        return self.log_file.read()
 
     def stop(self):
         self.process.kill()
         self.process.wait()
-        self.log.close()
+        self.log_file.close()
