--- a/ironhinge/interface/commands.py
+++ b/ironhinge/interface/commands.py
@@ -17,7 +17,7 @@
     request_id: str
     endpoint_id: str
     deadline: int  # the attempt times out if it has no answer by then
-    start_deadline: int = 0  # not sent after this, as its idempotency key may be forgotten; 0: no limit
+    start_deadline: int = 0  # not sent later: its idempotency key may be forgotten by then; 0: no limit
 
 
 class SendAttemptWithFill(NamedTuple):
@@ -32,7 +32,7 @@
     may_join_fill: bool  # the request may wait for a fill of the same object that is in progress
     revalidates: bool  # the endpoint revalidates a copy past its freshness lifetime with the source
     source_cached_only: bool  # the source serves only a cached copy and does not ask the origin
-    start_deadline: int = 0  # not sent after this, as its idempotency key may be forgotten; 0: no limit
+    start_deadline: int = 0  # not sent later: its idempotency key may be forgotten by then; 0: no limit
 
 
 class ServeLocalCopy(NamedTuple):
--- a/ironhinge/interface/deployment.py
+++ b/ironhinge/interface/deployment.py
@@ -105,7 +105,7 @@
     parent_slow_start_min_share: float
     parent_slow_start_duration: int
     parent_overload_multiple: float
-    origin_overload_multiple: float  # the origin stops at this many times its capacity; 0: never
+    origin_overload_multiple: float  # the origin stops serving at this many times its capacity; 0: never
     # Time after the notice of a drain in which attempts may still be sent to the endpoint, and time after the
     # notice of a purge in which older copies may still be served. The router uses neither: it obeys at once.
     drain_grace: int
--- a/ironhinge/interface/events.py
+++ b/ironhinge/interface/events.py
@@ -105,14 +105,14 @@
     endpoint_id: str
     result: AttemptResult
     duration: int
-    request_closed: bool  # the request has its final answer, or its client has disconnected
+    request_closed: bool  # the request has its final answer, or its client needs none any more
     cache_status: CacheStatus
     time_to_first_byte: int
     load_report: tuple[float, ...] | None  # in the order of `Deployment.load_report_fields`; None: no report
 
 
 class ClientDisconnected(NamedTuple):
-    """The client disconnected; the request needs no answer any more."""
+    """The client disconnected or cancelled the request, which needs no answer any more."""
 
     request_id: str
 
@@ -148,7 +148,7 @@
 
 
 class ShutdownStarted(NamedTuple):
-    """The instance is shutting down: each open request must get its final answer in the remaining time."""
+    """The instance is shutting down: each open request must get its final answer in `time_remaining`."""
 
     time_remaining: int
 
--- a/ironhinge/interface/ports.py
+++ b/ironhinge/interface/ports.py
@@ -19,7 +19,10 @@
     """The router's own store of cached copies, where operators have configured one."""
 
     def lookup(self, now: int, request: RequestReceived) -> int:
-        """Returns the age of the request's copy, -1 if there is none; counts the request for admission."""
+        """Returns the age of the request's copy, -1 if there is none.
+
+        Also counts the request; `should_store` uses these counts.
+        """
         ...
 
     def should_store(self, now: int, request: RequestReceived) -> bool:
--- a/ironhinge/net/acceptor.py
+++ b/ironhinge/net/acceptor.py
@@ -27,7 +27,7 @@
     """Closes an idle client connection to free its descriptor."""
 
     def __call__(self, is_full: bool, /) -> bool:
-        """Closes one connection; False if there is none to close. `is_full`: no descriptor is left."""
+        """Starts to close one connection; False if none may be closed. `is_full`: no descriptor is left."""
 
 
 class AcceptorOwner(Protocol):
--- a/ironhinge/net/attempt_end.py
+++ b/ironhinge/net/attempt_end.py
@@ -18,7 +18,7 @@
     run, or that is idempotent, may be sent again.
     """
 
-    SERVED = auto()  # the whole response arrived
+    SERVED = auto()  # the whole answer arrived
     NOT_MODIFIED = auto()  # the client's copy is current
     MISS = auto()  # the upstream has no usable copy: the request did not run
     REJECTED = auto()  # the upstream rejected the request: it did not run
@@ -31,15 +31,15 @@
     NOT_SENT = auto()  # ended by this side before the whole command was written: the upstream did not get it
     # the connection broke before the whole command was written: the upstream did not get it
     CUT_BEFORE_SEND = auto()
-    # its connection was closed because of another attempt: the request may have run; it does not show
+    # its connection was closed because of another attempt: the request may have run; this end does not show
     # whether the upstream is healthy
     CONNECTION_SHARED_FAILURE = auto()
-    STALLED = auto()  # a response on the connection began and did not continue: the request may have run
+    STALLED = auto()  # an answer on the connection began and did not continue: the request may have run
     RESET = auto()  # the connection was reset after the command was written: the request may have run
     CLOSED = auto()  # the connection was closed after the command was written: the request may have run
     UNPARSABLE = auto()  # what the upstream sent can't be parsed: the request may have run
     MEMORY_LIMIT = auto()  # closed by this side as its queued output used too much memory: it may have run
-    TIMED_OUT = auto()  # no response by the deadline: the request may still be running
+    TIMED_OUT = auto()  # no answer by the deadline: the request may still be running
     CANCELLED = auto()  # the router cancelled it: the request may have run
 
 
--- a/ironhinge/net/attempts.py
+++ b/ironhinge/net/attempts.py
@@ -1,7 +1,7 @@
 """Sends attempts and health checks as the router commands, and reports how each of them ended.
 
-This module makes no routing decision: the upstream and the deadline of an attempt come from its command, and
-each operation ends exactly once.
+This module makes no routing decision: the upstream and the deadline of an attempt come from its command.
+Each operation, which is an attempt or a health check, ends exactly once.
 """
 
 from __future__ import annotations
@@ -34,7 +34,9 @@
 from .upstream_command import command_fields, max_copy_age_ms, set_time_remaining
 from .upstream_pool import UpstreamPool
 
-MAX_UNREAD_AGE = 0.03  # seconds; no attempt may start more than 0.1 s after its client disconnected
+# Seconds; unread input that may be older is read before an attempt starts, since none may start more than
+# 0.1 s after its client disconnected.
+MAX_UNREAD_AGE = 0.03
 RETIRED_ID_LIFETIME = SECOND  # time after the end of an attempt in which a second answer to it may arrive
 DELIVERED = (AttemptEnd.SERVED, AttemptEnd.NOT_MODIFIED)  # no other attempt follows these ends
 ATTEMPTS_STARTED = "attempts_started"  # counter
@@ -74,8 +76,8 @@
         local_store: Stores copies of answers, if this extension is in use.
         catch_up_with_discovery: Reads the discovery events that have arrived, unless none older than the
             given number of seconds can be unread.
-        recent_answers: Answers that the router may command to store, by request id; cleared once its event
-            queue is empty.
+        recent_answers: Answers that the router may command to store, by request id; cleared once the event
+            queue of the decision loop is empty.
     """
 
     def __init__(
@@ -204,7 +206,8 @@
         connection = operation.connection
         if connection is None:
             return
-        operation.connection = None  # the timers refer to the operation until they are due
+        # the timers refer to the operation until they are due, and must not keep its connection in memory
+        operation.connection = None
         connection.operations.pop(operation.operation_id, None)
         connection.idle_since = now
         connection.retire_if_desynchronized()
--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -1,9 +1,16 @@
 """One client connection: its open requests, its timeouts and its graceful close.
 
-The director closes a connection in steps (`Phase`), for every `CloseCause`. It sends GOAWAY, which asks the
-client to send no new request, and still answers requests for a while. Then it shuts down its side of the
-connection, discards further input until the client closes its side, and closes the socket. Some causes skip
-steps, for example when no descriptor is left.
+The director closes a connection in steps; `Phase` says which of them have been taken:
+
+1. It sends GOAWAY, which asks the client to send no new request, and still answers requests that arrive.
+2. Once the connection has been quiet for a notice period, it shuts down its side for writing, and discards
+   further input. During shutdown, no notice period is set for a client that has sent a frame: it may send
+   requests until it closes the connection or `half_close` is called.
+3. Once the client has closed its side, or after a lingering timeout, it closes the socket.
+
+After a protocol violation, or if a frame is not completed in time, the first step is skipped. While
+descriptors are short, a connection that has carried no request gets a shorter notice period or none, or is
+closed at once: see `close_for_capacity`.
 """
 
 from __future__ import annotations
@@ -27,7 +34,7 @@
 FRAME_TIMEOUT = 2400 * MILLISECOND  # for a whole frame, however slowly it arrives
 IDLE_TIMEOUT = 4500 * MILLISECOND  # clients close their idle connections after 4 s
 
-# How long a connection must have been quiet after GOAWAY before our side is shut down.
+# How long a connection must have been quiet after GOAWAY before this side is shut down.
 NOTICE_PERIOD = 700 * MILLISECOND  # the network may delay data by 0.3 s in each direction
 NEVER_USED_NOTICE_PERIOD = 400 * MILLISECOND  # part of the 3 s may have passed in the backlog
 SHORT_OF_DESCRIPTORS_NOTICE_PERIOD = 250 * MILLISECOND
@@ -35,7 +42,7 @@
 FULL_NOTICE_PERIOD = 60 * MILLISECOND
 UNUSED_SHUTDOWN_NOTICE_PERIOD = 100 * MILLISECOND  # during shutdown, for a client that never sent a frame
 
-# For the client to close its side; after that the socket is closed, even if output is unread.
+# Time for the client to close its side; after that the socket is closed, even if output is unread.
 LINGERING_TIMEOUT = 500 * MILLISECOND
 LINGERING_TIMEOUT_WHEN_SHORT = 100 * MILLISECOND  # the same while descriptors are short
 
@@ -44,12 +51,12 @@
     """How far the close of a connection has progressed."""
 
     OPEN = "open"
-    ANNOUNCED = "announced"  # GOAWAY is sent; requests are still answered
-    HALF_CLOSED = "half-closed"  # our side is shut down; input is discarded
+    ANNOUNCED = "announced"  # GOAWAY was sent; requests are still answered
+    HALF_CLOSED = "half-closed"  # this side is shut down; input is discarded
 
 
 class Usage(Enum):
-    """What a client has used its connection for; in the order in which connections are closed for others."""
+    """What a client has used its connection for; connections are closed for others in this order."""
 
     NONE = 0  # the client has sent no frame
     READINESS_ONLY = 1  # the client has sent frames, such as readiness queries, but no request
@@ -118,8 +125,8 @@
         self.connection: Connection
         self.phase = Phase.OPEN
         self.close_cause: CloseCause | None = None
-        self.close_not_before: int | None = None  # earliest time of the next step; None: not set
-        self.quiet_period = 0  # how long the connection must have been quiet before our side is shut down
+        self.close_not_before: int | None = None  # earliest time of the next step of the close; None: not set
+        self.quiet_period = 0  # how long the connection must have been quiet before this side is shut down
         self.usage = Usage.NONE
         now = owner.clock.now()
         self.waiting_since = now  # for the first frame, the rest of an incomplete frame, or the next frame
@@ -143,7 +150,7 @@
         if messages or not had_partial_frame:
             self._restart_wait()
         for message in messages:
-            if self._drops_input():  # the previous message may have shut down our side
+            if self._drops_input():  # the previous message may have shut down this side
                 return
             if message is messages[-1] and not self.wire.buffered:
                 connection.use_backlog_data_time()
@@ -166,7 +173,7 @@
 
     def _on_request(self, message: client_wire.RequestFrame | client_wire.MalformedRequest) -> None:
         if not message.stream or message.stream in self.open_requests:
-            self._close_for_violation(f"stream {message.stream} can't take a request")
+            self._close_for_violation(f"stream {message.stream} is reserved or has an open request")
         elif len(self.open_requests) >= MAX_OPEN_REQUESTS:
             self._close_for_violation(f"more than {MAX_OPEN_REQUESTS} open requests")
         else:
@@ -194,12 +201,12 @@
         self.connection.write(frame, request.stream, request.answer_expires_at)
 
     def announce_close(self, cause: CloseCause, notice_period: int | None) -> None:
-        """Sends GOAWAY, unless it was sent before, and sets when our side is shut down.
+        """Sends GOAWAY, unless it was sent before, and sets when this side is shut down.
 
         Args:
             cause: Why the connection is closed.
-            notice_period: Our side is shut down once the connection has been quiet for this long (tenths of a
-                millisecond); a period that was set before stays. None: no time is set, and one that was set
+            notice_period: This side is shut down once the connection has been quiet for this long (tenths of
+                a millisecond); a period that was set before stays. None: no time is set, and one that was set
                 is cleared; a later call may set one again.
         """
         if self.phase is Phase.HALF_CLOSED:
@@ -217,9 +224,9 @@
             self.quiet_period = notice_period
 
     def half_close(self) -> None:
-        """Shuts down our side once all queued output is sent.
+        """Shuts down this side once all queued output is sent.
 
-        A client that sends a request in that moment sees an orderly close; closing the socket at once could
+        A client that sends a request at that moment sees an orderly close; closing the socket at once could
         reset the connection and destroy the last answers.
         """
         if self.phase is Phase.HALF_CLOSED:
@@ -240,10 +247,10 @@
         """
         self._owner.warn("protocol_violations", f"client_protocol_violation error={text!r}")
         self.close_cause = CloseCause.PROTOCOL_VIOLATION
-        self.half_close()  # first, so that whatever the failed requests cause finds the connection closing
+        self.half_close()  # first, so that all effects of the failed requests find the connection closing
         for request in list(self.open_requests.values()):
             self._owner.fail(request)
-        # still sent: our side is shut down only after the queue, this frame included
+        # still sent: this side is shut down only after the queue, this frame included
         self.connection.write(client_wire.error(text))
 
     def _restart_wait(self) -> None:
@@ -307,7 +314,7 @@
         )
         if not is_stalled or self.connection.has_unread():
             return False
-        self._close_for_violation("a frame that does not end")
+        self._close_for_violation("a frame was not received completely in time")
         return True
 
     def close_for_capacity(self, is_full: bool) -> None:
--- a/ironhinge/net/client_registry.py
+++ b/ironhinge/net/client_registry.py
@@ -121,6 +121,6 @@
                 client.announce_close(CloseCause.SHUTDOWN, UNUSED_SHUTDOWN_NOTICE_PERIOD)
 
     def close_all(self) -> None:
-        """Shuts down our side of every connection, once its queued output is sent."""
+        """Shuts down this side of every connection, once its queued output is sent."""
         for client in self:
             client.half_close()
--- a/ironhinge/net/client_request.py
+++ b/ironhinge/net/client_request.py
@@ -45,7 +45,7 @@
 ) -> ClientRequest:
     """Parses and checks a request's fields, which have their names on the wire as keys.
 
-    `margin`, in ticks, is subtracted from the client's remaining time: see `LoopMonitor.deadline_margin`.
+    `margin`, in ticks, is subtracted from the request's time remaining: see `LoopMonitor.deadline_margin`.
 
     Raises:
         RequestFieldError, client_wire.FieldError: A field is missing or not acceptable; the text names it.
--- a/ironhinge/net/client_wire.py
+++ b/ironhinge/net/client_wire.py
@@ -114,7 +114,7 @@
         except UnicodeDecodeError:
             raise FieldError(f"field {len(fields) + 1} is not text") from None
         if name in fields:
-            raise FieldError(f"field '{name}' stands twice")
+            raise FieldError(f"field '{name}' occurs twice")
         fields[name] = value
         offset = end
     return fields, offset
@@ -273,7 +273,7 @@
 
 
 def tag_of(fields: dict[str, str], name: str) -> str:
-    """Returns a field that holds a copy's entity tag; empty if it is missing.
+    """Returns a field with a copy's entity tag; empty if it is missing.
 
     Raises:
         FieldError: The field is not a tag.
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -104,7 +104,7 @@
                 self.withdraw(frame)
 
     def is_written(self, frame: Frame) -> bool:
-        """Whether the system has accepted the whole frame."""
+        """Returns whether the system has accepted the whole frame."""
         return frame.ring_end is not None and self.sent_offset >= frame.ring_end
 
     def send_pending(self) -> None:
@@ -264,14 +264,14 @@
             self.owner.open_sockets -= 1
 
     def has_unread(self) -> bool:
-        """Whether there are unread bytes; also True if that can't be determined."""
+        """Returns whether there are unread bytes; also True if that can't be determined."""
         if self.sock is None:
             return False
         has_data, remedy = self.owner.calls.peek(self.sock)
         return has_data or remedy not in (Remedy.DONE, Remedy.WAIT, Remedy.BROKEN)
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed or reset the connection, as far as a peek at the socket shows."""
+        """Returns whether the peer has closed or reset the connection, as far as a peek shows."""
         if self.sock is None:
             return False
         has_data, remedy = self.owner.calls.peek(self.sock)
--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -28,7 +28,7 @@
 __all__ = ["ConnectionManager", "DescriptorReclaimer"]
 
 COMMAND_BUFFER_BYTES = 8 * 1024  # ring size of the direction that carries requests and commands
-BODY_BUFFER_BYTES = 32 * 1024  # ring size of the direction that carries response bodies
+BODY_BUFFER_BYTES = 32 * 1024  # ring size of the direction that carries the bodies of answers
 QUEUED_MEMORY_SHARE = 0.25  # share of the memory limit that output queued for slow readers may use
 SOCKET_RELEASE_TURNS = 3  # turns of the event loop in which a closed connection releases its socket
 # Seconds; after a longer wait in the backlog, the system is asked for the age of a connection's data.
--- a/ironhinge/net/decision_loop.py
+++ b/ironhinge/net/decision_loop.py
@@ -66,7 +66,7 @@
     def report_request(self, request: RequestReceived, deadline: int) -> None:
         """Passes a request to the router, with the instant until which its client waits.
 
-        The remaining time is calculated when the router handles the request, as the process may be stopped
+        The time remaining is calculated when the router handles the request, as the process may be stopped
         after the request was read.
         """
         self._queue.append(_RequestWithDeadline(request, deadline))
--- a/ironhinge/net/descriptor_budget.py
+++ b/ironhinge/net/descriptor_budget.py
@@ -10,14 +10,14 @@
 
 RESERVED_DESCRIPTORS = 24  # for the listener, the log, the datagram socket and the event loop
 
-# Share of the descriptors in use at which accepting pauses; the remainder is for upstreams. By the protocol
-# clients usually use at most a third of the descriptors.
+# Share of the descriptors in use at which accepting pauses; the remainder is for upstreams. According to
+# the protocol, clients usually use at most a third of the descriptors.
 CLIENT_SHARE = 0.85
 # Share of the clients' descriptors in use at which idle connections start to be closed for new ones.
 RECLAIM_THRESHOLD = 0.9
 
-# Share of the descriptors that may belong to connections waiting for their peers to close and yet don't count
-# as in use.
+# Connections that only wait for their peers to close don't count as in use, up to this share of the
+# descriptors.
 FINISHING_ALLOWANCE = 0.05
 MAX_CLOSING_SHARE = 0.5  # share of the descriptors whose connections may be closing while none is left
 
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -183,7 +183,7 @@
         )
         received = request.received
         if received.request_id in self.requests:
-            raise RequestFieldError("field 'trace' names an open req")
+            raise RequestFieldError("field 'trace' names an open request")
         deadline = read_at + received.time_remaining
         if self.shutdown_deadline is not None:
             deadline = min(deadline, self.shutdown_deadline)
@@ -198,13 +198,13 @@
         self.event_log.record(EventKind.REQUEST_CANCELLED, request.request_id, "client")
         self.report(ClientDisconnected(request.request_id))
         if request.attempt is not None and request.attempt.withdraw():
-            # Done even if the settings forbid cancellation: they mean attempts that have begun, and this one
-            # still waits for its connection or behind a blocked socket.
+            # Done even if the settings forbid cancellation: that concerns attempts that have begun, and this
+            # one still waits for its connection or behind a blocked socket.
             self.attempts.finish_operation(request.attempt, AttemptEnd.NOT_SENT)
         self.delete_if_done(request)
 
     def fail(self, request: OpenRequest) -> None:
-        """Fails a request whose client connection is being closed; to the router, its client disconnects."""
+        """Fails a request whose connection is being closed, which the router gets as `ClientDisconnected`."""
         if not request.is_closed:
             self.on_client_disconnected(request)
             request.client.send_answer(request, client_wire.ABORTED, {}, b"")
@@ -391,6 +391,6 @@
         self.admission_deadline = self.clock.now()
 
     def close_all_clients(self) -> None:
-        """Shuts down our side of every client connection, once its queued output is sent."""
+        """Shuts down this side of every client connection, once its queued output is sent."""
         self.clients.close_all()
         self.manager.flush()
--- a/ironhinge/net/event_log.py
+++ b/ironhinge/net/event_log.py
@@ -24,14 +24,14 @@
 
     SYSTEM_CALL_FAILED = "system_call_failed"
     CLIENT_GOAWAY_SENT = "client_goaway_sent"  # the client was asked to send no new requests
-    CLIENT_HALF_CLOSED = "client_half_closed"  # our side of a client's connection was shut down
+    CLIENT_HALF_CLOSED = "client_half_closed"  # this side of a client's connection was shut down
     CLIENT_CLOSED = "client_closed"
     REQUEST_REJECTED = "request_rejected"
     REQUEST_FAILED = "request_failed"
     REQUEST_CANCELLED = "request_cancelled"  # the client no longer waits for it
     REQUEST_UNANSWERED = "request_unanswered"  # its client connection was closed before the answer
-    INPUT_DISCARDED = "input_discarded"  # bytes arrived after our side was shut down
-    ATTEMPT_FAILED = "attempt_failed"  # an attempt ended without a response to deliver
+    INPUT_DISCARDED = "input_discarded"  # bytes arrived after this side was shut down
+    ATTEMPT_FAILED = "attempt_failed"  # an attempt ended without an answer to deliver
 
 
 class Event(NamedTuple):
--- a/ironhinge/net/frame.py
+++ b/ironhinge/net/frame.py
@@ -11,8 +11,8 @@
 class Frame:
     """Bytes that are written to a connection as a unit, in pieces.
 
-    If a frame has `render`, that is called for its pieces just before writing starts; the call may also
-    withdraw the frame.
+    If a frame has `render`, this is called just before writing starts and returns the pieces; the call may
+    also withdraw the frame.
 
     Attributes:
         ring_start: Offset of the first byte among all bytes put into the connection's ring; None until then.
--- a/ironhinge/net/open_request.py
+++ b/ironhinge/net/open_request.py
@@ -10,7 +10,7 @@
 from .connection import Connection
 from .upstream import Upstream, UpstreamOperation
 
-UNREAD_ANSWER_TIMEOUT = SECOND  # after the client's deadline; an answer still not sent then is dropped
+UNREAD_ANSWER_TIMEOUT = SECOND  # after the client's deadline; an answer that is still unsent is dropped then
 
 
 class AnswerReceiver(Protocol):
--- a/ironhinge/net/service.py
+++ b/ironhinge/net/service.py
@@ -28,7 +28,8 @@
 from .system_calls import Call, Remedy, remedy_for
 from .timed_selector import TimedSelector
 
-# Collections are rare: normal work creates no cycles, and they take longer as the router's tables grow.
+# Garbage collection is rare: normal work creates no reference cycles, and a collection takes longer as the
+# router's tables grow.
 GC_THRESHOLDS = 20_000, 20, 20
 RESTART_PAUSE = 0.05  # seconds before a failed task is started again
 LISTEN_TIMEOUT = 2.0  # seconds during which a transient error, such as an address in use, is retried
--- a/ironhinge/net/shutdown.py
+++ b/ironhinge/net/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: every accepted request is answered, and nothing that still arrives is lost.
+"""Graceful shutdown: open requests are answered, and later ones are answered or rejected, not lost.
 
 SIGKILL may follow SIGTERM after the longest client timeout (at most `CLIENT_TIMEOUT_LIMIT`) plus
 `KILL_GRACE`. Clients may send on open connections until then.
@@ -20,8 +20,8 @@
 FINAL_WRITE_TIME = 200 * MILLISECOND  # before SIGKILL, reserved for writing the last answers
 ADMISSION_PERIOD = 0.7  # seconds after SIGTERM in which new connections may arrive; the platform states 0.4
 MIN_BACKLOG_TIME = 0.05  # seconds for accepting the backlog, even if the client timeouts are short
-EXIT_DELAY = 500 * MILLISECOND  # after the time of SIGKILL; without one the process then exits by itself
-FINAL_CLOSE_TIMEOUT = 200 * MILLISECOND  # then, for clients to close their side
+EXIT_DELAY = 500 * MILLISECOND  # after the expected SIGKILL; if it does not come, the process exits by itself
+FINAL_CLOSE_TIMEOUT = 200 * MILLISECOND  # after `EXIT_DELAY`, for clients to close their side
 CHECK_INTERVAL = 0.02  # seconds
 
 
--- a/ironhinge/net/socket_calls.py
+++ b/ironhinge/net/socket_calls.py
@@ -1,7 +1,7 @@
 """System calls on sockets: errors are returned as a `Remedy`, not raised as OSError.
 
 Only polling errors that are bugs, and errors of opening a listener or a UDP socket, are raised. This module
-keeps no state of a connection, and waits only for the readiness of a socket.
+keeps no state of a connection, and waits only in `readable` and `writable`.
 """
 
 from __future__ import annotations
@@ -161,7 +161,7 @@
         return Remedy.PAUSE
 
     def close(self, sock: socket.socket) -> None:
-        """Releases a descriptor; Linux does so even if it reports an error, see the manual of close."""
+        """Releases a descriptor; according to its man page, Linux does so even if it reports an error."""
         try:
             sock.close()
         except OSError as error:
--- a/ironhinge/net/system_calls.py
+++ b/ironhinge/net/system_calls.py
@@ -41,15 +41,15 @@
     """What the caller does about an error."""
 
     RETRY = auto()  # repeat the call at once
-    WAIT = auto()  # wait until the socket is ready
+    WAIT = auto()  # the call would block or is in progress: wait until the socket is ready
     PAUSE = auto()  # the system is short of a resource for a moment: repeat the call after a pause
-    DESCRIPTORS = auto()  # no file descriptor is left: free one, and repeat the call after a pause
-    SKIP = auto()  # the object of the call no longer exists, or its result does not matter: ignore the error
+    DESCRIPTORS = auto()  # no file descriptor is left: free one before the call is made again
+    SKIP = auto()  # the connection no longer exists, or the result does not matter: ignore the error
     BROKEN = auto()  # the connection is broken
     REFUSED = auto()  # nothing listens at the peer's address
     RESET = auto()  # the peer reset the connection while it was being established
-    UNREACHABLE = auto()  # the peer can't be reached
-    DONE = auto()  # the call has had its effect already
+    UNREACHABLE = auto()  # the peer can't be reached; for `LISTEN`: the address can't be listened on
+    DONE = auto()  # nothing to do: the call succeeded, or an earlier call already had this effect
     BUG = auto()  # a programming error: the call was invalid
     LATE = auto()  # the call was not made, since its deadline had passed
 
@@ -173,7 +173,8 @@
 
 
 REMEDIES = make_remedy_table(_RULES)
-UNKNOWN_ERROR_REMEDY = Remedy.PAUSE  # an unlisted error may be transient, and must not fail a request
+# An error that no man page lists may be transient, and must not fail a request.
+UNKNOWN_ERROR_REMEDY = Remedy.PAUSE
 
 
 def remedy_for(call: Call, error: int) -> Remedy:
--- a/ironhinge/net/upstream.py
+++ b/ironhinge/net/upstream.py
@@ -57,7 +57,7 @@
         self.upstream = upstream
         self.started_at = started_at
         self.deadline = started_at
-        self.start_deadline = 0  # not sent after this, as its idempotency key may be forgotten; 0: no limit
+        self.start_deadline = 0  # not sent later: its idempotency key may be forgotten by then; 0: no limit
         self.answer_is_copy = False  # the body of its answer is a copy, so a tag and a date are required
         self.connection: UpstreamConnection | None = None
         self.frame: Frame | None = None
@@ -143,7 +143,7 @@
         return self.connection.write_now((upstream_wire.encode_cancel(operation.operation_id),))
 
     def is_idle(self) -> bool:
-        """Whether the connection is established and has no operation in flight."""
+        """Returns whether the connection is established and has no operation in flight."""
         return self.connection.is_connected and not self.operations
 
     def check_timeouts(self, now: int, idle_since: int) -> None:
@@ -165,7 +165,7 @@
             }
 
     def _is_stalled(self, now: int) -> bool:
-        """Whether an answer is incomplete and no more of it arrives, so that no operation can be answered."""
+        """Returns whether an answer is incomplete and no more of it arrives, which blocks all operations."""
         last_received_at = int(self.connection.last_received_at * SECOND)
         is_overdue = self.wire.has_partial_answer() and now > last_received_at + self._connect_timeout
         return is_overdue and not self.connection.has_unread()
--- a/ironhinge/net/upstream_pool.py
+++ b/ironhinge/net/upstream_pool.py
@@ -20,8 +20,8 @@
 
     Attributes:
         upstreams: The upstreams by id.
-        connections_per_upstream: Number of connections to one upstream from which on operations share them;
-            each upstream's part of the descriptors.
+        connections_per_upstream: Each upstream's part of the descriptors; an upstream with this number of
+            connections gets no new one while operations can share one of them.
         transport: Timeouts and limits of connections.
     """
 
--- a/ironhinge/net/upstream_wire.py
+++ b/ironhinge/net/upstream_wire.py
@@ -84,7 +84,7 @@
         load_report: The upstream's load by gauge name; empty if it sent none.
         produced_unix_ms: Unix time in milliseconds at which the copy was produced; 0: unknown.
         has_tag: Whether the copy has an entity tag.
-        body: The response's body.
+        body: The answer's body.
         tag: The copy's entity tag.
     """
 
@@ -179,7 +179,7 @@
         self._item_size = -1  # bytes of the current item; -1: its length has not been read yet
 
     def has_partial_answer(self) -> bool:
-        """Whether an answer has begun and is not complete."""
+        """Returns whether an answer has begun and is not complete."""
         return bool(self._length or self._missing_items)
 
     def feed(self, data: memoryview) -> tuple[list[UpstreamAnswer], UnparsableError | None]:
--- a/ironhinge/routing/attempt_results.py
+++ b/ironhinge/routing/attempt_results.py
@@ -27,7 +27,7 @@
 
 
 class AttemptResults:
-    """Updates upstreams, fill sources and requests when an attempt or a load report arrives."""
+    """Updates upstreams, fill sources and requests when an attempt ends or a load report arrives."""
 
     __slots__ = (
         "_attribution",
--- a/ironhinge/routing/cache_selection.py
+++ b/ironhinge/routing/cache_selection.py
@@ -36,9 +36,9 @@
         """Checks all caches whose eligibility check has side effects; returns the result for each.
 
         Those are the caches with an attempt in flight, which the check may record as unresponsive, and the
-        caches that may be warming up, whose tokens it refills. Caches that have failed the request or must
-        not get it again are left out. The check of any other cache has no side effects, so `select_cache`
-        runs it only for as many caches as it needs.
+        caches that may be warming up, whose slow start tokens it refills. Caches that have failed the request
+        or must not get it again are left out. The check of any other cache has no side effects, so
+        `select_cache` runs it only for as many caches as it needs.
         """
         awaited = [each.attempt.upstream for each in open_requests if each.attempt is not None]
         maybe_warming = self._upstreams.maybe_warming
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -1,8 +1,10 @@
 """Attributes a failed attempt to the upstream to which it was sent or to the source of its fill.
 
-Prevents the ejection of healthy caches because of a faulty parent. If the answer has a cache status, that
-decides; otherwise the failure is attributed to the one of the two with the higher failure rate, the
-source on a tie.
+Prevents the ejection of healthy caches because of a faulty parent. An attempt that was never sent, or that
+ended before a source could have been asked, is attributed to the upstream. A rejection is otherwise
+attributed to the source, unless the cache status says that the cache itself accepts no more fills. For other
+failures the cache status of the answer decides; without one, the failure is attributed to the one of the two
+with the higher failure rate, the source on a tie.
 """
 
 from __future__ import annotations
@@ -95,7 +97,7 @@
         if origin is not None and self._is_origin_suspected(request, event):
             origin.rejecting_until = failed_upstream.rejecting_until
         if event.duration > request.request_class.definition.latency_target:
-            # A rejection after the latency target counts as a failure, as the request has waited for nothing.
+            # A rejection after the latency target counts as a failure, as the request has waited in vain.
             self._outliers.record_failure(failed_upstream)
             self._outliers.eject_if_outlier(now, failed_upstream)
         return failed_upstream
--- a/ironhinge/routing/final_answers.py
+++ b/ironhinge/routing/final_answers.py
@@ -6,7 +6,7 @@
 from .request_state import RequestState
 from .retries import is_safe_to_repeat
 
-RETRY_AFTER_SHARE = 0.25  # share of the remaining slack before its target that a rejected client should wait
+RETRY_AFTER_SHARE = 0.25  # share of the slack before the request's target that its client should wait
 
 
 def final_answer(now: int, request: RequestState, max_retry_after: int) -> RejectRequest | FailRequest:
--- a/ironhinge/routing/outlier_detection.py
+++ b/ironhinge/routing/outlier_detection.py
@@ -15,8 +15,10 @@
 EJECTION_FAILURE_RATE = 0.7  # an upstream is ejected if its failure rate exceeds its peers' by more than this
 TRUSTED_FAILURE_RATE = 0.25  # below this, an upstream that was ejected is trusted again
 RECOVERY_FACTOR = 0.5  # each successful trial after an ejection multiplies the failure rate by this
-MIN_EJECTION = 0.25  # length of the first ejection, in longest client timeouts; each further one doubles it
-MAX_EJECTION = 4.0  # length of the longest ejection, in longest client timeouts
+# Lengths of the first and of the longest ejection, as multiples of the longest client timeout; each further
+# ejection of an upstream that is not trusted yet is twice as long as the one before.
+MIN_EJECTION = 0.25
+MAX_EJECTION = 4.0
 # Ejections last 0.75 to 1.25 times their nominal length, at random, so that trials of routers do not
 # coincide.
 MIN_JITTER = 0.75
--- a/ironhinge/routing/purges.py
+++ b/ironhinge/routing/purges.py
@@ -1,6 +1,6 @@
 """Purges: copies from before a purge are not accepted until the purge has reached every cache.
 
-Guards the rule that no copy from before a purge is served. Its only drawback is extra fills: the age limit
+Enforces the rule that no copy from before a purge is served. Its only drawback is extra fills: the age limit
 also excludes valid copies that are older than it.
 """
 
--- a/ironhinge/routing/retries.py
+++ b/ironhinge/routing/retries.py
@@ -1,6 +1,6 @@
 """Decides where a request that may already have run can be retried, and when its attempts time out.
 
-Guards the rule that no request takes effect twice: a request that is not idempotent is retried only on
+Enforces the rule that no request takes effect twice: a request that is not idempotent is retried only on
 upstreams that drop repeats of its idempotency key, and only while they remember the key.
 """
 
@@ -42,7 +42,7 @@
     """Returns the deadline of an attempt that is sent now.
 
     An attempt of an idempotent request leaves time for another one before the client's own timeout, in case
-    the upstream never answers, but takes at least half of the remaining time.
+    the upstream never answers, but takes at least half of the time remaining.
     """
     latest_deadline = request.client_deadline - ROUND_TRIP_BATCHES * min_batch_interval
     if not request.request_class.is_idempotent:
--- a/ironhinge/routing/router.py
+++ b/ironhinge/routing/router.py
@@ -152,7 +152,7 @@
         transfer_time = self._transfer_time(event, request_class)
         request = RequestState(event, request_class, now, transfer_time)
         self.requests[event.request_id] = request
-        if event.is_client_retry:  # the time that its client has already waited counts
+        if event.is_client_retry:  # counts the time that its client has waited already
             request.target_at -= int(CLIENT_RETRY_TARGET_SHARE * request_class.definition.latency_target)
         request.recently_requested = self.recent_requests.record(request.key, now)
         if self._can_serve_local_copy(now, request):
@@ -184,7 +184,7 @@
         return now + round_trip < request.client_deadline
 
     def on_local_copy(self, now: int, event: LocalCopyFinished) -> None:
-        """Closes a request served from its local copy; routes it if the copy could not be read in time."""
+        """Deletes a request that was served or whose client has disconnected; routes it otherwise."""
         request = self.requests.get(event.request_id)
         if request is None:
             return
--- a/ironhinge/routing/slow_start.py
+++ b/ironhinge/routing/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: limits the load on an upstream that started recently, with a token bucket per upstream.
 
-Guards the rule that no upstream in slow start is overloaded. With endpoint weights, this router may use an
+Enforces the rule that no upstream in slow start is overloaded. With endpoint weights, this router may use an
 equal share of the capacity. Without, it estimates its share from the load that it puts on warm upstreams of
 the same kind: summed over all routers, these estimates stay below the capacity of such an upstream.
 
--- a/ironhinge/routing/upstreams.py
+++ b/ironhinge/routing/upstreams.py
@@ -67,10 +67,10 @@
         self.request_rates = RequestRateTable()
         self.failure_rate = 0.0  # moving average of its outcomes: 0 for a success, 1 for a failure
         self.ejected_until = 0
-        self.ejection_length = 0.0  # of the last ejection, in longest client timeouts; 0: trusted
+        self.ejection_length = 0.0  # of the last ejection, in units of the longest client timeout; 0: trusted
         self.rejecting_until = 0  # it rejected a request: skipped until then
         self.last_response_at = 0  # time of its last answer or of a failed attempt that did not time out
-        self.unresponsive_since = 0  # when it last accepted no connection or was found unresponsive; 0: not
+        self.unresponsive_since = 0  # when it last accepted no connection, or was found unresponsive; 0: not
         self.utilization = 1.0  # average of the shares of its capacity that it reported as in use
         self.throughput = 0.0  # transfer time served to this router per unit of time, averaged
         self.throughput_updated_at = 0
--- a/ironhinge/wirehost/codec.py
+++ b/ironhinge/wirehost/codec.py
@@ -1,9 +1,9 @@
 """Translates between the simulator's messages and the types of `ironhinge.interface`.
 
 The simulator's field names and its unit of time, the microsecond, do not go beyond this module: the types of
-`ironhinge.interface` have names of their own, and times in ticks of a tenth of a millisecond. Settings and
-endpoint lists are read by `ironhinge.config`. A missing or malformed field raises `MalformedMessageError`,
-which names the event and the field.
+`ironhinge.interface` have names of their own, and their times are in ticks of a tenth of a millisecond.
+Settings and endpoint lists are read by `ironhinge.config`. A missing or malformed field raises
+`MalformedMessageError`, which names the event and the field.
 """
 
 from __future__ import annotations
