--- a/ironhinge/interface/deployment.py
+++ b/ironhinge/interface/deployment.py
@@ -107,7 +107,7 @@
     parent_overload_multiple: float
     origin_overload_multiple: float  # the origin stops serving at this many times its capacity; 0: never
     # Time after the notice of a drain in which attempts may still be sent to the endpoint, and time after the
-    # notice of a purge in which older copies may still be served. The router uses neither: it obeys at once.
+    # notice of a purge in which older copies may still be served. The router uses neither: it acts at once.
     drain_grace: int
     purge_grace: int
     purge_retention: int  # time after a purge by which no endpoint has a copy from before it
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -28,7 +28,7 @@
 MAX_IMMEDIATE_READS = 4  # reads by `read_now`: a read may be short, or fail temporarily
 DISCARD_INTERVAL = 0.01  # seconds between reads of data that is discarded
 MAX_RENDERED_AGE = 0.02  # seconds; an older frame is rendered again before it is sent
-MAX_EMPTY_AGE = 0.03  # seconds since a connection was known to be empty; later, a short read is repeated
+MAX_EMPTY_AGE = 0.03  # seconds; if a connection was last known to be empty earlier, a short read is repeated
 
 EMPTY_BUFFER = RingBuffer(0)
 
--- a/ironhinge/net/discovery.py
+++ b/ironhinge/net/discovery.py
@@ -32,11 +32,11 @@
 from .upstream import Upstream
 from .upstream_pool import UpstreamPool
 
-# The service writes every second; 4 s after it falls silent, its events count as delivered.
+# The service writes every second; the protocol counts events as delivered 4 s after it falls silent.
 SILENCE_TIMEOUT = 2 * SECOND
 SILENCE_CHECK_INTERVAL = SECOND // 4
 MIN_RECONNECT_PAUSE = 0.05  # seconds
-MAX_RECONNECT_PAUSE = 0.4  # seconds; events count as delivered 2 s after the connection breaks
+MAX_RECONNECT_PAUSE = 0.4  # seconds; the protocol counts events as delivered 2 s after a break
 # fields that may change in a reloaded configuration without a warning; only `discovery_address` takes effect
 RELOADABLE_FIELDS = "seed", "known", "known_index", "discovery_address"
 MAX_WRITE_INTERVAL_MS = 1000  # longest interval between two frames of the service
@@ -94,7 +94,7 @@
     def apply(self, update: DiscoveryUpdate | Keepalive) -> None:
         """Applies one event, unless it was applied already."""
         if self.local_store is not None:
-            # frames arrive in order, so that all events older than the longest interval have been received
+            # frames arrive in order: events older than the longest interval between two have been received
             self.local_store.on_discovery_progress(self._clock.unix_ms() - MAX_WRITE_INTERVAL_MS)
         if isinstance(update, Keepalive) or update.event_index <= self.last_index:
             return
--- a/ironhinge/routing/slow_start.py
+++ b/ironhinge/routing/slow_start.py
@@ -6,10 +6,10 @@
 
 A request is sent if the token count is not negative, and may make it negative by its cost. The bucket starts
 at a random negative count of up to the cost of a request, so that the first requests of many routers spread
-over time. Tokens beyond a limit expire and the cycle starts again. The limit is chosen so that even if all
-routers have a request at the same time, their tokens together are at most half of the margin that the rule
-allows beyond the sustained rate; the other half is for random variation. The drawback: where many routers
-have few requests each, most tokens expire unused.
+over time. A count beyond a limit wraps around to the negative cost of a request: unused tokens expire. The
+limit is chosen so that even if all routers have a request at the same time, their tokens together are at most
+half of the margin that the rule allows beyond the sustained rate; the other half is for random variation. The
+drawback: where many routers have few requests each, most tokens expire unused.
 """
 
 from __future__ import annotations
