--- a/ironhinge/net/client_connection.py
+++ b/ironhinge/net/client_connection.py
@@ -173,7 +173,7 @@
 
     def _on_request(self, message: client_wire.RequestFrame | client_wire.MalformedRequest) -> None:
         if not message.stream or message.stream in self.open_requests:
-            self._close_for_violation(f"stream {message.stream} is reserved or has an open request")
+            self._close_for_violation(f"stream {message.stream} can't take a request")
         elif len(self.open_requests) >= MAX_OPEN_REQUESTS:
             self._close_for_violation(f"more than {MAX_OPEN_REQUESTS} open requests")
         else:
@@ -314,7 +314,7 @@
         )
         if not is_stalled or self.connection.has_unread():
             return False
-        self._close_for_violation("a frame was not received completely in time")
+        self._close_for_violation("a frame that does not end")
         return True
 
     def close_for_capacity(self, is_full: bool) -> None:
--- a/ironhinge/net/client_wire.py
+++ b/ironhinge/net/client_wire.py
@@ -114,7 +114,7 @@
         except UnicodeDecodeError:
             raise FieldError(f"field {len(fields) + 1} is not text") from None
         if name in fields:
-            raise FieldError(f"field '{name}' occurs twice")
+            raise FieldError(f"field '{name}' stands twice")
         fields[name] = value
         offset = end
     return fields, offset
--- a/ironhinge/net/director.py
+++ b/ironhinge/net/director.py
@@ -183,7 +183,7 @@
         )
         received = request.received
         if received.request_id in self.requests:
-            raise RequestFieldError("field 'trace' names an open request")
+            raise RequestFieldError("field 'trace' names an open req")
         deadline = read_at + received.time_remaining
         if self.shutdown_deadline is not None:
             deadline = min(deadline, self.shutdown_deadline)
