--- a/ironhinge/net/client_wire.py
+++ b/ironhinge/net/client_wire.py
@@ -273,7 +273,7 @@
 
 
 def tag_of(fields: dict[str, str], name: str) -> str:
-    """Returns a field that holds a copy's entity tag; empty if it is missing.
+    """Returns a field with a copy's entity tag; empty if it is missing.
 
     Raises:
         FieldError: The field is not a tag.
--- a/ironhinge/net/connection.py
+++ b/ironhinge/net/connection.py
@@ -28,7 +28,7 @@
 MAX_IMMEDIATE_READS = 4  # reads by `read_now`: a read may be short, or fail temporarily
 DISCARD_INTERVAL = 0.01  # seconds between reads of data that is discarded
 MAX_RENDERED_AGE = 0.02  # seconds; an older frame is rendered again before it is sent
-MAX_EMPTY_AGE = 0.03  # seconds since a connection was known to be empty; later, a short read is repeated
+MAX_EMPTY_AGE = 0.03  # seconds; if a connection was last known to be empty earlier, a short read is repeated
 
 EMPTY_BUFFER = RingBuffer(0)
 
@@ -104,7 +104,7 @@
                 self.withdraw(frame)
 
     def is_written(self, frame: Frame) -> bool:
-        """Whether the system has accepted the whole frame."""
+        """Returns whether the system has accepted the whole frame."""
         return frame.ring_end is not None and self.sent_offset >= frame.ring_end
 
     def send_pending(self) -> None:
@@ -264,14 +264,14 @@
             self.owner.open_sockets -= 1
 
     def has_unread(self) -> bool:
-        """Whether there are unread bytes; also True if that can't be determined."""
+        """Returns whether there are unread bytes; also True if that can't be determined."""
         if self.sock is None:
             return False
         has_data, remedy = self.owner.calls.peek(self.sock)
         return has_data or remedy not in (Remedy.DONE, Remedy.WAIT, Remedy.BROKEN)
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed or reset the connection, as far as a peek at the socket shows."""
+        """Returns whether the peer has closed or reset the connection, as far as a peek shows."""
         if self.sock is None:
             return False
         has_data, remedy = self.owner.calls.peek(self.sock)
