--- a/ironhinge/traffic/attempts.py
+++ b/ironhinge/traffic/attempts.py
@@ -33,7 +33,7 @@
 
     def outcome(self, event: AttemptEnded) -> Outcome:
         """Returns the outcome of the bytes that the attempt transferred."""
-        is_unread = event.request_closed and event.body_size is None
+        is_unread = event.client_disconnected and event.body_size is None
         if event.result != _DONE or is_unread or event.cache_status == _STALE_HIT:
             return Outcome.WASTED
         if self.is_repeat:
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -281,7 +281,7 @@
     def _on_attempt_ended(self, now: int, event: AttemptEnded) -> None:
         attempt = self.attempts.pop(event.request_id, None)
         if attempt is None:
-            if event.request_closed:
+            if event.client_disconnected:
                 self.requests_with_transfers.pop(event.request_id, None)
             return
         # before `_record_answer`, so that the attempt's own answer does not affect the estimate
@@ -302,7 +302,7 @@
 
     def _track_transfers(self, event: AttemptEnded, transferred: int) -> None:
         """Remembers open requests for which bytes were transferred: further bytes count as repeated."""
-        if event.request_closed or event.result == _DONE:
+        if event.client_disconnected or event.result == _DONE:
             self.requests_with_transfers.pop(event.request_id, None)
         elif transferred:
             self.requests_with_transfers[event.request_id] = None
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -79,7 +79,7 @@
     cache_status: CacheStatus
     body_size: int | None  # None: no body was received
     duration: int
-    request_closed: bool  # the client had disconnected or already had its answer
+    client_disconnected: bool  # or cancelled the request
 
 
 class ClockTick(NamedTuple):
