--- a/ironhinge/config/__init__.py
+++ b/ironhinge/config/__init__.py
@@ -3,9 +3,9 @@
 Both hosts use this package, so each message is read in one place only. The names of settings and
 configuration are mapped here; all other code uses the names of `ironhinge.interface` and of the records of
 this package. Times are microseconds in the settings and ticks of a tenth of a millisecond in the program:
-deadlines, latency targets and allowances (such as grace periods) are rounded down, durations that others need
-(such as slow start) are rounded up. An absent field has the default that the protocol defines, and unknown
-fields are ignored. No decisions are made here.
+limits that the router must keep (such as deadlines, latency targets and grace periods) are rounded down,
+durations that it must let pass in full (such as slow start) are rounded up. An absent field has the default
+that the protocol defines, and unknown fields are ignored. No decisions are made here.
 """
 
 from .deployment_settings import load_report_in_order, read_deployment, read_endpoints
--- a/ironhinge/disk/admission.py
+++ b/ironhinge/disk/admission.py
@@ -141,7 +141,7 @@
             self.update_cutoff()
 
     def update_cutoff(self) -> None:
-        """Sets the cutoff to the bucket that exceeds the capacity, adding up from the highest score down."""
+        """Sets the cutoff to the bucket at which parts, in descending order of score, exceed the capacity."""
         self._requests_since_update = 0
         free_bytes = self.policy.capacity
         self._cutoff_bucket = _NO_CUTOFF
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -198,6 +198,7 @@
         else:
             self.counters.hits += 1
             self._hit_count(request, self._body_sizes.estimate(request.size)).hits += 1
+        # a read that returns no copy counts as late, which shrinks the budgets of background jobs
         self.context.runner.report_latency(copy is None)
         return copy
 
--- a/ironhinge/fleet/rollout.py
+++ b/ironhinge/fleet/rollout.py
@@ -22,7 +22,7 @@
 SOAK_TIME = 100_000  # how long an updated wave is observed before the next one starts
 RESEND_INTERVAL = SOAK_TIME // 10  # between two sends of a command that has had no effect yet
 CONTACT_TIMEOUT = 150_000  # a member without contact for longer counts as unreachable
-MAX_ON_TARGET_DROP = 0.02  # of the mean ratio, compared with the members that run the previous specification
+MAX_ON_TARGET_DROP = 0.02  # absolute difference of mean ratios, see `Rollout._gate_failure`
 
 
 @dataclass(frozen=True, slots=True)
@@ -316,9 +316,9 @@
     def _rollback_command(self, name: str) -> Command:
         """Returns the command that sets the previous specification.
 
-        It is also sent to a member that does not run the new specification: it moves the member
-        past the generation that the command for the new one expects, so that this command is rejected if it
-        is still in transit.
+        It is also sent to a member that does not run the new specification: it moves the member past the
+        generation that the command for the new one expects, so that the command for the new one is rejected
+        if it is still in transit.
         """
         member = self._members[name]
         expected_generation = member.generation + self._runs(name, Revision.NEW)
--- a/ironhinge/fleet/supervisor.py
+++ b/ironhinge/fleet/supervisor.py
@@ -23,8 +23,8 @@
 MAX_BACKOFF = 30 * TICKS_PER_SECOND
 MAX_CRASHES = 5
 CRASH_WINDOW = 60 * TICKS_PER_SECOND
-# The platform guarantees that all admitted requests are answered within 3.7 s after SIGTERM; see
-# `ironhinge.net.shutdown`.
+# A director answers all admitted requests before the platform may send SIGKILL, which is at most 3.7 s after
+# SIGTERM, and closes its connections at most 0.7 s later; see `ironhinge.net.shutdown`.
 DRAIN_TIMEOUT = 4 * TICKS_PER_SECOND + TICKS_PER_SECOND // 2
 READY_TIMEOUT = 10 * TICKS_PER_SECOND
 
--- a/ironhinge/fleet/waves.py
+++ b/ironhinge/fleet/waves.py
@@ -17,7 +17,7 @@
 
     Attributes:
         name: The agent's name.
-        branch: The site that the agent serves.
+        branch: The location that the agent serves.
         generation: The generation that was active when the rollout was planned.
         previous_spec: The directors that the agent runs before the rollout.
         new_spec: The directors that it should run after the rollout.
--- a/ironhinge/settings/records.py
+++ b/ironhinge/settings/records.py
@@ -21,7 +21,7 @@
     """
 
     rate: Rate
-    remember: Span  # how long a hub that left the endpoint list still counts as preferred
+    remember: Span  # how long a hub that was removed from the endpoint list can remain preferred
     burst: Size | None = None
     sum: Size | None = None
 
--- a/ironhinge/traffic/endpoints.py
+++ b/ironhinge/traffic/endpoints.py
@@ -34,7 +34,7 @@
         self._removed_hub_retention = removed_hub_retention
         self.endpoints: dict[str, SourceEndpoint] = {}
         self.hubs: dict[str, SourceEndpoint] = {}  # listed and recently removed parents
-        self.removed_at: dict[str, int] = {}  # when removed parents were removed, oldest first
+        self.removed_at: dict[str, int] = {}  # time of removal by parent, oldest first
         # kept until `hubs` changes: the hasher over the hubs, and the preferred hub by object
         self._hub_hasher: RendezvousHasher | None = None
         self._preferred_hubs: dict[int, str] = {}
--- a/ironhinge/traffic/quota_exchange.py
+++ b/ironhinge/traffic/quota_exchange.py
@@ -29,7 +29,7 @@
 )
 from .types import BroadcastDatagram, LedgerCommand
 
-PEER_TIMEOUT = 20_000  # a peer that has been silent for longer is granted nothing
+PEER_TIMEOUT = 20_000  # two seconds; a peer that has been silent for longer is granted nothing
 DEMAND_DECAY = 0.5  # factor applied to the unmet demand after each message
 LONG_AGO = -(1 << 60)
 
--- a/ironhinge/traffic/size_estimator.py
+++ b/ironhinge/traffic/size_estimator.py
@@ -107,7 +107,7 @@
         if not size or not (self.time_per_byte or self.origin_time_per_byte):
             return 1.0
         transfer_time = size * (self.time_per_byte or self.origin_time_per_byte)
-        # too short for a transfer: the source refused the fill or the fill failed
+        # too short for a transfer: the source rejected the fill or the fill failed
         if duration < MIN_TRANSFER_TIME_SHARE * transfer_time:
             return 0.0
         origin_wait = max(0.0, size * self.origin_time_per_byte - transfer_time)
--- a/ironhinge/traffic/snapshot.py
+++ b/ironhinge/traffic/snapshot.py
@@ -70,7 +70,7 @@
 
 
 def newest_by_director(snapshots: Iterable[Snapshot]) -> list[Snapshot]:
-    """Returns the newest snapshot of each director, by name; it includes what earlier ones counted."""
+    """Returns the newest snapshot of each director, sorted by name; it includes what older ones counted."""
     by_director: dict[str, list[Snapshot]] = {}
     for snapshot in snapshots:
         by_director.setdefault(snapshot.director, []).append(snapshot)
--- a/ironhinge/traffic/streams.py
+++ b/ironhinge/traffic/streams.py
@@ -1,6 +1,6 @@
 """The open streams, with the size and the rate of their segments.
 
-A stream is a client connection that requests the segments of one object one after another.
+A stream is a client connection that requests the parts of one object, its segments, one after another.
 The budgets decide whether a new stream may start. Memory is bounded by the setting `most_streams`: further
 streams are not tracked and their requests are treated like all others.
 """
@@ -54,7 +54,7 @@
         self.default_interval = default_interval
         self.intervals: dict[int, float] = {}  # by class: mean time between two segments
         self.segment_counts: dict[int, float] = {}  # by class: mean number of segments
-        # streams with one segment, and those with more; the longest idle first
+        # streams with one segment, and those with more; ordered by the last segment that was not a retry
         self.new: OrderedDict[StreamKey, Stream] = OrderedDict()
         self.established: OrderedDict[StreamKey, Stream] = OrderedDict()
         self.expired = 0  # streams closed because they were idle
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -31,7 +31,7 @@
     STORED = 0  # answered a request; the cache was asked to store a copy
     PASSED_THROUGH = 1  # answered a request; the cache was not asked to store a copy
     REPEATED = 2  # answered a request for which an earlier attempt had transferred bytes
-    WASTED = 3  # not used in an answer: client gone, timeout, broken transfer or background revalidation
+    WASTED = 3  # used in no answer: client disconnected, timeout, broken transfer, background revalidation
 
 
 class TransferKind(NamedTuple):
@@ -42,7 +42,7 @@
     route: Route
     outcome: Outcome
     class_index: int
-    diverted: bool  # the source is a parent or the origin, but not the hub that the object prefers
+    diverted: bool  # the source is a parent or the origin, but not the preferred hub of the object
 
 
 class DirectorIdentity(NamedTuple):
