--- a/ironhinge/lab/cli.py
+++ b/ironhinge/lab/cli.py
@@ -10,7 +10,7 @@
 
 from .errors import LabError
 
-MAX_ACCOUNT_ERROR = 0.01  # largest relative difference between accounted and carried bytes
+MAX_ACCOUNT_ERROR = 0.01  # largest relative difference between the accounts and the bytes that were sent
 INTERRUPTED = 130  # exit code after Ctrl-C
 
 
@@ -42,7 +42,7 @@
     show_default=True,
     help="Multiplier of the load.",
 )
-@click.option("--share", is_flag=True, help="Let directors transfer budget to each other.")
+@click.option("--share", is_flag=True, help="Let directors grant unused budget to each other.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object as the last line.")
 def run(  # noqa: PLR0913 - one parameter per option
     scenario: str, seed: int, seconds: float, directors: int, scale: float, share: bool, as_json: bool
@@ -80,7 +80,7 @@
     """Return whether a report meets the rules for every scenario.
 
     Each request has exactly one final answer, and all bodies are right. Traffic stays within the budget, the
-    accounts match the carried bytes, and all directors exit with code 0.
+    accounts match the bytes that were sent, and all directors exit with code 0.
     """
     answered_once = report["requests"] == report["final_answers"] and not report["doubled_answers"]
     return (
--- a/ironhinge/lab/run.py
+++ b/ironhinge/lab/run.py
@@ -41,7 +41,7 @@
     seconds: float
     directors: int
     account: bool = True  # directors keep traffic accounts
-    share: bool = False  # directors may transfer budget to each other
+    share: bool = False  # directors may grant unused budget to each other
     wipe: bool = False  # the disk tier of a restarted director is emptied
 
 
--- a/ironhinge/settings/records.py
+++ b/ironhinge/settings/records.py
@@ -30,7 +30,7 @@
     """How much of a budget is reserved for open streams of parts, ahead of all other fills."""
 
     part: float  # share of the rate and burst that may be reserved
-    idle: Span  # a stream ends after this time without a request
+    idle: Span  # a stream ends at the latest after this time without a request
     interval: Span  # assumed time between two parts until it has been measured
 
 
--- a/ironhinge/settings/schema.cue
+++ b/ironhinge/settings/schema.cue
@@ -63,7 +63,7 @@
 // Reservations for open streams of parts, which take precedence over all other fills.
 #Streams: {
     part: *0.7 | number & >0 & <=1           // largest share of rate and burst that streams may reserve
-    idle: *"3s" | Span & >"0s"               // a stream ends after this time without a request
+    idle: *"3s" | Span & >"0s"               // a stream ends at the latest after this time without a request
     interval: *"600ms" | Span & >"0s"        // assumed time between two parts until it has been measured
 }
 
--- a/ironhinge/traffic/account.py
+++ b/ironhinge/traffic/account.py
@@ -16,7 +16,7 @@
 
 MAX_KINDS = 2048  # per interval, not counting coarse kinds
 ANY_INDEX = -1  # zone or class of a coarse kind, which does not distinguish them
-MAX_PERIODS = 13
+MAX_PERIODS = 13  # retained billing periods
 PERIOD_WINDOW = "period"
 
 
--- a/ironhinge/traffic/streams.py
+++ b/ironhinge/traffic/streams.py
@@ -86,7 +86,8 @@
     ) -> None:
         """Counts a requested segment; the first one opens a stream that reserves in `reservations`.
 
-        A segment that is sent again counts again, which only keeps the stream open longer.
+        A retry within `REPEAT_SHARE` of the mean interval is not counted, but keeps the stream open longer. A
+        later retry is counted as a further segment.
         """
         stream = self.find(key, now)
         if stream is None:
--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -1,7 +1,8 @@
 """Types of the account: routes, outcomes and kinds of transfers, and the events and commands of the ledger.
 
 Times are in clock units, tenths of a millisecond on the host's monotonic clock, unless named as Unix
-milliseconds. Sizes are in bytes unless named as KB.
+milliseconds. Other packages call this unit a tick; here a tick is the periodic event `ClockTick`. Sizes are
+in bytes unless named as KB.
 """
 
 from __future__ import annotations
