--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -45,7 +45,7 @@
 _WRITE_BURST_SECONDS = 4  # the write burst is this many seconds at the write rate
 _TICKS_PER_MS = TICKS_PER_SECOND // 1000
 _COMPACTION_PRIORITY, _CHECKPOINT_PRIORITY, _SCRUB_PRIORITY = 2, 1, 0
-_INITIAL_BYTES_PER_SIZE_UNIT = 1000.0
+_DEFAULT_BYTES_PER_KB = 1000.0
 _MAX_SIZE_WEIGHT = 1e6  # size units over which the bytes per size unit are averaged
 NO_COPY = -1  # the result of a lookup that found no copy
 
@@ -89,19 +89,19 @@
     """Estimates the bytes of a body from the request's `size`, which is in the deployment's unit."""
 
     def __init__(self) -> None:
-        self._bytes_per_unit = _INITIAL_BYTES_PER_SIZE_UNIT
+        self._bytes_per_kb = _DEFAULT_BYTES_PER_KB
         self._weight = 0.0
 
     def estimate(self, size: float) -> int:
         """Returns the estimated bytes of a body for the size in its request."""
-        return int(size * self._bytes_per_unit)
+        return int(size * self._bytes_per_kb)
 
     def record(self, size: float, body_size: int) -> None:
         """Updates the estimate from a body; ignores requests without a size."""
         if not size:
             return
         self._weight = min(self._weight + size, _MAX_SIZE_WEIGHT)
-        self._bytes_per_unit += (body_size / size - self._bytes_per_unit) * size / self._weight
+        self._bytes_per_kb += (body_size / size - self._bytes_per_kb) * size / self._weight
 
 
 class DiskTier:
