--- a/ironhinge/disk/cli.py
+++ b/ironhinge/disk/cli.py
@@ -96,7 +96,7 @@
 
 
 def _checkpoint_entries(directory: StoreDirectory) -> int:
-    """Returns the capacity of the checkpoint's index in entries, or a default if there is no checkpoint.
+    """Returns the capacity of the checkpoint's index in entries; a default without a valid checkpoint.
 
     The index of a checkpoint is loaded only into a store with the same capacity.
     """
--- a/ironhinge/disk/tier.py
+++ b/ironhinge/disk/tier.py
@@ -46,7 +46,7 @@
 _TICKS_PER_MS = TICKS_PER_SECOND // 1000
 _COMPACTION_PRIORITY, _CHECKPOINT_PRIORITY, _SCRUB_PRIORITY = 2, 1, 0
 _DEFAULT_BYTES_PER_KB = 1000.0
-_MAX_SIZE_WEIGHT = 1e6  # size units over which the bytes per size unit are averaged
+_MAX_SIZE_WEIGHT = 1e6  # KB; bounds the weight of old bodies in the average of bytes per KB
 NO_COPY = -1  # the result of a lookup that found no copy
 
 
@@ -86,7 +86,7 @@
 
 
 class BodySizeEstimator:
-    """Estimates the bytes of a body from the request's `size`, which is in the deployment's unit."""
+    """Estimates the bytes of a body from the request's `size` in KB; bodies show the actual bytes per KB."""
 
     def __init__(self) -> None:
         self._bytes_per_kb = _DEFAULT_BYTES_PER_KB
--- a/ironhinge/lab/disks.py
+++ b/ironhinge/lab/disks.py
@@ -32,7 +32,7 @@
 
     def __init__(self, seed: int = 0):
         self.random = Random(seed)
-        self.calls = 0  # that change the disk
+        self.calls = 0  # number of calls that change the disk
         self.power_cut_at_call: int | None = None
         self.capacity: int | None = None  # of the disk in bytes; None: unlimited
         self.write_errno: int | None = None  # every write fails with this error; None: writes succeed
--- a/ironhinge/traffic/quota_exchange.py
+++ b/ironhinge/traffic/quota_exchange.py
@@ -94,7 +94,10 @@
         return [BroadcastDatagram(self._next_message())]
 
     def _grant_surplus(self, now: int, key: int, budget: Budget) -> None:
-        """Divides the surplus among the requesting peers, in proportion to their requests."""
+        """Divides the surplus among the requesting peers, in proportion to their requests.
+
+        Grants nothing of a budget while this director has unmet demand for it.
+        """
         requesting = [
             (peer.requested.get(key, 0), peer)
             for peer in self.peers.values()
