--- a/ironhinge/traffic/types.py
+++ b/ironhinge/traffic/types.py
@@ -1,7 +1,8 @@
 """Types of the account: routes, outcomes and kinds of transfers, and the events and commands of the ledger.
 
 Times are in clock units, tenths of a millisecond on the host's monotonic clock, unless named as Unix
-milliseconds. Sizes are in bytes unless named as KB.
+milliseconds. Other packages call this unit a tick; here a tick is the periodic event `ClockTick`. Sizes are
+in bytes unless named as KB.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
     STORED = 0  # answered a request; the cache was asked to store a copy
     PASSED_THROUGH = 1  # answered a request; the cache was not asked to store a copy
     REPEATED = 2  # answered a request for which an earlier attempt had transferred bytes
-    WASTED = 3  # not used in an answer: client gone, timeout, broken transfer or background revalidation
+    WASTED = 3  # used in no answer: client disconnected, timeout, broken transfer, background revalidation
 
 
 class TransferKind(NamedTuple):
@@ -42,7 +43,7 @@
     route: Route
     outcome: Outcome
     class_index: int
-    diverted: bool  # the source is a parent or the origin, but not the hub that the object prefers
+    diverted: bool  # the source is a parent or the origin, but not the preferred hub of the object
 
 
 class DirectorIdentity(NamedTuple):
@@ -79,7 +80,7 @@
     cache_status: CacheStatus
     body_size: int | None  # None: no body was received
     duration: int
-    request_closed: bool  # the client had disconnected or already had its answer
+    client_disconnected: bool  # or cancelled the request
 
 
 class ClockTick(NamedTuple):
