--- a/ironhinge/lab/soak/clients.py
+++ b/ironhinge/lab/soak/clients.py
@@ -224,10 +224,10 @@
         return self.plan.classes[self._rng.choice(CLASS_INDICES)]
 
     def _draw_client_timeout(self, request_class: RequestClass) -> float:
-        kind = self._rng.random()
-        if kind < SHORT_TIMEOUT_SHARE:
+        draw = self._rng.random()
+        if draw < SHORT_TIMEOUT_SHARE:
             return self._rng.uniform(0.001, 0.06)
-        if kind < MEDIUM_TIMEOUT_SHARE:
+        if draw < MEDIUM_TIMEOUT_SHARE:
             return min(request_class.deadline, self._rng.uniform(0.06, 0.4))
         return request_class.deadline
 
