--- a/benchmarks/disk_crash.py
+++ b/benchmarks/disk_crash.py
@@ -29,14 +29,14 @@
 from ironhinge.lab.disks import FaultPlan, MemoryDirectory, PowerCutError
 
 IDENTITY = b"bench"
-RETENTION_MS = 1 << 50  # so long that no start drops copies because it may have missed purges
+RETENTION_MS = 1 << 50  # so long that opening a store never drops copies because of purges it may have missed
 LIMITS = StoreLimits(4_000_000, 600_000, 20_000, RETENTION_MS)
 SMALL_LIMITS = StoreLimits(60_000, 9000, 200, RETENTION_MS)
 OBJECTS, SMALL_OBJECTS = 200, 20
 SMALL_STEPS = 200
-MAX_PUTS_PER_SYNC = 12
+MAX_PUTS_PER_SYNC = 12  # exclusive
 CHECKPOINT_PROBABILITY = 0.1
-MAX_LIFETIME = 0.06  # seconds until a writing process is killed, at most
+MAX_LIFETIME = 0.06  # seconds from the start of writing until the process is killed, at most
 
 # cumulative probabilities of the operation that follows a put on the simulated disk
 SYNC_BELOW, CHECKPOINT_BELOW, COMPACT_BELOW = 0.25, 0.3, 0.4
--- a/benchmarks/disk_speed.py
+++ b/benchmarks/disk_speed.py
@@ -35,7 +35,7 @@
 ROUNDS, QUICK_ROUNDS = 7, 3
 RECOVERED_ENTRIES = 1_000_000
 LOOKUP_INTERVAL = 0.0005  # seconds between two lookups
-RETENTION_MS = 1 << 50  # so long that no start drops copies because it may have missed purges
+RETENTION_MS = 1 << 50  # so long that opening a store never drops copies because of purges it may have missed
 SPEED_LIMITS = StoreLimits(1 << 40, 1 << 26, 100_000, RETENTION_MS)
 
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.fleet_size [--nodes 200 --nodes 3200] [--seconds 12] [--quick] [--json]
 
-Each fleet of nodes gets the same traffic, director limits and total capacity: ten clients send 150 requests
+Each fleet gets the same traffic, director limits and total capacity: ten clients send up to 150 requests
 per second in all, and discovery publishes a change of one node ten times per second. Each node is a listening
 socket of its own, all in this process. The first fleet is the baseline: the operators' limits for the other
 fleets are computed from its usage. With --json, the last line is a JSON object with `measured`, `allowed` and
@@ -31,7 +31,7 @@
 from ironhinge.lab.soak.sockets import READ_BYTES
 
 CLIENTS = 10
-REQUEST_RATE = 150.0  # requests per second of all clients together
+REQUEST_RATE = 150.0  # requests per second of all clients together if answers took no time
 OBJECTS = 2000  # number of objects that clients request
 CHANGE_RATE = 10.0  # changes per second, of one node each
 CAPACITY = 2000.0  # sum of the weights of all nodes
--- a/ironhinge/lab/injection/sitecustomize.py
+++ b/ironhinge/lab/injection/sitecustomize.py
@@ -17,9 +17,9 @@
 the start, and if it has `while`, only while the file of that name exists. `side` selects sockets that were
 accepted (`accepted`), all others, which the program opened itself (`made`), or both (`any`, the default).
 
-`short` gives the share of the calls of a method that transfer only 1 to 40 bytes. Each entry of `steps` is a
-time in seconds since the start and the number of seconds by which the wall clock steps then. `log` names a
-file that gets one line per injected error.
+`short` gives the share of the `send` or `recv_into` calls that transfer only 1 to 40 bytes. Each entry of
+`steps` is a time in seconds since the start and the number of seconds by which the wall clock steps then.
+`log` names a file that gets one line per injected error.
 """
 
 from __future__ import annotations
@@ -93,7 +93,7 @@
         return time.monotonic() - self._started_at
 
     def _is_active(self, rule: dict[str, Any], side: str) -> bool:
-        """Return whether a rule applies now to a socket of side `side`."""
+        """Return whether a rule applies now to a socket that is `ACCEPTED` or `OPENED`, as `side` says."""
         if rule.get("side", ANY_SIDE) not in (ANY_SIDE, side):
             return False
         if not rule.get("from", 0.0) <= self._elapsed() < rule.get("until", float("inf")):
@@ -106,7 +106,7 @@
 
 
 class InjectedSocket(socket.socket):
-    """A socket whose calls fail by the script, which `install` sets."""
+    """A socket whose calls fail according to the script, which `install` sets."""
 
     script: FaultScript
     side = OPENED
--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -4,7 +4,7 @@
 of the operators' documentation, whose rule is given beside the constant, plus the delay of the run's own
 proxies. A director that was stopped by SIGSTOP gets no extra time, as the documentation grants none. When the
 recording process itself runs late, the times that it records are too late by its lag; the attempt, drain and
-purge checks subtract that lag.
+purge checks allow for that lag.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 
 # seconds
 SLACK = 0.05  # every time limit is extended by 50 ms
-ANSWER_GRACE = 0.5  # up to 0.5 s after the client's timeout an answer has no value; later or never: lost
+ANSWER_GRACE = 0.5  # an answer up to 0.5 s after the client's timeout is only worthless; later or none: lost
 CANCEL_GRACE = 0.1  # an attempt started over 0.1 s after the client closed or cancelled is a lost request
 DEADLINE_SLACK = 0.15  # the deadline sent to a server may exceed the client's remaining time by 0.15 s
-CLOSE_CROSSING_WINDOW = 0.05  # a request within 50 ms of the director's close crosses it, and is sent again
-MIN_KILL_DELAY = 0.7  # SIGKILL follows SIGTERM after the longest deadline (3 s at most) and 0.7 s, or later
-READY_TIMEOUT = 10.0  # nine in ten restarted directors are ready within 10 s
-LAG_WINDOW = 0.3  # the recording process's lag counts for times up to this far from its measurement
-CLOCK_RESOLUTION = 0.002  # resolution of the time at which the origin issued a copy
+CLOSE_CROSSING_WINDOW = 0.05  # a request written up to 50 ms before a close may cross it, and is resent
+MIN_KILL_DELAY = 0.7  # SIGKILL follows SIGTERM no sooner than the longest deadline (at most 3 s) plus 0.7 s
+READY_TIMEOUT = 10.0  # nine in ten restarted directors are ready within 10 s; each later one is a finding
+LAG_WINDOW = 0.3  # a lag of the recording process applies to times less than 0.3 s from its measurement
+CLOCK_RESOLUTION = 0.002  # resolution of the time of issue that a copy contains
 
 MEAN_SIZE = 187.0  # KB: the mean of the sizes that clients draw
 NORMAL_APPROXIMATION_MIN = 30  # expected commands from which a Poisson count is approximately normal
@@ -136,7 +136,7 @@
     def _add_finding(self, rule: Rule, text: str, trace: str = "") -> None:
         self.result.findings.append(Finding(rule, text, trace))
 
-    # Exactly one final answer, in time
+    # Exactly one final answer, in time; cancelled or incompletely written requests need none
 
     def _check_answers(self, request: RequestRecord) -> None:
         if len(request.answers) > 1:
@@ -258,7 +258,7 @@
     # Drains, purges, slow start
 
     def _check_drains(self) -> None:
-        """Check that no node is used, for requests or as a fill source, after its drain and the grace."""
+        """Check that no node is sent to or filled from over `DRAIN_GRACE` after the notice of its drain."""
         drained_at: dict[tuple[int, int, str], float] = {}
         ready_at: dict[tuple[int, int, str], list[float]] = defaultdict(list)
         for event in self.records.notifications:
@@ -356,9 +356,9 @@
 def _excused_by_kill(incarnation: DirectorIncarnation, arrived_at: float) -> bool:
     """Return whether SIGKILL excuses the director from answering a request that arrived at `arrived_at`.
 
-    A kill without SIGTERM, or less than `MIN_KILL_DELAY` after it, excuses all unanswered requests. A later
-    kill excuses only requests that arrived less than `SLACK` before it, or after it: clients go on sending on
-    open connections until the kill.
+    A kill without SIGTERM, or less than `MIN_KILL_DELAY` after it (without the longest deadline), excuses all
+    unanswered requests. A later kill excuses only requests that arrived less than `SLACK` before it, or after
+    it: clients go on sending on open connections until the kill.
     """
     if incarnation.killed_at is None:
         return False
--- a/ironhinge/lab/soak/directors.py
+++ b/ironhinge/lab/soak/directors.py
@@ -25,7 +25,7 @@
 START_TIMEOUT = 12.0  # seconds until a new process has to be ready
 READINESS_TIMEOUT = 2.0  # seconds per step of a readiness query
 READINESS_INTERVAL = 0.03  # seconds between two queries
-KILL_DELAY = 0.7  # seconds between the longest deadline after SIGTERM and SIGKILL
+KILL_DELAY = 0.7  # seconds from SIGTERM to SIGKILL on top of the longest deadline
 MAX_DRAIN_TIME = 3.0  # seconds: cap on the longest deadline that delays SIGKILL
 ACCEPTING_AFTER_TERM = 0.4  # seconds after SIGTERM during which clients still open connections
 EXIT_POLL_INTERVAL = 0.01  # seconds
@@ -169,7 +169,7 @@
         kill_at = record.terminated_at + time_to_kill(self.environment.plan)
         await asyncio.sleep(ACCEPTING_AFTER_TERM)
         self.accepting = False
-        while time.monotonic() < kill_at and record.exited_at is None:  # noqa: ASYNC110 - has a time limit too
+        while time.monotonic() < kill_at and record.exited_at is None:  # noqa: ASYNC110 - has a time limit
             await asyncio.sleep(EXIT_POLL_INTERVAL)
         if record.exited_at is None:
             record.killed_at = time.monotonic()
--- a/ironhinge/lab/soak/proxy.py
+++ b/ironhinge/lab/soak/proxy.py
@@ -8,7 +8,7 @@
 from .plan import NetworkPath
 from .sockets import READ_BYTES
 
-MAX_PIECES = 64  # per read, approximately: for large reads, pieces are larger than `piece_bytes`
+MAX_PIECES = 64  # limit per read, approximately: in large reads, pieces exceed `piece_bytes` to meet it
 
 
 class _Chunk(NamedTuple):
--- a/ironhinge/lab/soak/servers.py
+++ b/ironhinge/lab/soak/servers.py
@@ -164,7 +164,10 @@
         writer.write(wire.encode_array(request_id, *answer))
 
     def _execute_write(self, arrival: Arrival) -> tuple[bytes, bytes, bytes]:
-        """Execute a write; repeats of a keyed write are dropped within its deduplication scope and window."""
+        """Execute a write; a keyed write runs once within its deduplication scope and window.
+
+        A cache answers MISSING unless the command names a node of the fleet as its fill source.
+        """
         source = self.fleet.nodes.get(arrival.fields.get("parent", ""))
         if self.kind == NodeKind.CACHE and source is None:
             return AnswerStatus.MISSING, AnswerStatus.NO_TEXT, b""
@@ -175,7 +178,11 @@
         return AnswerStatus.DONE, b"res=f", self.fleet.body(operation, 0.0)
 
     def _read(self, arrival: Arrival) -> tuple[bytes, bytes, bytes]:
-        """Serve the stored copy if it is fresh enough, else a new one, which is stored where requested."""
+        """Serve the stored copy if it is fresh enough, else a new one.
+
+        A new copy is stored on request; a parent always stores it. A cache without a copy answers MISSING
+        if the command names no fill source.
+        """
         fields, now = arrival.fields, time.time()
         key = fields["obj"], fields.get("seg", "0")
         class_max_age = self.fleet.freshness_lifetime[fields["kind"]]
--- a/ironhinge/lab/soak/wire.py
+++ b/ironhinge/lab/soak/wire.py
@@ -165,7 +165,7 @@
 
 
 class EndpointRecord(NamedTuple):
-    """A node of the endpoint list; zone, kind and cell are indices into lists of the settings."""
+    """A node of the endpoint list; zone and kind are indices into lists of the settings, cell is a number."""
 
     name: str
     port: int
