--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's runs on real sockets, and a director with its account turned on."""
+"""The lab's runs on real sockets, and a director that keeps a traffic account."""
 
 import json
 import os
@@ -29,7 +29,7 @@
     new_deployment,
 )
 
-TIMEOUT = 60  # seconds after which something has gone wrong
+TIMEOUT = 60  # seconds for a process to exit or a condition to hold
 
 
 def run_lab(*args):
@@ -39,15 +39,15 @@
 
 @pytest.mark.parametrize("name", ["calm", "hub-loss", "stream-budget"])
 def test_each_request_is_answered_once_and_the_accounts_match_the_carried_bytes(name):
-    """How many bytes cross depends on the machine; that they are accounted and within budget does not."""
-    done = run_lab("--scenario", name, "--seconds", "3", "--seed", "2")
-    found = json.loads(done.stdout.splitlines()[-1])
+    """The number of bytes depends on the machine's speed; that they are accounted and in budget does not."""
+    completed = run_lab("--scenario", name, "--seconds", "3", "--seed", "2")
+    found = json.loads(completed.stdout.splitlines()[-1])
     assert found["requests"] == found["final_answers"] > 50
     assert not found["doubled_answers"]
     assert not found["spoiled_answers"]
     assert found["director_exits"] == [0, 0]
     assert found["crossed_bytes"] <= found["budget_bytes"] + found["budget_slack_bytes"]
-    cancelled = found["fills_cut"] + found["left"]  # nobody knows exactly how much of these crossed
+    cancelled = found["fills_cut"] + found["left"]  # how many of their bytes crossed is not known exactly
     tolerance = found["guessed_bytes"] + 16_000 * cancelled
     assert abs(found["reported_bytes"] - found["carried_bytes"]) <= tolerance
     assert found["carried_bytes"] > 100_000
@@ -61,7 +61,7 @@
     assert len(generate_requests(scaled_scenario("calm", 3.0), 4, 5.0)) > 2 * len(requests)
 
 
-def test_an_interrupt_leaves_no_process(tmp_path):
+def test_an_interrupt_leaves_no_process_and_no_file(tmp_path):
     command = [sys.executable, "-m", "ironhinge", "lab", "run", "--seconds", "60"]
     env = {**os.environ, "TMPDIR": str(tmp_path)}
     process = subprocess.Popen(command, stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True, env=env)
@@ -87,19 +87,19 @@
     assert store.used == 30
 
 
-# A director with its account on
+# A director that keeps a traffic account
 
 
 def write_operations(folder, budgets):
     path = folder / "operations.cue"
     snapshots = folder / "kept"
-    keep = f'keep: {{folder: "{snapshots}", every: "100ms"}}'
-    path.write_text(f"traffic: {{{keep}, budgets: {{{budgets}}}}}")
+    keep_setting = f'keep: {{folder: "{snapshots}", every: "100ms"}}'
+    path.write_text(f"traffic: {{{keep_setting}, budgets: {{{budgets}}}}}")
     return path
 
 
-class AccountingProgram(DirectorProcess):
-    """A director that is started with an operations file."""
+class AccountingDirector(DirectorProcess):
+    """A director that keeps a traffic account, as its operations file enables it."""
 
     def __init__(self, folder, config, path):
         self.args = ["--operations", str(path)]
@@ -123,7 +123,7 @@
 def test_invalid_settings_change_nothing_and_valid_ones_apply_at_once(tmp_path):
     upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path = write_operations(tmp_path, 'a: {rate: "1MB/s", begin: "full"}')
-    program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
+    program = AccountingDirector(tmp_path, director_config(upstream, parent), path)
     try:
         client = FakeClient(program.port)
         assert client.read_answer(client.send_request())[0] == 1
@@ -137,7 +137,7 @@
         write_operations(tmp_path, 'a: {rate: "1B/s", ways: ["other-hub", "own-hub", "origin"]}')
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("budgets_reloaded budgets=a\n")
-        client.read_answer(client.send_request(entity="00000000000000bb"))  # may take all that there was
+        client.read_answer(client.send_request(entity="00000000000000bb"))  # may use up the budget
         code, fields, _ = client.read_answer(client.send_request(entity="00000000000000cc"))
         assert code == 2, "an exhausted budget rejects at once"
         assert int(fields["pause"]) > 0
@@ -157,7 +157,7 @@
     config = director_config(upstream, parent)
     totals, log = [], ""
     for incarnation in range(3):
-        program = AccountingProgram(tmp_path, config, path)
+        program = AccountingDirector(tmp_path, config, path)
         try:
             client = FakeClient(program.port)
             assert (
@@ -173,11 +173,11 @@
                 time.sleep(0.02)
             log += program.log_text()
         finally:
-            program.stop()  # by force
+            program.stop()  # with SIGKILL
         totals.append(collect(read_folder(folder)[0]).total())
         if incarnation == 1:
             snapshot = folder / file_name("n0")
-            snapshot.write_bytes(snapshot.read_bytes()[:-9])  # as a disk might leave it
+            snapshot.write_bytes(snapshot.read_bytes()[:-9])  # cut short, as after a crash during the write
             totals.append(0)
     assert totals[1] == 2 * totals[0]
     assert totals[3] == totals[0]
@@ -186,13 +186,13 @@
 
 
 def test_a_delayed_snapshot_does_not_replace_a_newer_one(tmp_path):
-    one = load_texts([("f", f'traffic: keep: {{folder: "{tmp_path}"}}')]).operations.traffic
+    traffic_settings = load_texts([("f", f'traffic: keep: {{folder: "{tmp_path}"}}')]).operations.traffic
     runner, identity = Runner(Budgets(), lambda: 0), DirectorIdentity("n0", ("a",), ("film",), 0)
     clocks = Clocks(lambda: 0, lambda: 1_764_576_000_000)
-    service = AccountService(one, new_deployment(), identity, clocks, runner)
-    slow = service.pack_snapshot(is_final=False)
+    service = AccountService(traffic_settings, new_deployment(), identity, clocks, runner)
+    delayed_snapshot = service.pack_snapshot(is_final=False)
     service.close()
-    service.write_snapshot(tmp_path / file_name("n0"), *slow)
+    service.write_snapshot(tmp_path / file_name("n0"), *delayed_snapshot)
     assert [each.state.is_final for each in read_folder(tmp_path)[0]] == [True]
 
 
@@ -213,7 +213,7 @@
     path.write_text(
         path.read_text().replace("traffic: {", "traffic: {distributions: true, prices: [{per_gb: 5}], ")
     )
-    program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
+    program = AccountingDirector(tmp_path, director_config(upstream, parent), path)
     try:
         client = FakeClient(program.port)
         assert client.read_answer(client.send_request())[0] == 1
@@ -233,10 +233,10 @@
     assert found["budgets"]["a"]["spent"] == found["total_bytes"]
     assert found["distributions"]["n0"]["film"]
     assert run("report", kept, "--csv").stdout.startswith("start,into,out_of,way")
-    picture = tmp_path / "out.png"
-    shown = run("report", kept, "--plot", str(picture), "--window", "second")
-    assert "other-hub" in shown.stdout
-    assert picture.stat().st_size > 1000
+    plot_file = tmp_path / "out.png"
+    plot_run = run("report", kept, "--plot", str(plot_file), "--window", "second")
+    assert "other-hub" in plot_run.stdout
+    assert plot_file.stat().st_size > 1000
     assert "fills" in run("watch", kept, "--times", "1").stdout
     (tmp_path / "kept" / "x.traffic").write_bytes(b"no")
     assert "skipped" in run("report", kept).stderr
--- a/tests/test_net_protocols.py
+++ b/tests/test_net_protocols.py
@@ -1,4 +1,4 @@
-"""The incremental decoders, the ring buffer, and the ends of attempts."""
+"""The protocols of `ironhinge.net` with its incremental decoders, its ring buffer, and attempt ends."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 
 def decode(make_wire, data, cuts):
-    """Returns what a decoder makes of the data, cut at the given places, and the texts of its errors."""
+    """Feeds data to a decoder in pieces, cut at the given offsets; returns its messages and error texts."""
     wire, messages, errors = make_wire(), [], []
     for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
         result = wire.feed(memoryview(data)[start:end])
@@ -25,6 +25,7 @@
 
 
 def decode_at_every_cut(make_wire, data):
+    """Checks that data decodes equally whole, in two pieces and byte by byte; returns the result."""
     whole = decode(make_wire, data, [])
     for cut in range(1, len(data)):
         assert decode(make_wire, data, [cut]) == whole, f"cut at {cut}"
@@ -63,7 +64,7 @@
 
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
-def test_lengths_out_of_bounds_lose_the_framing(length):
+def test_frame_lengths_out_of_bounds_lose_the_framing(length):
     out, _ = decode_at_every_cut(
         client_wire.ClientWire, frame_bytes(9, 3) + length.to_bytes(4, "big") + b"x" * 30
     )
@@ -73,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    ("payload", "word"),
+    ("payload", "expected_text"),
     [
         (b"", "count"),
         (b"\2\1a\0\1b", "cut short"),
@@ -83,11 +84,11 @@
         (b"\1\1a\0\1\377", "not text"),
     ],
 )
-def test_unreadable_fields_are_named_and_the_framing_holds(payload, word):
+def test_malformed_requests_are_reported_and_the_next_frame_is_decoded(payload, expected_text):
     out, _ = decode(client_wire.ClientWire, frame_bytes(7, 5, payload) + frame_bytes(9, 6), [])
     assert isinstance(out[0], client_wire.MalformedRequest)
     assert out[0].stream == 5
-    assert word in out[0].text
+    assert expected_text in out[0].text
     assert out[1] == client_wire.RequestCancelled(6)
 
 
@@ -131,6 +132,7 @@
 
 
 def resp_array(*items):
+    """Encodes items as a RESP array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%s\r\n" % (len(item), item) for item in items)
 
 
@@ -199,7 +201,8 @@
     assert upstream_wire.encode_health_check("p1") == resp_array(b"busy", b"p1")
 
 
-def record(name, state=0, weight=1500, started=0):
+def endpoint_record(name, state=0, weight=1500, started=0):
+    """Encodes an endpoint as in an endpoint list of the discovery service."""
     return (
         name.to_bytes(4, "big")
         + bytes([10, 1, 0, 9])
@@ -211,18 +214,19 @@
     )
 
 
-def event(number, kind, rest=b""):
+def discovery_frame(number, kind, rest=b""):
+    """Encodes an update of the discovery service."""
     payload = number.to_bytes(8, "big") + bytes([kind]) + rest
     return len(payload).to_bytes(4, "big") + payload
 
 
 def test_discovery_frames_decode_equally_at_every_cut():
     data = (
-        event(4, 0)
-        + event(5, 1, record(0x00C41F7A) + record(2, 1))
-        + event(6, 2, record(3, 2, started=99))
-        + event(7, 3, (2**60).to_bytes(8, "big") + (1764576000123).to_bytes(8, "big"))
-        + event(8, 4, (17).to_bytes(2, "big") + (5).to_bytes(8, "big"))
+        discovery_frame(4, 0)
+        + discovery_frame(5, 1, endpoint_record(0x00C41F7A) + endpoint_record(2, 1))
+        + discovery_frame(6, 2, endpoint_record(3, 2, started=99))
+        + discovery_frame(7, 3, (2**60).to_bytes(8, "big") + (1764576000123).to_bytes(8, "big"))
+        + discovery_frame(8, 4, (17).to_bytes(2, "big") + (5).to_bytes(8, "big"))
     )
     out, errors = decode_at_every_cut(discovery_wire.DiscoveryWire, data)
     assert not errors
@@ -248,15 +252,22 @@
 
 
 @pytest.mark.parametrize(
-    "bad", [event(9, 7), event(9, 2, b"x" * 26), event(9, 3, b"x"), event(9, 1, record(1, 3)), b"\0\0\0\0"]
+    "bad",
+    [
+        discovery_frame(9, 7),
+        discovery_frame(9, 2, b"x" * 26),
+        discovery_frame(9, 3, b"x"),
+        discovery_frame(9, 1, endpoint_record(1, 3)),
+        b"\0\0\0\0",
+    ],
 )
 def test_unparsable_discovery_frames_are_detected_at_every_cut(bad):
-    out, errors = decode_at_every_cut(discovery_wire.DiscoveryWire, event(8, 0) + bad)
+    out, errors = decode_at_every_cut(discovery_wire.DiscoveryWire, discovery_frame(8, 0) + bad)
     assert len(out) == 1
     assert len(errors) == 1
 
 
-def test_unparsable_input_of_either_protocol_is_one_kind_of_error():
+def test_unparsable_input_raises_the_same_error_in_both_protocols():
     assert upstream_wire.UnparsableError is UnparsableError
     assert discovery_wire.UnparsableError is UnparsableError
     assert issubclass(UnparsableError, NetworkError)
@@ -276,11 +287,11 @@
             free[:count] = data[:count]
             ring.commit_write(count)
             model += data[:count]
-        got = bytes(ring.readable())
-        assert model.startswith(got)
-        assert bool(got) == bool(model)
+        held_bytes = bytes(ring.readable())
+        assert model.startswith(held_bytes)
+        assert bool(held_bytes) == bool(model)
         assert ring.used == len(model)
-        count = generator.randrange(len(got) + 1)
+        count = generator.randrange(len(held_bytes) + 1)
         ring.consume(count)
         model = model[count:]
     with pytest.raises(RingBufferError, match="consume 65 bytes"):
@@ -290,7 +301,7 @@
 
 
 @pytest.mark.parametrize("count", [65, -1])
-def test_the_ring_buffer_rejects_counts_beyond_what_it_holds(count):
+def test_the_ring_buffer_rejects_counts_out_of_bounds(count):
     ring = RingBuffer(64)
     with pytest.raises(RingBufferError, match=f"consume {count} bytes, 0 are held"):
         ring.consume(count)
@@ -301,9 +312,9 @@
     assert issubclass(RingBufferError, ValueError)
 
 
-def test_only_ends_that_prove_that_nothing_ran_are_reported_as_such():
-    proven = {"miss", "full", "unconnected", "cut", "unsent"}
-    never_ran = {
+def test_only_ends_without_execution_get_results_that_rule_it_out():
+    results_without_execution = {"miss", "full", "unconnected", "cut", "unsent"}
+    ends_without_execution = {
         AttemptEnd.MISS,
         AttemptEnd.REJECTED,
         AttemptEnd.EXPIRED,
@@ -312,7 +323,7 @@
         AttemptEnd.NOT_SENT,
         AttemptEnd.CUT_BEFORE_SEND,
     }
-    assert {end for end in AttemptEnd if RESULTS[end] in proven} == never_ran
+    assert {end for end in AttemptEnd if RESULTS[end] in results_without_execution} == ends_without_execution
     assert RESULTS[AttemptEnd.RESET] == RESULTS[AttemptEnd.CLOSED] == "reset"
     assert RESULTS[AttemptEnd.TIMED_OUT] == "timeout"
     assert RESULTS[AttemptEnd.CANCELLED] == "cancelled"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's audit finds what must not be, and a few seeds of it pass."""
+"""The soak's audit finds violations of its rules, and a few seeds of the soak pass."""
 
 import dataclasses
 import json
@@ -40,12 +40,15 @@
 
 SEEDS, FIRST_SEED, JOBS = 8, 101, 2
 PLAN = dataclasses.replace(draw_plan(5), node_weight=4)
-BODY = "0000000000000001@9000"  # of a copy from 9 s
-GOOD = AnswerRecord(10.02, AnswerCode.SERVED, BODY)
+BODY = "0000000000000001@9000"  # of a copy that the origin issued at 9 s
+GOOD_ANSWER = AnswerRecord(10.02, AnswerCode.SERVED, BODY)
 
 
-def recorded_request(answers=(GOOD,), class_name="read", **changes):
-    """Records of one request that was written at 10 s and answered 20 ms later."""
+def recorded_request(answers=(GOOD_ANSWER,), class_name="read", **changes):
+    """Returns the records of one request that was written at 10 s, and its request and connection record.
+
+    By default it was answered 20 ms later.
+    """
     connection = ConnectionRecord(1, 0, 1, 0.0, 0.0, 9.0)
     request = RequestRecord(
         "a" * 16, "0000000000000001", class_name, connection, 0.5, 10.0, 10.0, None, list(answers)
@@ -58,11 +61,11 @@
 
 
 def broken_rules(records):
-    """The rules that the audit says are broken."""
+    """Returns the rules that the audit reports as violated."""
     return {finding.rule for finding in Audit(PLAN, records).check_all().findings}
 
 
-def test_a_good_run_has_no_finding():
+def test_a_run_without_violations_has_no_finding():
     records, request, _ = recorded_request()
     audit_result = Audit(PLAN, records).check_all()
     assert not audit_result.findings
@@ -75,13 +78,13 @@
     assert timeline(request.trace, records)
 
 
-def test_a_connection_that_ends_under_a_request_loses_it():
+def test_a_request_whose_connection_ends_before_the_answer_is_lost():
     records, _, connection = recorded_request(())
     connection.ended_at, connection.ending = 10.06, ConnectionEnding.RESET
     assert broken_rules(records) == {"lost"}
 
 
-def test_a_request_that_is_never_answered_is_lost_unless_its_client_left():
+def test_a_request_that_is_never_answered_is_lost_unless_its_client_cancelled():
     assert broken_rules(recorded_request(())[0]) == {"lost"}
     assert not broken_rules(recorded_request((), cancelled_at=10.004)[0])
 
@@ -94,7 +97,10 @@
     ],
 )
 def test_a_kill_excuses_only_requests_that_could_not_be_answered(terminated, killed, lost):
-    """An outright kill excuses its requests; one after SIGTERM only what came too shortly before it."""
+    """A kill without SIGTERM, or too soon after it, excuses all unanswered requests.
+
+    A later kill excuses only requests that arrived shortly before it.
+    """
     records, _, connection = recorded_request(())
     connection.ended_at, connection.ending = killed, ConnectionEnding.RESET
     records.incarnations[0].terminated_at, records.incarnations[0].killed_at = terminated, killed
@@ -102,13 +108,13 @@
 
 
 def test_duplicate_and_late_answers_are_found():
-    assert broken_rules(recorded_request((GOOD, GOOD))[0]) == {"doubled answer"}
+    assert broken_rules(recorded_request((GOOD_ANSWER, GOOD_ANSWER))[0]) == {"doubled answer"}
     assert broken_rules(recorded_request((AnswerRecord(11.2, AnswerCode.FAILED, ""),))[0]) == {"late"}
     assert not broken_rules(recorded_request((AnswerRecord(10.9, AnswerCode.FAILED, ""),))[0])
 
 
-def test_a_stopped_director_is_excused_from_nothing():
-    """Guards the judge: no page takes a stop of the process off a limit."""
+def test_a_director_gets_no_extra_time_for_a_stop_of_its_process():
+    """Guards the audit: a stop of the process extends no limit, as the documentation grants no extra time."""
     records, _, _ = recorded_request((AnswerRecord(11.2, AnswerCode.FAILED, ""),))
     records.incarnations[0].pauses.append((10.0, 11.1))
     assert broken_rules(records) == {"late"}
@@ -189,13 +195,13 @@
     assert broken_rules(records) == {"descriptors"}
 
 
-def test_a_seed_gives_the_same_plan():
+def test_the_same_seed_gives_the_same_plan():
     assert draw_plan(7) == draw_plan(7)
     assert draw_plan(7) != draw_plan(8)
 
 
-def test_a_port_belongs_to_one_run_also_while_nobody_listens_there():
-    """Guards runs side by side: requests for one would come to the other, and be found as faults."""
+def test_a_port_stays_reserved_for_its_run_while_nothing_listens_on_it():
+    """Guards concurrent runs: requests of one would reach servers of another and be reported as findings."""
     first, second = PortAllocator(), PortAllocator()
     reserved = [first.allocate() for _ in range(200)]
     assert not {second.allocate() for _ in range(200)} & set(reserved)
@@ -229,8 +235,11 @@
         reader.feed(b"GET / HTTP/1.1\r\n", 1.0)
 
 
-def test_two_runs_of_one_seed_may_be_played_side_by_side():
-    """Guards the soak beside CI's: with ports drawn from the seed each would find faults of the other."""
+def test_two_runs_of_one_seed_can_run_concurrently():
+    """Guards a soak that runs beside that of CI: with ports drawn from the seed, the runs would interfere.
+
+    Each would then report findings that the other caused.
+    """
     command = [sys.executable, "-m", "benchmarks.soak", "--seeds", "1", "--first", "103", "--seconds", "6"]
     runs = [
         subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True) for _ in range(2)
@@ -241,7 +250,7 @@
 
 
 def test_a_few_seeds_pass():
-    """The whole of it is run by hand: see docs/soak.md."""
+    """The full soak is run by hand: see docs/soak.md."""
     command = [sys.executable, "-m", "benchmarks.soak", "--seeds", str(SEEDS), "--first", str(FIRST_SEED)]
     command += ["--seconds", "7", "--jobs", str(JOBS), "--json"]
     done = subprocess.run(command, capture_output=True, text=True, timeout=110)
@@ -253,8 +262,8 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_each_planted_fault_still_has_its_place(fault, tmp_path):
-    """Guards the check of the soak itself: benchmarks.planted_faults is run by hand."""
+def test_each_planted_fault_still_matches_the_source(fault, tmp_path):
+    """Guards `benchmarks.planted_faults`, which checks the soak itself but is run only by hand."""
     plant(fault, tmp_path)
     planted = (tmp_path / "ironhinge" / fault.module).read_text()
     assert planted != (ROOT / "ironhinge" / fault.module).read_text()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,6 +9,7 @@
 
 
 def run_host(*batches):
+    """Runs the host on batches; returns its exit code, its replies and its error output."""
     errors, sink = io.StringIO(), io.BytesIO()
     code = serve(io.BytesIO(b"".join(json.dumps(b).encode() + b"\n" for b in batches)), sink, errors)
     return code, [json.loads(line) for line in sink.getvalue().splitlines()], errors.getvalue()
@@ -27,7 +28,7 @@
     assert "'seq'" in errors
 
 
-def test_a_malformed_event_is_fatal_to_its_instance_and_named():
+def test_a_malformed_event_is_fatal_to_its_instance_and_the_field_is_named():
     code, replies, errors = run_host({"wall": 1, "seq": 1, "input": [{"QUERY": {"director": 3, "tid": "a"}}]})
     ((fatal,),) = [r["outbox"] for r in replies]
     assert code == 0
@@ -41,11 +42,12 @@
     "classes": [{"aim": 300000, "deadline": 2500000, "semantics": "repeatable"}],
     "extra": {"store-kind": 1},
     "policy-limits": {"max-attempts": 4},
-    "a-key-of-tomorrow": [1, 2],
+    "unknown-key": [1, 2],
 }
 
 
-def started(*events):
+def batch_with_instance(*events):
+    """Returns a batch that starts an instance with an endpoint list and then has the given events."""
     rows = [{"node": name, "state": "active", "family-type": kind} for name, kind in (("a:1", 0), ("o:1", 1))]
     return {
         "wall": 1000050,
@@ -59,12 +61,12 @@
     }
 
 
-def request(tid):
-    return {"QUERY": {"director": 0, "tid": tid, "budget": 2000000, "a-field-of-tomorrow": True}}
+def query(tid):
+    return {"QUERY": {"director": 0, "tid": tid, "budget": 2000000, "unknown-field": True}}
 
 
 def test_unknown_events_and_fields_and_absent_fields_are_accepted():
-    code, (reply,), errors = run_host(started(request("q"), {"COMET": {"director": 0}}))
+    code, (reply,), errors = run_host(batch_with_instance(query("q"), {"COMET": {"director": 0}}))
     ((name, body),) = reply["outbox"][0].items()
     assert code == 0
     assert name == "ANSWER_FROM"
@@ -76,11 +78,11 @@
 
 def test_list_numbers_are_resolved_in_the_order_of_events():
     rows = [{"node": "b:1", "state": "active"}, {"node": "o:1", "state": "active", "family-type": 1}]
-    again = [
+    second_list = [
         {"MANIFEST": {"list": 0, "rows": rows}},
         {"MEMBERSHIP": {"director": 0, "scope": "replace", "list": 0}},
     ]
-    _, (reply,), _ = run_host(started(request("q"), *again, request("r")))
+    _, (reply,), _ = run_host(batch_with_instance(query("q"), *second_list, query("r")))
     assert [act["ANSWER_FROM"]["node"] for act in reply["outbox"]] == ["a:1", "b:1"]
 
 
@@ -99,7 +101,7 @@
     ],
 )
 def test_malformed_fields_are_named(event, field):
-    _, (reply,), errors = run_host(started(event))
+    _, (reply,), errors = run_host(batch_with_instance(event))
     assert "FATAL" in reply["outbox"][-1]
     assert next(iter(event)) in errors
     assert f"'{field}'" in errors
