--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -41,16 +41,16 @@
 def test_each_request_is_answered_once_and_the_accounts_match_the_carried_bytes(name):
     """The number of bytes depends on the machine's speed; that they are accounted and in budget does not."""
     completed = run_lab("--scenario", name, "--seconds", "3", "--seed", "2")
-    found = json.loads(completed.stdout.splitlines()[-1])
-    assert found["requests"] == found["final_answers"] > 50
-    assert not found["doubled_answers"]
-    assert not found["spoiled_answers"]
-    assert found["director_exits"] == [0, 0]
-    assert found["crossed_bytes"] <= found["budget_bytes"] + found["budget_slack_bytes"]
-    cancelled = found["fills_cut"] + found["left"]  # how many of their bytes crossed is not known exactly
-    tolerance = found["guessed_bytes"] + 16_000 * cancelled
-    assert abs(found["reported_bytes"] - found["carried_bytes"]) <= tolerance
-    assert found["carried_bytes"] > 100_000
+    report = json.loads(completed.stdout.splitlines()[-1])
+    assert report["requests"] == report["final_answers"] > 50
+    assert not report["doubled_answers"]
+    assert not report["spoiled_answers"]
+    assert report["director_exits"] == [0, 0]
+    assert report["crossed_bytes"] <= report["budget_bytes"] + report["budget_slack_bytes"]
+    cancelled = report["fills_cut"] + report["left"]  # how many of their bytes crossed is not known exactly
+    tolerance = report["guessed_bytes"] + 16_000 * cancelled
+    assert abs(report["reported_bytes"] - report["carried_bytes"]) <= tolerance
+    assert report["carried_bytes"] > 100_000
 
 
 def test_the_same_seed_generates_the_same_requests():
@@ -72,8 +72,8 @@
     _, _ = process.communicate(timeout=TIMEOUT)
     assert process.returncode == 130
     assert not list(tmp_path.iterdir())
-    found = subprocess.run(["ps", "-eo", "ppid,args"], capture_output=True, text=True).stdout
-    assert not [line for line in found.splitlines() if str(tmp_path) in line]
+    processes = subprocess.run(["ps", "-eo", "ppid,args"], capture_output=True, text=True).stdout
+    assert not [line for line in processes.splitlines() if str(tmp_path) in line]
 
 
 def test_a_copy_store_evicts_the_lowest_rank_first():
@@ -123,32 +123,32 @@
 def test_invalid_settings_change_nothing_and_valid_ones_apply_at_once(tmp_path):
     upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path = write_operations(tmp_path, 'a: {rate: "1MB/s", begin: "full"}')
-    program = AccountingDirector(tmp_path, director_config(upstream, parent), path)
+    director = AccountingDirector(tmp_path, director_config(upstream, parent), path)
     try:
-        client = FakeClient(program.port)
+        client = FakeClient(director.port)
         assert client.read_answer(client.send_request())[0] == 1
         path.write_text("traffic: {budgets: {a: {rate: 5}}}")
-        program.process.send_signal(signal.SIGHUP)
-        program.wait_for_log("settings_reload_failed error=")
+        director.process.send_signal(signal.SIGHUP)
+        director.wait_for_log("settings_reload_failed error=")
         path.write_text('traffic: {budgets: {a: {rate: "1B/s", into: "nowhere"}}}')
-        program.process.send_signal(signal.SIGHUP)
-        program.wait_for_log('found "nowhere", expected one of east, west')
+        director.process.send_signal(signal.SIGHUP)
+        director.wait_for_log('found "nowhere", expected one of east, west')
         assert client.read_answer(client.send_request(entity="00000000000000aa"))[0] == 1
         write_operations(tmp_path, 'a: {rate: "1B/s", ways: ["other-hub", "own-hub", "origin"]}')
-        program.process.send_signal(signal.SIGHUP)
-        program.wait_for_log("budgets_reloaded budgets=a\n")
+        director.process.send_signal(signal.SIGHUP)
+        director.wait_for_log("budgets_reloaded budgets=a\n")
         client.read_answer(client.send_request(entity="00000000000000bb"))  # may use up the budget
         code, fields, _ = client.read_answer(client.send_request(entity="00000000000000cc"))
         assert code == 2, "an exhausted budget rejects at once"
         assert int(fields["pause"]) > 0
-        program.process.terminate()
-        assert program.process.wait(TIMEOUT) == 0
-        found, wrong = read_folder(tmp_path / "kept")
-        assert not wrong
-        assert found[0].state.is_final
-        assert collect(found).total() > 0
+        director.process.terminate()
+        assert director.process.wait(TIMEOUT) == 0
+        stored, unreadable = read_folder(tmp_path / "kept")
+        assert not unreadable
+        assert stored[0].state.is_final
+        assert collect(stored).total() > 0
     finally:
-        program.stop()
+        director.stop()
 
 
 def test_a_killed_director_resumes_its_account_and_starts_a_new_one_after_a_torn_snapshot(tmp_path):
@@ -157,23 +157,23 @@
     config = director_config(upstream, parent)
     totals, log = [], ""
     for incarnation in range(3):
-        program = AccountingDirector(tmp_path, config, path)
+        director = AccountingDirector(tmp_path, config, path)
         try:
-            client = FakeClient(program.port)
+            client = FakeClient(director.port)
             assert (
                 client.read_answer(client.send_request(entity=f"00000000000000c{incarnation}", size="1"))[0]
                 == 1
             )
             end = time.monotonic() + TIMEOUT
             while True:
-                found, _ = read_folder(folder)
-                if found and collect(found).total() > sum(totals[-1:]):
+                stored, _ = read_folder(folder)
+                if stored and collect(stored).total() > sum(totals[-1:]):
                     break
                 assert time.monotonic() < end
                 time.sleep(0.02)
-            log += program.log_text()
+            log += director.log_text()
         finally:
-            program.stop()  # with SIGKILL
+            director.stop()  # with SIGKILL
         totals.append(collect(read_folder(folder)[0]).total())
         if incarnation == 1:
             snapshot = folder / file_name("n0")
@@ -213,31 +213,31 @@
     path.write_text(
         path.read_text().replace("traffic: {", "traffic: {distributions: true, prices: [{per_gb: 5}], ")
     )
-    program = AccountingDirector(tmp_path, director_config(upstream, parent), path)
+    director = AccountingDirector(tmp_path, director_config(upstream, parent), path)
     try:
-        client = FakeClient(program.port)
+        client = FakeClient(director.port)
         assert client.read_answer(client.send_request())[0] == 1
-        program.process.terminate()
-        program.process.wait(TIMEOUT)
+        director.process.terminate()
+        director.process.wait(TIMEOUT)
     finally:
-        program.stop()
+        director.stop()
 
     def run(*args):
         command = [sys.executable, "-m", "ironhinge", "traffic", *args]
         return subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT)
 
-    kept = str(tmp_path / "kept")
-    found = json.loads(run("report", kept, "--json", "--operations", str(path)).stdout)
-    assert found["total_bytes"] == sum(found["cuts"]["vhost"].values()) > 0
-    assert found["money"]["other-hub"] == pytest.approx(found["total_bytes"] * 5 / 1e9)
-    assert found["budgets"]["a"]["spent"] == found["total_bytes"]
-    assert found["distributions"]["n0"]["film"]
-    assert run("report", kept, "--csv").stdout.startswith("start,into,out_of,way")
+    snapshot_folder = str(tmp_path / "kept")
+    report = json.loads(run("report", snapshot_folder, "--json", "--operations", str(path)).stdout)
+    assert report["total_bytes"] == sum(report["cuts"]["vhost"].values()) > 0
+    assert report["money"]["other-hub"] == pytest.approx(report["total_bytes"] * 5 / 1e9)
+    assert report["budgets"]["a"]["spent"] == report["total_bytes"]
+    assert report["distributions"]["n0"]["film"]
+    assert run("report", snapshot_folder, "--csv").stdout.startswith("start,into,out_of,way")
     plot_file = tmp_path / "out.png"
-    plot_run = run("report", kept, "--plot", str(plot_file), "--window", "second")
+    plot_run = run("report", snapshot_folder, "--plot", str(plot_file), "--window", "second")
     assert "other-hub" in plot_run.stdout
     assert plot_file.stat().st_size > 1000
-    assert "fills" in run("watch", kept, "--times", "1").stdout
+    assert "fills" in run("watch", snapshot_folder, "--times", "1").stdout
     (tmp_path / "kept" / "x.traffic").write_bytes(b"no")
-    assert "skipped" in run("report", kept).stderr
+    assert "skipped" in run("report", snapshot_folder).stderr
     assert run("report", str(tmp_path)).returncode == 1
