--- a/ironhinge/traffic/quota_exchange.py
+++ b/ironhinge/traffic/quota_exchange.py
@@ -29,7 +29,7 @@
 )
 from .types import BroadcastDatagram, LedgerCommand
 
-PEER_TIMEOUT = 20_000  # a peer that has been silent for longer is granted nothing
+PEER_TIMEOUT = 20_000  # two seconds; a peer that has been silent for longer is granted nothing
 DEMAND_DECAY = 0.5  # factor applied to the unmet demand after each message
 LONG_AGO = -(1 << 60)
 
@@ -94,7 +94,10 @@
         return [BroadcastDatagram(self._next_message())]
 
     def _grant_surplus(self, now: int, key: int, budget: Budget) -> None:
-        """Divides the surplus among the requesting peers, in proportion to their requests."""
+        """Divides the surplus among the requesting peers, in proportion to their requests.
+
+        Grants nothing of a budget while this director has unmet demand for it.
+        """
         requesting = [
             (peer.requested.get(key, 0), peer)
             for peer in self.peers.values()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's runs on real sockets, and a director with its account turned on."""
+"""The lab's runs on real sockets, and a director that keeps a traffic account."""
 
 import json
 import os
@@ -29,7 +29,7 @@
     new_deployment,
 )
 
-TIMEOUT = 60  # seconds after which something has gone wrong
+TIMEOUT = 60  # seconds for a process to exit or a condition to hold
 
 
 def run_lab(*args):
@@ -39,18 +39,18 @@
 
 @pytest.mark.parametrize("name", ["calm", "hub-loss", "stream-budget"])
 def test_each_request_is_answered_once_and_the_accounts_match_the_carried_bytes(name):
-    """How many bytes cross depends on the machine; that they are accounted and within budget does not."""
-    done = run_lab("--scenario", name, "--seconds", "3", "--seed", "2")
-    found = json.loads(done.stdout.splitlines()[-1])
-    assert found["requests"] == found["final_answers"] > 50
-    assert not found["doubled_answers"]
-    assert not found["spoiled_answers"]
-    assert found["director_exits"] == [0, 0]
-    assert found["crossed_bytes"] <= found["budget_bytes"] + found["budget_slack_bytes"]
-    cancelled = found["fills_cut"] + found["left"]  # nobody knows exactly how much of these crossed
-    tolerance = found["guessed_bytes"] + 16_000 * cancelled
-    assert abs(found["reported_bytes"] - found["carried_bytes"]) <= tolerance
-    assert found["carried_bytes"] > 100_000
+    """The number of bytes depends on the machine's speed; that they are accounted and in budget does not."""
+    completed = run_lab("--scenario", name, "--seconds", "3", "--seed", "2")
+    report = json.loads(completed.stdout.splitlines()[-1])
+    assert report["requests"] == report["final_answers"] > 50
+    assert not report["doubled_answers"]
+    assert not report["spoiled_answers"]
+    assert report["director_exits"] == [0, 0]
+    assert report["crossed_bytes"] <= report["budget_bytes"] + report["budget_slack_bytes"]
+    cancelled = report["fills_cut"] + report["left"]  # how many of their bytes crossed is not known exactly
+    tolerance = report["guessed_bytes"] + 16_000 * cancelled
+    assert abs(report["reported_bytes"] - report["carried_bytes"]) <= tolerance
+    assert report["carried_bytes"] > 100_000
 
 
 def test_the_same_seed_generates_the_same_requests():
@@ -61,7 +61,7 @@
     assert len(generate_requests(scaled_scenario("calm", 3.0), 4, 5.0)) > 2 * len(requests)
 
 
-def test_an_interrupt_leaves_no_process(tmp_path):
+def test_an_interrupt_leaves_no_process_and_no_file(tmp_path):
     command = [sys.executable, "-m", "ironhinge", "lab", "run", "--seconds", "60"]
     env = {**os.environ, "TMPDIR": str(tmp_path)}
     process = subprocess.Popen(command, stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True, env=env)
@@ -72,8 +72,8 @@
     _, _ = process.communicate(timeout=TIMEOUT)
     assert process.returncode == 130
     assert not list(tmp_path.iterdir())
-    found = subprocess.run(["ps", "-eo", "ppid,args"], capture_output=True, text=True).stdout
-    assert not [line for line in found.splitlines() if str(tmp_path) in line]
+    processes = subprocess.run(["ps", "-eo", "ppid,args"], capture_output=True, text=True).stdout
+    assert not [line for line in processes.splitlines() if str(tmp_path) in line]
 
 
 def test_a_copy_store_evicts_the_lowest_rank_first():
@@ -87,19 +87,19 @@
     assert store.used == 30
 
 
-# A director with its account on
+# A director that keeps a traffic account
 
 
 def write_operations(folder, budgets):
     path = folder / "operations.cue"
     snapshots = folder / "kept"
-    keep = f'keep: {{folder: "{snapshots}", every: "100ms"}}'
-    path.write_text(f"traffic: {{{keep}, budgets: {{{budgets}}}}}")
+    keep_setting = f'keep: {{folder: "{snapshots}", every: "100ms"}}'
+    path.write_text(f"traffic: {{{keep_setting}, budgets: {{{budgets}}}}}")
     return path
 
 
-class AccountingProgram(DirectorProcess):
-    """A director that is started with an operations file."""
+class AccountingDirector(DirectorProcess):
+    """A director that keeps a traffic account, as its operations file enables it."""
 
     def __init__(self, folder, config, path):
         self.args = ["--operations", str(path)]
@@ -123,32 +123,32 @@
 def test_invalid_settings_change_nothing_and_valid_ones_apply_at_once(tmp_path):
     upstream, parent = FakeUpstream(), FakeUpstream(has_all_objects=True)
     path = write_operations(tmp_path, 'a: {rate: "1MB/s", begin: "full"}')
-    program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
+    director = AccountingDirector(tmp_path, director_config(upstream, parent), path)
     try:
-        client = FakeClient(program.port)
+        client = FakeClient(director.port)
         assert client.read_answer(client.send_request())[0] == 1
         path.write_text("traffic: {budgets: {a: {rate: 5}}}")
-        program.process.send_signal(signal.SIGHUP)
-        program.wait_for_log("settings_reload_failed error=")
+        director.process.send_signal(signal.SIGHUP)
+        director.wait_for_log("settings_reload_failed error=")
         path.write_text('traffic: {budgets: {a: {rate: "1B/s", into: "nowhere"}}}')
-        program.process.send_signal(signal.SIGHUP)
-        program.wait_for_log('found "nowhere", expected one of east, west')
+        director.process.send_signal(signal.SIGHUP)
+        director.wait_for_log('found "nowhere", expected one of east, west')
         assert client.read_answer(client.send_request(entity="00000000000000aa"))[0] == 1
         write_operations(tmp_path, 'a: {rate: "1B/s", ways: ["other-hub", "own-hub", "origin"]}')
-        program.process.send_signal(signal.SIGHUP)
-        program.wait_for_log("budgets_reloaded budgets=a\n")
-        client.read_answer(client.send_request(entity="00000000000000bb"))  # may take all that there was
+        director.process.send_signal(signal.SIGHUP)
+        director.wait_for_log("budgets_reloaded budgets=a\n")
+        client.read_answer(client.send_request(entity="00000000000000bb"))  # may use up the budget
         code, fields, _ = client.read_answer(client.send_request(entity="00000000000000cc"))
         assert code == 2, "an exhausted budget rejects at once"
         assert int(fields["pause"]) > 0
-        program.process.terminate()
-        assert program.process.wait(TIMEOUT) == 0
-        found, wrong = read_folder(tmp_path / "kept")
-        assert not wrong
-        assert found[0].state.is_final
-        assert collect(found).total() > 0
+        director.process.terminate()
+        assert director.process.wait(TIMEOUT) == 0
+        stored, unreadable = read_folder(tmp_path / "kept")
+        assert not unreadable
+        assert stored[0].state.is_final
+        assert collect(stored).total() > 0
     finally:
-        program.stop()
+        director.stop()
 
 
 def test_a_killed_director_resumes_its_account_and_starts_a_new_one_after_a_torn_snapshot(tmp_path):
@@ -157,27 +157,27 @@
     config = director_config(upstream, parent)
     totals, log = [], ""
     for incarnation in range(3):
-        program = AccountingProgram(tmp_path, config, path)
+        director = AccountingDirector(tmp_path, config, path)
         try:
-            client = FakeClient(program.port)
+            client = FakeClient(director.port)
             assert (
                 client.read_answer(client.send_request(entity=f"00000000000000c{incarnation}", size="1"))[0]
                 == 1
             )
             end = time.monotonic() + TIMEOUT
             while True:
-                found, _ = read_folder(folder)
-                if found and collect(found).total() > sum(totals[-1:]):
+                stored, _ = read_folder(folder)
+                if stored and collect(stored).total() > sum(totals[-1:]):
                     break
                 assert time.monotonic() < end
                 time.sleep(0.02)
-            log += program.log_text()
+            log += director.log_text()
         finally:
-            program.stop()  # by force
+            director.stop()  # with SIGKILL
         totals.append(collect(read_folder(folder)[0]).total())
         if incarnation == 1:
             snapshot = folder / file_name("n0")
-            snapshot.write_bytes(snapshot.read_bytes()[:-9])  # as a disk might leave it
+            snapshot.write_bytes(snapshot.read_bytes()[:-9])  # cut short, as after a crash during the write
             totals.append(0)
     assert totals[1] == 2 * totals[0]
     assert totals[3] == totals[0]
@@ -186,13 +186,13 @@
 
 
 def test_a_delayed_snapshot_does_not_replace_a_newer_one(tmp_path):
-    one = load_texts([("f", f'traffic: keep: {{folder: "{tmp_path}"}}')]).operations.traffic
+    traffic_settings = load_texts([("f", f'traffic: keep: {{folder: "{tmp_path}"}}')]).operations.traffic
     runner, identity = Runner(Budgets(), lambda: 0), DirectorIdentity("n0", ("a",), ("film",), 0)
     clocks = Clocks(lambda: 0, lambda: 1_764_576_000_000)
-    service = AccountService(one, new_deployment(), identity, clocks, runner)
-    slow = service.pack_snapshot(is_final=False)
+    service = AccountService(traffic_settings, new_deployment(), identity, clocks, runner)
+    delayed_snapshot = service.pack_snapshot(is_final=False)
     service.close()
-    service.write_snapshot(tmp_path / file_name("n0"), *slow)
+    service.write_snapshot(tmp_path / file_name("n0"), *delayed_snapshot)
     assert [each.state.is_final for each in read_folder(tmp_path)[0]] == [True]
 
 
@@ -213,31 +213,31 @@
     path.write_text(
         path.read_text().replace("traffic: {", "traffic: {distributions: true, prices: [{per_gb: 5}], ")
     )
-    program = AccountingProgram(tmp_path, director_config(upstream, parent), path)
+    director = AccountingDirector(tmp_path, director_config(upstream, parent), path)
     try:
-        client = FakeClient(program.port)
+        client = FakeClient(director.port)
         assert client.read_answer(client.send_request())[0] == 1
-        program.process.terminate()
-        program.process.wait(TIMEOUT)
+        director.process.terminate()
+        director.process.wait(TIMEOUT)
     finally:
-        program.stop()
+        director.stop()
 
     def run(*args):
         command = [sys.executable, "-m", "ironhinge", "traffic", *args]
         return subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT)
 
-    kept = str(tmp_path / "kept")
-    found = json.loads(run("report", kept, "--json", "--operations", str(path)).stdout)
-    assert found["total_bytes"] == sum(found["cuts"]["vhost"].values()) > 0
-    assert found["money"]["other-hub"] == pytest.approx(found["total_bytes"] * 5 / 1e9)
-    assert found["budgets"]["a"]["spent"] == found["total_bytes"]
-    assert found["distributions"]["n0"]["film"]
-    assert run("report", kept, "--csv").stdout.startswith("start,into,out_of,way")
-    picture = tmp_path / "out.png"
-    shown = run("report", kept, "--plot", str(picture), "--window", "second")
-    assert "other-hub" in shown.stdout
-    assert picture.stat().st_size > 1000
-    assert "fills" in run("watch", kept, "--times", "1").stdout
+    snapshot_folder = str(tmp_path / "kept")
+    report = json.loads(run("report", snapshot_folder, "--json", "--operations", str(path)).stdout)
+    assert report["total_bytes"] == sum(report["cuts"]["vhost"].values()) > 0
+    assert report["money"]["other-hub"] == pytest.approx(report["total_bytes"] * 5 / 1e9)
+    assert report["budgets"]["a"]["spent"] == report["total_bytes"]
+    assert report["distributions"]["n0"]["film"]
+    assert run("report", snapshot_folder, "--csv").stdout.startswith("start,into,out_of,way")
+    plot_file = tmp_path / "out.png"
+    plot_run = run("report", snapshot_folder, "--plot", str(plot_file), "--window", "second")
+    assert "other-hub" in plot_run.stdout
+    assert plot_file.stat().st_size > 1000
+    assert "fills" in run("watch", snapshot_folder, "--times", "1").stdout
     (tmp_path / "kept" / "x.traffic").write_bytes(b"no")
-    assert "skipped" in run("report", kept).stderr
+    assert "skipped" in run("report", snapshot_folder).stderr
     assert run("report", str(tmp_path)).returncode == 1
