--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -21,7 +21,7 @@
 
 from .helpers import FakeCoordinator, FakeUpstream, endpoint_record
 from .test_director import TRACE, FakeRouter, request_frame, run_director, send_attempt
-from .test_moments import receive_all, request_bytes, run_with_connection
+from .test_network_races import receive_all, request_bytes, run_with_connection
 
 PATIENCE_TICKS = 90000  # of the requests here, in tenths of a millisecond
 ALLOWED_TICKS = 500  # by which the protocol extends each limit
