--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -1,4 +1,4 @@
-"""The director with a scripted module: what it carries out, and what it tells."""
+"""How the director carries out the commands of a scripted router, and which events it reports to it."""
 
 import asyncio
 import gc
@@ -29,7 +29,7 @@
 
 
 class FakeRouter:
-    """In the module's place: answers each kind of happening with the next of its scripted actions."""
+    """Takes the place of the router: answers each event with the next commands scripted for its type."""
 
     def __init__(self, **commands_by_event):
         self.commands_by_event, self.events = (
@@ -46,8 +46,10 @@
         return [event for event in self.events if type(event) is kind]
 
 
-class FakeWriter:
-    """In a client's link's place: keeps what is written."""
+class FakeConnection:
+    """Takes the place of a client's connection and records what is written.
+
+    `unread_for` is for how many seconds received data may have waited unread."""
 
     def __init__(self):
         self.pending_frames, self.frames, self.unread_for = [], [], 0.0
@@ -78,7 +80,7 @@
 
 
 def run_director(fake_router, scenario, upstreams=None, datagrams=None, **overrides):
-    """Runs a scene with a director before two nodes; returns what the module was told."""
+    """Runs a scenario with a director in front of two upstreams; returns the router."""
     first, second = upstreams or (FakeUpstream(has_all_objects=True), FakeUpstream(has_all_objects=True))
     endpoints = [endpoint_config("s-00000001", first.address), endpoint_config("s-00000002", second.address)]
     config = read_director_config(configuration(endpoints, **overrides))
@@ -94,7 +96,7 @@
             for task in (director.run_timers, director.run_maintenance, director.gossip.receive_loop):
                 tasks.start_soon(task)
             client = ClientConnection(director)
-            client.connection = FakeWriter()
+            client.connection = FakeConnection()
 
             async def wait_until(condition):
                 with anyio.fail_after(TIMEOUT_SECONDS):
@@ -124,7 +126,7 @@
     return lambda now: [interface.SendAttemptWithFill(TRACE, "s-00000001", now + after, source, **fields)]
 
 
-def test_a_fault_of_the_module_costs_the_req_not_the_program():
+def test_exception_in_the_router_fails_only_its_request():
     fake_router = FakeRouter(RequestReceived=[lambda now: 1 / 0, send_attempt()])
 
     async def scenario(director, client, wait_until):
@@ -138,15 +140,15 @@
     run_director(fake_router, scenario)
 
 
-def test_a_req_takes_one_answer_and_late_ends_still_reach_the_module():
-    def twice(now):
+def test_request_gets_one_answer_and_the_router_is_notified_of_a_later_attempt_end():
+    def answer_twice(now):
         return [
             interface.SendAttempt(TRACE, "s-00000001", now + 90000),
             interface.RejectRequest(TRACE, 55),
             interface.FailRequest(TRACE),
         ]
 
-    fake_router = FakeRouter(RequestReceived=[twice])
+    fake_router = FakeRouter(RequestReceived=[answer_twice])
 
     async def scenario(director, client, wait_until):
         director.admit(client, request_frame(1))
@@ -160,7 +162,7 @@
     run_director(fake_router, scenario)
 
 
-def test_every_field_of_a_fetch_is_on_the_wire():
+def test_every_field_of_an_attempt_with_fill_is_sent():
     upstream = FakeUpstream()
     fake_router = FakeRouter(RequestReceived=[send_attempt_with_fill("s-00000002")])
 
@@ -170,8 +172,8 @@
         await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
 
     run_director(fake_router, scenario, (upstream, FakeUpstream()))
-    _verb, name, fields, _ = upstream.next_command()
-    assert name == TRACE
+    _verb, request_id, fields, _ = upstream.next_command()
+    assert request_id == TRACE
     assert 8900 < int(fields.pop("ms")) <= 9000
     assert fields == {
         "kind": "film",
@@ -189,8 +191,8 @@
 
 
 @pytest.mark.parametrize(("route", "result"), [("order", "done"), ("film", "error")])
-def test_only_copies_have_a_tag_and_a_date(route, result):
-    """What answers a write is no copy; a read's bytes without them can't be told from spoilt ones."""
+def test_digest_and_date_are_required_in_answers_to_reads_only(route, result):
+    """The answer to a write is no copy; a copy without these fields can't be told from a corrupted one."""
     upstream = FakeUpstream(lambda command: resp_array(command[1], "ACK", "res=h", b"written"))
     fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
@@ -203,7 +205,7 @@
     assert fake_router.events_of(interface.AttemptFinished)[0].result == result
 
 
-def test_load_reports_come_in_the_order_of_the_settings():
+def test_load_report_values_have_the_order_of_the_settings():
     upstream = FakeUpstream(
         lambda command: resp_array(command[1], "AGAIN", "gauges=inflight:7;util:0.61", b"")
     )
@@ -213,15 +215,15 @@
         director.admit(client, request_frame(1))
         director.manager.flush()
         await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
-        assert list(director.requests) == [TRACE]  # the module has not answered it yet
+        assert list(director.requests) == [TRACE]  # the router has not ended the request yet
 
     run_director(fake_router, scenario, (upstream, upstream))
     (end,) = fake_router.events_of(interface.AttemptFinished)
     assert (end.result, end.request_closed, end.load_report) == ("full", False, (0.61, 7.0))
 
 
-def test_same_for_a_client_without_a_copy_is_no_answer():
-    """Guards against a node that says the client's copy is the one when there is none."""
+def test_not_modified_for_a_client_without_a_copy_is_an_error():
+    """Guards against an upstream that reports the client's copy as current although the client has none."""
     upstream = FakeUpstream(lambda command: resp_array(command[1], "NOMOD", "-", b""))
     fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
@@ -235,37 +237,40 @@
     assert fake_router.events_of(interface.AttemptFinished)[0].result == "error"
 
 
-@pytest.mark.parametrize("news", ["drain", "drain of the source", "move", "purge", "group purge", "other"])
-def test_what_waits_for_a_connection_is_taken_back_by_news(news):
-    """Guards drains and purges: a dispatch that could not be sent yet is not sent later."""
+@pytest.mark.parametrize(
+    "update",
+    ["drain", "drain of the source", "new address", "purge", "group purge", "purge of another object"],
+)
+def test_unsent_attempt_is_withdrawn_after_a_drain_a_move_or_a_purge(update):
+    """Guards drains and purges: an attempt that still waits for its connection must not be sent later."""
     fake_router = FakeRouter(RequestReceived=[send_attempt_with_fill("s-00000002")])
 
     async def scenario(director, client, wait_until):
         upstream = director.pool.upstreams["s-00000001"]
         director.admit(client, request_frame(1, group="17"))
-        (waiting,) = upstream.connections  # not up yet: the event loop had no turn
-        if news.startswith("drain"):
+        (upstream_connection,) = upstream.connections  # not connected yet: the event loop has not run
+        if update.startswith("drain"):
             entry = endpoint_config(
-                "s-00000002" if "source" in news else "s-00000001", "127.0.0.1:9", status="DRAINING"
+                "s-00000002" if "source" in update else "s-00000001", "127.0.0.1:9", status="DRAINING"
             )
             event = {"index": 2, "endpoints": {"endpoints": [entry], "snapshot": False}}
-        elif news == "move":
+        elif update == "new address":
             event = {"index": 2, "endpoints": {"endpoints": [endpoint_config("s-00000001", "127.0.0.1:9")]}}
-        elif news == "other":
+        elif update == "purge of another object":
             event = {"index": 2, "evict": {"ref": f"{5:016x}", "unix_ms": 5}}
         else:
-            which = {"ref": "7f3a9c21e0b4d655"} if news == "purge" else {"shard": 17}
-            event = {"index": 2, "evict": {**which, "unix_ms": 5}}
+            purged = {"ref": "7f3a9c21e0b4d655"} if update == "purge" else {"shard": 17}
+            event = {"index": 2, "evict": {**purged, "unix_ms": 5}}
         config = read_director_config(configuration([], updates=[event]))
         director.discovery.apply(config.known[1])
-        taken = [end.result for end in fake_router.events_of(interface.AttemptFinished)]
-        assert taken == ([] if news == "other" else ["unsent"])
-        assert bool(waiting.connection.pending_frames) is (news == "other")
+        results = [end.result for end in fake_router.events_of(interface.AttemptFinished)]
+        assert results == ([] if update == "purge of another object" else ["unsent"])
+        assert bool(upstream_connection.connection.pending_frames) is (update == "purge of another object")
 
     run_director(fake_router, scenario)
 
 
-def test_timers_ring_and_time_outs_end_dispatches_in_order():
+def test_timers_fire_in_order_and_a_timeout_cancels_its_attempt():
     fake_router = FakeRouter(
         InstanceStarted=[
             lambda now: [
@@ -287,7 +292,7 @@
 
     upstream = FakeUpstream(lambda command: None)
     run_director(fake_router, scenario, (upstream, upstream))
-    assert [what.token for what in fake_router.events_of(interface.TimerFired)] == ["a", "b"]
+    assert [event.token for event in fake_router.events_of(interface.TimerFired)] == ["a", "b"]
     (end,) = fake_router.events_of(interface.AttemptFinished)
     assert end.result == "timeout"
     assert end.duration >= 390
@@ -295,7 +300,7 @@
     assert upstream.next_command("never_mind")[1] == TRACE
 
 
-def test_a_connection_silent_through_a_time_out_takes_nothing_more():
+def test_connection_that_was_silent_until_a_timeout_gets_no_further_attempts():
     """Guards against connections to a machine that has vanished: they stay open and never answer."""
     fake_router = FakeRouter(
         RequestReceived=[send_attempt(after=200)],
@@ -312,18 +317,21 @@
     assert upstream.next_command()[3] is not upstream.next_command()[3]
 
 
-@pytest.mark.parametrize("stuck", [False, True])
-def test_a_dispatch_is_given_up_on_the_wire_before_the_next_one_is_written(stuck):
-    """Guards against two dispatches out together: time-outs that cross between two connections were written
-    connection by connection, so that the second dispatch of one came before the end of its first."""
+@pytest.mark.parametrize("is_blocked", [False, True])
+def test_attempt_is_cancelled_on_the_wire_before_the_next_one_is_sent(is_blocked):
+    """Guards against two attempts of one request in flight together.
+
+    When two requests timed out together and each was retried on the connection of the other, output was
+    written connection by connection, so that a second attempt was sent before the cancellation of the first.
+    """
     other = TRACE[::-1]
     fake_router = FakeRouter(
         RequestReceived=[send_attempt("s-00000001"), send_attempt("s-00000002", request_id=other)],
         AttemptFinished=[send_attempt("s-00000002"), send_attempt("s-00000001", request_id=other)],
     )
-    reading = threading.Event()  # until then the first node takes one command and reads no further
+    may_read = threading.Event()  # until it is set, the first upstream reads nothing after its first command
     upstreams = (
-        FakeUpstream(lambda command: stuck and reading.wait(TIMEOUT_SECONDS) and None),
+        FakeUpstream(lambda command: is_blocked and may_read.wait(TIMEOUT_SECONDS) and None),
         FakeUpstream(lambda command: None),
     )
 
@@ -333,38 +341,45 @@
         director.manager.flush()
         await wait_until(lambda: upstreams[0].request_ids and upstreams[1].request_ids)
         first = director.pool.upstreams["s-00000001"].connections[0]
-        if stuck:
-            first.connection.write_now((b"x" * 2**24,))  # more than the system takes
+        if is_blocked:
+            first.connection.write_now((b"x" * 2**24,))  # more than the socket accepts
         for req in list(director.requests.values()):
             director.attempts.abandon(req.attempt, AttemptEnd.TIMED_OUT)
-        links = [
-            each.connection for upstream in director.pool.upstreams.values() for each in upstream.connections
+        connections = [
+            upstream_connection.connection
+            for upstream in director.pool.upstreams.values()
+            for upstream_connection in upstream.connections
+        ]
+        queued = [
+            b"".join(frame.render()) for connection in connections for frame in connection.pending_frames
         ]
-        queued = [b"".join(frame.render()) for link in links for frame in link.pending_frames]
         assert first.connection.is_closed
         assert first.connection.inbound.size == first.connection.outbound.size == 0
-        assert any(other.encode() in each for each in queued)
-        assert not any(b"never_mind" in each for each in queued)
+        assert any(other.encode() in frame for frame in queued)
+        assert not any(b"never_mind" in frame for frame in queued)
 
     run_director(fake_router, scenario, upstreams)
-    reading.set()
+    may_read.set()
     assert [end.result for end in fake_router.events_of(interface.AttemptFinished)][:2] == [
         "timeout",
         "timeout",
     ]
-    if not stuck:
+    if not is_blocked:
         assert upstreams[0].next_command("never_mind")[1] == TRACE
         assert upstreams[1].next_command("never_mind")[1] == other
 
 
-def test_probes_and_datagrams():
+def test_health_checks_and_gossip_are_sent_and_received():
     upstream = FakeUpstream(
         lambda command: resp_array(command[1], "AILING", "gauges=util:0.5;inflight:2", b"")
     )
-    ours, theirs = open_datagram_socket(("127.0.0.1", 0)), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    theirs.bind(("127.0.0.1", 0))
-    theirs.settimeout(TIMEOUT_SECONDS)
-    peers = [f"127.0.0.1:{each.getsockname()[1]}" for each in (ours, theirs)]
+    own_socket, peer_socket = (
+        open_datagram_socket(("127.0.0.1", 0)),
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM),
+    )
+    peer_socket.bind(("127.0.0.1", 0))
+    peer_socket.settimeout(TIMEOUT_SECONDS)
+    peers = [f"127.0.0.1:{each.getsockname()[1]}" for each in (own_socket, peer_socket)]
     fake_router = FakeRouter(
         EndpointsUpdated=[
             lambda now: [
@@ -378,17 +393,21 @@
     async def scenario(director, client, wait_until):
         director.manager.flush()
         await wait_until(lambda: fake_router.events_of(interface.HealthCheckFinished))
-        assert [theirs.recv(300), theirs.recv(300)] == [b"one", b"all"]
-        theirs.sendto(b"back", ours.getsockname())
+        assert [peer_socket.recv(300), peer_socket.recv(300)] == [b"one", b"all"]
+        peer_socket.sendto(b"back", own_socket.getsockname())
         await wait_until(lambda: fake_router.events_of(interface.GossipReceived))
 
-    run_director(fake_router, scenario, (upstream, upstream), ours, peers=peers, peers_all=peers[1])
-    (probed,) = fake_router.events_of(interface.HealthCheckFinished)
-    assert (probed.endpoint_id, probed.result, probed.load_report) == ("s-00000001", "error", (0.5, 2.0))
+    run_director(fake_router, scenario, (upstream, upstream), own_socket, peers=peers, peers_all=peers[1])
+    (health_check,) = fake_router.events_of(interface.HealthCheckFinished)
+    assert (health_check.endpoint_id, health_check.result, health_check.load_report) == (
+        "s-00000001",
+        "error",
+        (0.5, 2.0),
+    )
     assert fake_router.events_of(interface.GossipReceived) == [interface.GossipReceived(1, b"back")]
 
 
-def test_a_dispatch_past_its_time_or_after_the_end_is_never_sent():
+def test_attempt_past_its_deadline_is_never_sent_and_a_disconnect_removes_its_request():
     fake_router = FakeRouter(
         RequestReceived=[lambda now: [interface.SendAttempt(TRACE, "s-00000001", now - 1)]]
     )
@@ -405,8 +424,8 @@
     assert upstream.commands.empty()
 
 
-def test_a_wait_before_reading_counts_against_the_clients_patience():
-    """Guards against pauses of the program: what it reads first has waited already."""
+def test_time_before_a_request_was_read_counts_against_its_patience():
+    """Guards against stops of the process: the requests that it reads first afterwards have waited already."""
     fake_router = FakeRouter()
 
     async def scenario(director, client, wait_until):
@@ -416,53 +435,55 @@
         director.admit(client, request_frame(2, patience="900", trace=TRACE[::-1]))
 
     first, second = (
-        what.time_remaining
-        for what in run_director(fake_router, scenario).events_of(interface.RequestReceived)
+        event.time_remaining
+        for event in run_director(fake_router, scenario).events_of(interface.RequestReceived)
     )
     assert 7000 < first <= 7500
     assert 6000 < second <= 6500
 
 
-def test_a_start_told_again_is_the_same_instant():
-    """Guards against the two clocks drifting: a start that moves on looks like another restart, and a restart
-    makes the module forget what it knew of the node."""
+def test_repeated_start_time_of_an_endpoint_gives_the_same_instant():
+    """Guards against drift between the two clocks: a changed start time looks like another restart, and a
+    restart makes the router forget what it knows of the endpoint."""
     fake_router = FakeRouter()
 
     async def scenario(director, client, wait_until):
         for index in (2, 3):
             row = endpoint_config("s-00000001", "127.0.0.1:9", since_ms=1764576000123)
-            event = {"index": index, "endpoints": {"endpoints": [row], "snapshot": False}}
-            director.discovery.apply(read_director_config(configuration([], updates=[event])).known[1])
+            update = {"index": index, "endpoints": {"endpoints": [row], "snapshot": False}}
+            director.discovery.apply(read_director_config(configuration([], updates=[update])).known[1])
             director.clock.from_unix = lambda unix_ms: 10**12
 
     _, first, second = (
-        what.endpoints[0].started_at
-        for what in run_director(fake_router, scenario).events_of(interface.EndpointsUpdated)
+        event.endpoints[0].started_at
+        for event in run_director(fake_router, scenario).events_of(interface.EndpointsUpdated)
     )
     assert first == second < 10**12
 
 
-def test_unix_times_become_instants_of_the_module():
+def test_unix_times_are_converted_to_instants_of_the_router():
     clock = Clock()
-    ago = int(clock.unix_age(0) // 10) - 2000
-    assert 20_000 <= clock.unix_age(ago) < 30_000
-    assert -30_000 < clock.from_unix(ago) - clock.now() <= -19_999
+    two_seconds_ago = int(clock.unix_age(0) // 10) - 2000
+    assert 20_000 <= clock.unix_age(two_seconds_ago) < 30_000
+    assert -30_000 < clock.from_unix(two_seconds_ago) - clock.now() <= -19_999
 
 
-def listed(index, *rows, snapshot=False):
-    event = {"index": index, "endpoints": {"endpoints": list(rows), "snapshot": snapshot}}
+def endpoint_update(index, *entries, snapshot=False):
+    event = {"index": index, "endpoints": {"endpoints": list(entries), "snapshot": snapshot}}
     return read_director_config(configuration([], updates=[event])).known[1]
 
 
-def test_nodes_that_are_gone_are_forgotten():
-    """Guards the memory on a long day on which new ids replace old ones all the time."""
+def test_removed_endpoints_are_forgotten():
+    """Guards memory use over a long time in which new ids replace old ones continually."""
     router = Router(read_director_config(configuration([])).deployment, 1)
 
     async def scenario(director, client, wait_until):
         for i in range(1000):
             new = endpoint_config(f"s-{i + 16:08x}", "127.0.0.1:9")
             director.discovery.apply(
-                listed(i + 2, new, endpoint_config(f"s-{i + 15:08x}", "127.0.0.1:9", status="DELETED"))
+                endpoint_update(
+                    i + 2, new, endpoint_config(f"s-{i + 15:08x}", "127.0.0.1:9", status="DELETED")
+                )
             )
             director.close_idle_connections()
         assert len(director.pool.upstreams) == len(router.upstreams.by_id) == 3
@@ -470,102 +491,108 @@
     run_director(router, scenario)
 
 
-@pytest.mark.parametrize("written", [True, False, "and one times out"])
-def test_a_connection_that_breaks_is_one_failure_however_many_are_out_on_it(written):
-    """Guards a healthy node's name against a reset, and the reqs beside against another wait."""
-    names = [f"{i:016x}" for i in range(6)]
-    fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=name) for name in names])
+@pytest.mark.parametrize("written", [True, False, "one times out"])
+def test_broken_connection_is_one_failure_however_many_attempts_are_in_flight_on_it(written):
+    """One reset must not count as many failures of a healthy endpoint, nor make the other requests wait."""
+    request_ids = [f"{i:016x}" for i in range(6)]
+    fake_router = FakeRouter(
+        RequestReceived=[send_attempt(request_id=request_id) for request_id in request_ids]
+    )
     upstream = FakeUpstream(lambda command: None)
 
     async def scenario(director, client, wait_until):
         director.pool.connections_per_upstream = 1
-        for i, name in enumerate(names):
-            director.admit(client, request_frame(i + 1, trace=name))
-        (carrier,) = director.pool.upstreams["s-00000001"].connections
+        for i, request_id in enumerate(request_ids):
+            director.admit(client, request_frame(i + 1, trace=request_id))
+        (upstream_connection,) = director.pool.upstreams["s-00000001"].connections
         if written:
             director.manager.flush()
             await wait_until(lambda: len(upstream.request_ids) == 6)
         else:
-            carrier.connection.is_connected = True  # and nothing was written yet
+            upstream_connection.connection.is_connected = True  # while nothing has been written yet
         if isinstance(written, str):
-            director.attempts.abandon(director.requests[names[0]].attempt, AttemptEnd.TIMED_OUT)
-        carrier.connection.close(AttemptEnd.RESET)
+            director.attempts.abandon(director.requests[request_ids[0]].attempt, AttemptEnd.TIMED_OUT)
+        upstream_connection.connection.close(AttemptEnd.RESET)
 
     run_director(fake_router, scenario, (upstream, upstream))
     results = [end.result for end in fake_router.events_of(interface.AttemptFinished)]
-    ends = {True: ["reset"] + ["cancelled"] * 5, False: ["cut"] + ["unsent"] * 5}
-    assert results == ends.get(written, ["timeout"] + ["cancelled"] * 5)
+    expected = {True: ["reset"] + ["cancelled"] * 5, False: ["cut"] + ["unsent"] * 5}
+    assert results == expected.get(written, ["timeout"] + ["cancelled"] * 5)
 
 
-@pytest.mark.parametrize("late", [True, False])
-def test_an_answer_that_stops_within_ends_its_connection_unless_it_is_we_who_are_late(late):
+@pytest.mark.parametrize("data_is_unread", [True, False])
+def test_stalled_answer_closes_its_connection_unless_data_is_unread(data_is_unread):
     upstream = FakeUpstream(lambda command: b"*4\r\n$1")
     fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
     async def scenario(director, client, wait_until):
         director.admit(client, request_frame(1))
         director.manager.flush()
-        (carrier,) = director.pool.upstreams["s-00000001"].connections
-        await wait_until(lambda: carrier.wire.has_partial_answer())
-        carrier.connection.last_received_at -= 1
-        carrier.connection.has_unread = lambda: late
-        carrier.check_timeouts(director.clock.now(), 0)
-        assert carrier.connection.is_closed is not late
+        (upstream_connection,) = director.pool.upstreams["s-00000001"].connections
+        await wait_until(lambda: upstream_connection.wire.has_partial_answer())
+        upstream_connection.connection.last_received_at -= 1
+        upstream_connection.connection.has_unread = lambda: data_is_unread
+        upstream_connection.check_timeouts(director.clock.now(), 0)
+        assert upstream_connection.connection.is_closed is not data_is_unread
 
     run_director(fake_router, scenario, (upstream, upstream))
     assert [end.result for end in fake_router.events_of(interface.AttemptFinished)] == (
-        [] if late else ["reset"]
+        [] if data_is_unread else ["reset"]
     )
 
 
-def test_what_is_out_is_spread_over_connections_and_an_idle_one_is_used_again():
+def test_attempts_are_spread_over_connections_and_an_idle_one_is_reused():
     fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=f"{i:016x}") for i in range(9)])
     upstreams = FakeUpstream(), FakeUpstream()
 
     async def scenario(director, client, wait_until):
-        director.pool.connections_per_upstream, links = 3, director.pool.upstreams["s-00000001"].connections
+        director.pool.connections_per_upstream, connections = (
+            3,
+            director.pool.upstreams["s-00000001"].connections,
+        )
         for i in range(4):
             director.admit(client, request_frame(i + 1, trace=f"{i:016x}"))
-        assert [len(each.operations) for each in links] == [2, 1, 1]
+        assert [len(each.operations) for each in connections] == [2, 1, 1]
         director.manager.flush()
         await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 4)
         director.admit(client, request_frame(5, trace=f"{4:016x}"))
-        assert len(links) == 3
-        assert sum(len(each.operations) for each in links) == 1
+        assert len(connections) == 3
+        assert sum(len(each.operations) for each in connections) == 1
 
     run_director(fake_router, scenario, upstreams)
 
 
-def test_connections_that_end_leave_no_circles():
-    """Guards the memory while collection is rare: thousands of connections a minute must free themselves."""
+def test_closed_connections_leave_no_reference_cycles():
+    """Guards memory use while garbage collection is rare: without reference cycles, thousands of connections
+    per minute are freed at once."""
     upstream = FakeUpstream(lambda command: resp_array(command[1], "NOENT", "-", b""))
     fake_router = FakeRouter(
         RequestReceived=[send_attempt()], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]]
     )
-    seen = []
+    references = []
 
     async def scenario(director, client, wait_until):
         director.admit(client, request_frame(1))
-        seen.extend(
+        references.extend(
             weakref.ref(each.connection) for each in director.pool.upstreams["s-00000001"].connections
         )
-        seen.extend(weakref.ref(each) for each in director.pool.upstreams["s-00000001"].connections)
+        references.extend(weakref.ref(each) for each in director.pool.upstreams["s-00000001"].connections)
         director.manager.flush()
         await wait_until(lambda: client.connection.frames)
         gc.collect()
         gc.disable()
         director.pool.upstreams["s-00000001"].connections[0].connection.close(AttemptEnd.CLOSED)
-        await wait_until(lambda: not any(each() for each in seen))
+        await wait_until(lambda: not any(reference() for reference in references))
 
     try:
         run_director(fake_router, scenario, (upstream, upstream))
     finally:
         gc.enable()
-    assert len(seen) == 2
+    assert len(references) == 2
 
 
-def test_an_answer_older_than_was_asked_for_is_not_passed_on():
-    """Guards purges against a node that forgets them."""
+def test_answer_older_than_the_maximum_copy_age_is_not_passed_on():
+    """Guards purges against a cache that has forgotten them."""
     fake_router = FakeRouter(RequestReceived=[send_attempt_with_fill("s-00000002")])
     upstream = FakeUpstream(
         lambda command: resp_array(command[1], "ACK", "digest=4b,dated=1764576000123,res=h", b"old")
@@ -581,32 +608,39 @@
     assert fake_router.events_of(interface.AttemptFinished)[0].result == "error"
 
 
-def test_room_for_new_clients_is_made_by_those_who_waited_longest_and_no_more_than_needed():
-    """Guards usual clients: one whose idle connection is closed comes back at once, so closing many of them
-    makes a crowd (the incident r6d922e)."""
+def test_longest_idle_clients_are_closed_for_new_ones_and_no_more_than_needed():
+    """Guards ordinary clients: a client whose idle connection is closed reconnects at once, so closing many
+    connections causes a burst of new ones (incident r6d922e)."""
     fake_router = FakeRouter(RequestReceived=[send_attempt()])
 
     async def scenario(director, client, wait_until):
         clients, now = [], director.clock.now()
-        for waited, asked in [(20000, True), (9000, True), (5000, False), (3000, True), (100, False)]:
-            one = ClientConnection(director)
-            one.connection = Connection(director.manager, one, 0, 0)
-            one.waiting_since, one.usage = now - waited, Usage.REQUESTS if asked else Usage.NONE
-            director.clients.add(one)
-            clients.append(one)
+        for wait, has_requested in [(20000, True), (9000, True), (5000, False), (3000, True), (100, False)]:
+            waiting_client = ClientConnection(director)
+            waiting_client.connection = Connection(director.manager, waiting_client, 0, 0)
+            waiting_client.waiting_since, waiting_client.usage = (
+                now - wait,
+                Usage.REQUESTS if has_requested else Usage.NONE,
+            )
+            director.clients.add(waiting_client)
+            clients.append(waiting_client)
         director.admit(clients[0], request_frame(1))
 
-        def left():
-            return [clients.index(one) for one in director.clients if one.phase is Phase.OPEN]
+        def open_clients():
+            return [
+                clients.index(waiting_client)
+                for waiting_client in director.clients
+                if waiting_client.phase is Phase.OPEN
+            ]
 
         assert director.clients.reclaim_descriptor(False)
-        assert left() == [0, 1, 3, 4]
+        assert open_clients() == [0, 1, 3, 4]
         assert not director.clients.reclaim_descriptor(False)
-        director.manager.max_concurrent_closes = lambda: len(clients)  # as many as may be
+        director.manager.max_concurrent_closes = lambda: len(clients)  # in effect no limit
         assert director.clients.reclaim_descriptor(True)
-        assert left() == [0, 3, 4]
+        assert open_clients() == [0, 3, 4]
         clients[3].on_data(clients[3].connection, memoryview(b"".join(client_wire.frame(9, 1))))
-        assert left() == [0, 4, 3]
+        assert open_clients() == [0, 4, 3]
         assert not director.clients.reclaim_descriptor(True)
 
     run_director(fake_router, scenario)
