--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -49,7 +49,8 @@
 class FakeConnection:
     """Takes the place of a client's connection and records what is written.
 
-    `unread_for` is for how many seconds received data may have waited unread."""
+    `unread_for` is for how many seconds received data may have waited unread.
+    """
 
     def __init__(self):
         self.pending_frames, self.frames, self.unread_for = [], [], 0.0
@@ -425,7 +426,7 @@
 
 
 def test_time_before_a_request_was_read_counts_against_its_patience():
-    """Guards against stops of the process: the requests that it reads first afterwards have waited already."""
+    """Guards against stops of the process: requests that it reads just afterwards have waited already."""
     fake_router = FakeRouter()
 
     async def scenario(director, client, wait_until):
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The program as a process, between stand-ins on loopback sockets."""
+"""The program as a process, with fake clients, upstreams and a fake coordinator on loopback sockets."""
 
 import json
 import signal
@@ -26,13 +26,13 @@
 )
 
 OBJ = "7f3a9c21e0b4d655"
-DONE, DENIED, ABORTED = 1, 2, 3
+DONE, DENIED, ABORTED = 1, 2, 3  # result codes on the wire
 
 
-class World:
-    """Caches by name, an origin, a coordinator, and the program before them."""
+class Environment:
+    """Caches, an origin, a coordinator, the program in front of them, and a client."""
 
-    def __init__(self, folder, caches, updates=(), **other):
+    def __init__(self, folder, caches, updates=(), **overrides):
         self.caches, self.origin, self.coordinator = (
             caches,
             FakeUpstream(has_all_objects=True),
@@ -43,45 +43,45 @@
         config = configuration(
             endpoints, f"127.0.0.1:{free_port()}", updates, coordinator=self.coordinator.address
         )
-        config.update(other)
+        config.update(overrides)
         self.program = DirectorProcess(folder, config)
         self.client = FakeClient(self.program.port)
 
-    def name(self, cache):
+    def endpoint_id(self, cache):
         return f"s-{self.caches.index(cache) + 1:08x}"
 
 
 @pytest.fixture
-def world(tmp_path):
-    made = []
+def create_environment(tmp_path):
+    environments = []
 
-    def make(caches=None, updates=(), **other):
-        made.append(World(tmp_path, caches or [FakeUpstream()], updates, **other))
-        return made[0]
+    def create(caches=None, updates=(), **overrides):
+        environments.append(Environment(tmp_path, caches or [FakeUpstream()], updates, **overrides))
+        return environments[0]
 
-    yield make
-    for each in made:
-        each.program.stop()
+    yield create
+    for environment in environments:
+        environment.program.stop()
 
 
 @pytest.fixture(scope="module")
-def serving(tmp_path_factory):
-    one = World(tmp_path_factory.mktemp("serving"), [FakeUpstream()])
-    yield one
-    one.program.stop()
+def shared_environment(tmp_path_factory):
+    environment = Environment(tmp_path_factory.mktemp("serving"), [FakeUpstream()])
+    yield environment
+    environment.program.stop()
 
 
-def test_a_req_is_done_a_miss_filled_and_the_copy_kept(world):
-    one = world()
-    client, (cache,) = one.client, one.caches
+def test_requests_are_answered_and_a_miss_is_filled_and_stored(create_environment):
+    environment = create_environment()
+    client, (cache,) = environment.client, environment.caches
     first = client.read_answer(client.send_request())
     assert first == (DONE, {}, body_of(OBJ, "3"))
-    _verb, trace, fields, _ = cache.next_command()
+    _verb, request_id, fields, _ = cache.next_command()
     assert fields["kind"] == "film"
     assert fields["obj"] == OBJ
     assert fields["seg"] == "3"
     assert 0 < int(fields["ms"]) <= 15000
-    assert len(trace) == 16
+    assert len(request_id) == 16
     while "shelf" not in fields:
         client.read_answer(client.send_request())
         fields = cache.next_command()[2]
@@ -91,168 +91,176 @@
     assert cache.next_command()[2]["got"] == "4be0c1927d55a6f3"
 
 
-def test_a_patience_a_little_over_the_client_timeout_is_fine(world):
-    one = world()
-    assert one.client.read_answer(one.client.send_request(patience=15060))[0] == DONE
+def test_patience_slightly_above_the_client_timeout_is_accepted(create_environment):
+    environment = create_environment()
+    assert environment.client.read_answer(environment.client.send_request(patience=15060))[0] == DONE
 
 
-def test_bodies_longer_than_every_ring_pass_whole_and_many_at_once(world):
-    long = bytes(range(256)) * 900
+def test_bodies_larger_than_the_ring_buffers_arrive_complete_on_many_streams(create_environment):
+    long_body = bytes(range(256)) * 900
 
     def handle_command(command):
-        return served_answer(command[1], long) if command[0] == "want" else None
+        return served_answer(command[1], long_body) if command[0] == "want" else None
 
-    one = world([FakeUpstream(handle_command)])
-    streams = [one.client.send_request(entity=f"{i:016x}") for i in range(32)]
+    environment = create_environment([FakeUpstream(handle_command)])
+    streams = [environment.client.send_request(entity=f"{i:016x}") for i in range(32)]
     for stream in reversed(streams):
-        assert one.client.read_answer(stream) == (DONE, {}, long)
+        assert environment.client.read_answer(stream) == (DONE, {}, long_body)
 
 
-def test_purges_of_the_start_and_of_the_feed_are_in_the_next_req(world):
-    now = int(time.time() * 1000)
-    start = {"index": 2, "evict": {"shard": 17, "unix_ms": now}}
-    one = world(updates=[start])
-    cache = one.caches[0]
-    one.client.read_answer(one.client.send_request())
-    assert 0 < int(cache.next_command()[2]["accept"]) <= time.time() * 1000 - now + 1
-    one.client.read_answer(one.client.send_request(group=3, entity=f"{5:016x}"))
+def test_purges_known_at_start_or_from_discovery_limit_the_copy_age_of_the_next_request(create_environment):
+    purged_at_ms = int(time.time() * 1000)
+    purge_at_start = {"index": 2, "evict": {"shard": 17, "unix_ms": purged_at_ms}}
+    environment = create_environment(updates=[purge_at_start])
+    cache = environment.caches[0]
+    environment.client.read_answer(environment.client.send_request())
+    assert 0 < int(cache.next_command()[2]["accept"]) <= time.time() * 1000 - purged_at_ms + 1
+    environment.client.read_answer(environment.client.send_request(group=3, entity=f"{5:016x}"))
     assert "accept" not in cache.next_command()[2]
-    then = int(time.time() * 1000)
-    assert one.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] == 2
-    one.coordinator.publish(3, 3, (5).to_bytes(8, "big") + then.to_bytes(8, "big"))
+    published_at_ms = int(time.time() * 1000)
+    assert environment.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] == 2
+    environment.coordinator.publish(3, 3, (5).to_bytes(8, "big") + published_at_ms.to_bytes(8, "big"))
     fields = {}
     deadline = time.monotonic() + TIMEOUT_SECONDS
     while "accept" not in fields and time.monotonic() < deadline:
-        one.client.read_answer(one.client.send_request(group=3, entity=f"{5:016x}"))
+        environment.client.read_answer(environment.client.send_request(group=3, entity=f"{5:016x}"))
         fields = cache.next_command()[2]
-    assert 0 < int(fields["accept"]) <= time.time() * 1000 - then + 1
+    assert 0 < int(fields["accept"]) <= time.time() * 1000 - published_at_ms + 1
 
 
-def test_a_draining_node_gets_nothing_and_a_broken_feed_goes_on_from_the_last_number(world):
-    one = world([FakeUpstream(), FakeUpstream()])
-    coordinator, (first, second) = one.coordinator, one.caches
-    coordinator.publish(2, 2, endpoint_record(one.name(first), first.address, 1))
-    known, conn = coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
-    assert known == 1
-    conn.shutdown(socket.SHUT_RDWR)
+def test_draining_cache_gets_no_requests_and_discovery_resumes_after_the_last_index(create_environment):
+    environment = create_environment([FakeUpstream(), FakeUpstream()])
+    coordinator, (first, second) = environment.coordinator, environment.caches
+    coordinator.publish(2, 2, endpoint_record(environment.endpoint_id(first), first.address, 1))
+    known_index, connection = coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
+    assert known_index == 1
+    connection.shutdown(socket.SHUT_RDWR)
     deadline = time.monotonic() + TIMEOUT_SECONDS
-    while known != 2 and time.monotonic() < deadline:  # it may have been cut before the event was read
-        known, conn = coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
-        if known != 2:
-            conn.shutdown(socket.SHUT_RDWR)
-    assert known == 2  # told again from there: it is in the module
+    # The connection may have closed before the update was read
+    while known_index != 2 and time.monotonic() < deadline:
+        known_index, connection = coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
+        if known_index != 2:
+            connection.shutdown(socket.SHUT_RDWR)
+    assert known_index == 2  # the new subscription resumes there: the router has received the update
     for i in range(12):
-        assert one.client.read_answer(one.client.send_request(entity=f"{i:016x}"))[0] == DONE
+        assert environment.client.read_answer(environment.client.send_request(entity=f"{i:016x}"))[0] == DONE
     assert first.commands.empty()
     assert second.commands.qsize() >= 12
-    coordinator.publish(3, 2, endpoint_record(one.name(second), second.address, 2))
-    coordinator.publish(4, 2, endpoint_record(one.name(first), first.address, 0))
+    coordinator.publish(3, 2, endpoint_record(environment.endpoint_id(second), second.address, 2))
+    coordinator.publish(4, 2, endpoint_record(environment.endpoint_id(first), first.address, 0))
     while first.commands.empty() and time.monotonic() < deadline:
-        one.client.read_answer(one.client.send_request())
+        environment.client.read_answer(environment.client.send_request())
     assert not first.commands.empty()
 
 
-@pytest.mark.parametrize("trouble", ["refused", "reset", "garbled", "silent"])
-def test_reqs_move_on_from_a_node_in_trouble(world, trouble):
+@pytest.mark.parametrize("failure", ["refused", "reset", "garbled", "silent"])
+def test_requests_are_retried_elsewhere_when_an_upstream_fails(create_environment, failure):
     def handle_command(command):
-        if trouble == "reset":
-            bad.close_and_reset()
-        return b"+NONSENSE\r\n" if trouble == "garbled" else None
-
-    bad, good = FakeUpstream(handle_command), FakeUpstream()
-    if trouble == "refused":
-        bad.close_and_reset()
-    one = world([bad, good])
-    streams = [one.client.send_request(entity=f"{i:016x}", patience=1500) for i in range(8)]
-    codes = [one.client.read_answer(stream)[0] for stream in streams]
-    if trouble == "silent":  # the module may find it too late for another dispatch
-        assert bad.next_command("never_mind")[1] in bad.request_ids
+        if failure == "reset":
+            failing.close_and_reset()
+        return b"+NONSENSE\r\n" if failure == "garbled" else None
+
+    failing, healthy = FakeUpstream(handle_command), FakeUpstream()
+    if failure == "refused":
+        failing.close_and_reset()
+    environment = create_environment([failing, healthy])
+    streams = [environment.client.send_request(entity=f"{i:016x}", patience=1500) for i in range(8)]
+    codes = [environment.client.read_answer(stream)[0] for stream in streams]
+    if failure == "silent":  # the router may find too little time left for another attempt
+        assert failing.next_command("never_mind")[1] in failing.request_ids
         assert DONE in codes
         assert ABORTED not in codes
     else:
         assert codes == [DONE] * 8
-        assert trouble == "refused" or bad.request_ids
+        assert failure == "refused" or failing.request_ids
 
 
-def test_what_may_have_run_is_not_sent_again_but_what_never_ran_is(world):
-    """Guards 'no effect twice' through the endings: a reset after the command is no proof, a refusal is."""
-    bad, good = FakeUpstream(lambda command: bad.close_and_reset()), FakeUpstream()
-    one = world([bad, good])
-    ends = [
-        one.client.read_answer(one.client.send_request(route="order", entity=f"{i:016x}", part=None))
+def test_write_that_may_have_run_is_not_resent_but_one_that_never_ran_is(create_environment):
+    """A write must not run twice: a reset doesn't prove that it has not run, a refused connection does."""
+    failing, healthy = FakeUpstream(lambda command: failing.close_and_reset()), FakeUpstream()
+    environment = create_environment([failing, healthy])
+    answers = [
+        environment.client.read_answer(
+            environment.client.send_request(route="order", entity=f"{i:016x}", part=None)
+        )
         for i in range(8)
     ]
-    codes = [code for code, _, _ in ends]
-    assert codes.count(ABORTED) == len(bad.request_ids) == 1
+    codes = [code for code, _, _ in answers]
+    assert codes.count(ABORTED) == len(failing.request_ids) == 1
     assert codes.count(DONE) == 7
 
 
-def test_no_answer_in_time_is_one_denial_before_the_client_timeout(world):
-    one = world([FakeUpstream(lambda command: None)])
-    began = time.monotonic()
-    stream = one.client.send_request(patience=400)
-    assert one.client.read_answer(stream)[0] == DENIED
-    assert time.monotonic() - began > 0.1
-    assert one.client.read_answer(one.client.send_request(patience=0))[0] == DENIED
-    assert stream not in one.client.buffered_answers
+def test_request_without_an_upstream_answer_is_rejected_once_before_the_client_timeout(create_environment):
+    environment = create_environment([FakeUpstream(lambda command: None)])
+    started_at = time.monotonic()
+    stream = environment.client.send_request(patience=400)
+    assert environment.client.read_answer(stream)[0] == DENIED
+    assert time.monotonic() - started_at > 0.1
+    assert environment.client.read_answer(environment.client.send_request(patience=0))[0] == DENIED
+    assert stream not in environment.client.buffered_answers
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_a_client_that_leaves_gets_no_answer_and_the_node_is_told(world, whole):
-    late = []
-    one = world([FakeUpstream(lambda command: late.append(command))])
-    cache, client = one.caches[0], one.client
+@pytest.mark.parametrize("closes_connection", [False, True])
+def test_request_of_a_disconnected_client_is_cancelled_upstream_and_not_answered(
+    create_environment, closes_connection
+):
+    pending_commands = []
+    environment = create_environment([FakeUpstream(lambda command: pending_commands.append(command))])
+    cache, client = environment.caches[0], environment.client
     stream = client.send_request()
-    name = cache.next_command()[1]
-    if whole:
+    request_id = cache.next_command()[1]
+    if closes_connection:
         client.sock.close()
-        client = FakeClient(one.program.port)
+        client = FakeClient(environment.program.port)
     else:
         client.send_frame(9, stream)
-    assert cache.next_command("never_mind")[1] == name
-    late[0][3].sendall(served_answer(name, b"late"))  # crosses: nobody may get it
+    assert cache.next_command("never_mind")[1] == request_id
+    # This answer crosses the cancellation: no client may receive it
+    pending_commands[0][3].sendall(served_answer(request_id, b"late"))
     cache.handle_command = cache.answer_command
     assert client.read_answer(client.send_request())[0] == DONE
     assert not client.buffered_answers
 
 
-def test_a_late_answer_is_not_taken_for_a_later_dispatch(world):
-    """Guards against an answer that crosses never_mind: the same req at the same node again has another
-    connection."""
-    wants = []
+def test_late_answer_is_not_taken_for_the_answer_of_a_later_attempt(create_environment):
+    """An answer may cross the cancellation (`never_mind`); a later attempt of the same request at the same
+    upstream therefore uses another connection."""
+    want_commands = []
 
     def handle_command(command):
         if command[0] == "want":
-            wants.append(command)
-            if len(wants) == 2:
+            want_commands.append(command)
+            if len(want_commands) == 2:
                 return served_answer(command[1], b"second")
         elif command[0] == "never_mind":
             return served_answer(command[1], b"first, late")
         return None
 
-    one = world([FakeUpstream(handle_command)], settings=settings())
-    code, _, body = one.client.read_answer(one.client.send_request(patience=800))
-    assert code == DENIED or (body == b"second" and wants[0][3] is not wants[1][3])
+    environment = create_environment([FakeUpstream(handle_command)], settings=settings())
+    code, _, body = environment.client.read_answer(environment.client.send_request(patience=800))
+    assert code == DENIED or (body == b"second" and want_commands[0][3] is not want_commands[1][3])
 
 
 @pytest.mark.parametrize(
     "payload", [b"\0\0\0\4", b"\x00\x05\x00\x00\7", b"\0\0\0\5\6\0\0\0\1", b"\0\0\0\6\7\0\0\0\0\0"]
 )
-def test_malformed_frames_abort_what_is_open_and_end_their_connection_with_a_text(world, payload):
-    one = world([FakeUpstream(lambda command: None)])
-    stream = one.client.send_request()
-    one.caches[0].next_command()
-    one.client.sock.sendall(payload)
-    assert one.client.read_answer(stream)[0] == ABORTED
-    kind, on, text = one.client.read_frame()
-    assert (kind, on) == (8, 0)
+def test_malformed_frame_aborts_open_requests_and_closes_the_connection_with_an_error_text(
+    create_environment, payload
+):
+    environment = create_environment([FakeUpstream(lambda command: None)])
+    stream = environment.client.send_request()
+    environment.caches[0].next_command()
+    environment.client.sock.sendall(payload)
+    assert environment.client.read_answer(stream)[0] == ABORTED
+    kind, error_stream, text = environment.client.read_frame()
+    assert (kind, error_stream) == (8, 0)
     assert text[0] == ABORTED
     assert len(text) > 5
     with pytest.raises(EOFError):
-        one.client.read_frame()
-    one.caches[0].handle_command = one.caches[0].answer_command
-    other = FakeClient(one.program.port)
-    assert other.read_answer(other.send_request())[0] == DONE
+        environment.client.read_frame()
+    environment.caches[0].handle_command = environment.caches[0].answer_command
+    other_client = FakeClient(environment.program.port)
+    assert other_client.read_answer(other_client.send_request())[0] == DONE
 
 
 @pytest.mark.parametrize(
@@ -275,169 +283,179 @@
         ("have", "a,parent=b"),
     ],
 )
-def test_reqs_that_cant_be_read_are_aborted_with_the_field_named(serving, field, value):
-    code, _, text = serving.client.read_answer(serving.client.send_request(**{field: value}))
+def test_request_with_an_invalid_field_is_aborted_and_the_answer_names_the_field(
+    shared_environment, field, value
+):
+    code, _, text = shared_environment.client.read_answer(
+        shared_environment.client.send_request(**{field: value})
+    )
     assert code == ABORTED
     assert f"'{field}'" in text.decode()
-    assert serving.client.read_answer(serving.client.send_request())[0] == DONE
+    assert shared_environment.client.read_answer(shared_environment.client.send_request())[0] == DONE
 
 
-def test_more_open_streams_than_allowed_end_the_connection_and_reach_no_node(world):
-    one = world([FakeUpstream(lambda command: None)])
-    one.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
+def test_too_many_open_streams_end_with_one_answer_each_and_a_closed_connection(create_environment):
+    environment = create_environment([FakeUpstream(lambda command: None)])
+    environment.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
     for i in range(60):
-        one.client.send_request(entity=f"{i:016x}", patience=500)
-    one.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 0)
-    ends = [one.client.read_frame() for _ in range(33)]
-    assert [end[:2] for end in ends].count((8, 0)) == 1
-    assert len({end[1] for end in ends}) == 33
+        environment.client.send_request(entity=f"{i:016x}", patience=500)
+    environment.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 0)
+    frames = [environment.client.read_frame() for _ in range(33)]
+    assert [frame[:2] for frame in frames].count((8, 0)) == 1
+    assert len({frame[1] for frame in frames}) == 33
     with pytest.raises(EOFError):
-        one.client.read_frame()
-
-
-def test_sigterm_under_load_answers_all_that_was_taken(world):
-    hold = []
-    one = world([FakeUpstream(lambda command: hold.append(command))])
-    streams = [one.client.send_request(entity=f"{i:016x}") for i in range(5)]
-    commands = [one.caches[0].next_command() for _ in range(5)]
-    one.program.process.send_signal(signal.SIGTERM)
-    assert one.client.read_frame()[:2] == (3, 0)
-    late = FakeClient(one.program.port)  # connections still come
-    assert late.read_frame()[:2] == (3, 0)
-    assert not late.is_ready()
-    streams.append(one.client.send_request())  # and so do reqs
-    commands.append(one.caches[0].next_command())
-    for each in commands:
-        each[3].sendall(served_answer(each[1], b"all"))
-    assert [one.client.read_answer(stream)[0] for stream in streams] == [DONE] * 6
-    assert one.program.process.wait(timeout=TIMEOUT_SECONDS) == 0
-
-
-def test_sigterm_answers_before_the_program_may_be_killed_however_long_clients_wait(world):
-    one = world([FakeUpstream(lambda command: None)])
-    began, streams = time.monotonic(), [one.client.send_request()]
-    one.caches[0].next_command()
-    one.program.process.send_signal(signal.SIGTERM)
-    assert one.client.read_frame()[:2] == (3, 0)
-    streams.append(one.client.send_request())
-    assert [one.client.read_answer(stream)[0] for stream in streams] == [DENIED] * 2
-    assert 1 < time.monotonic() - began < 3.7
-    one.client.sock.close()
-    assert one.program.process.wait(timeout=TIMEOUT_SECONDS) == 0
-    assert time.monotonic() - began < 3.9
-
-
-def test_sighup_follows_the_coordinator_and_a_bad_file_changes_nothing(world):
-    one, hup = world([FakeUpstream(), FakeUpstream()]), signal.SIGHUP
-    coordinator, (first, second) = one.coordinator, one.caches
+        environment.client.read_frame()
+
+
+def test_all_accepted_requests_are_answered_after_sigterm(create_environment):
+    pending_commands = []
+    environment = create_environment([FakeUpstream(lambda command: pending_commands.append(command))])
+    streams = [environment.client.send_request(entity=f"{i:016x}") for i in range(5)]
+    commands = [environment.caches[0].next_command() for _ in range(5)]
+    environment.program.process.send_signal(signal.SIGTERM)
+    assert environment.client.read_frame()[:2] == (3, 0)
+    late_client = FakeClient(environment.program.port)  # connections are still accepted
+    assert late_client.read_frame()[:2] == (3, 0)
+    assert not late_client.is_ready()
+    streams.append(environment.client.send_request())  # and so are requests
+    commands.append(environment.caches[0].next_command())
+    for command in commands:
+        command[3].sendall(served_answer(command[1], b"all"))
+    assert [environment.client.read_answer(stream)[0] for stream in streams] == [DONE] * 6
+    assert environment.program.process.wait(timeout=TIMEOUT_SECONDS) == 0
+
+
+def test_requests_are_rejected_before_sigkill_may_follow_sigterm_whatever_their_patience(create_environment):
+    environment = create_environment([FakeUpstream(lambda command: None)])
+    started_at, streams = time.monotonic(), [environment.client.send_request()]
+    environment.caches[0].next_command()
+    environment.program.process.send_signal(signal.SIGTERM)
+    assert environment.client.read_frame()[:2] == (3, 0)
+    streams.append(environment.client.send_request())
+    assert [environment.client.read_answer(stream)[0] for stream in streams] == [DENIED] * 2
+    assert 1 < time.monotonic() - started_at < 3.7
+    environment.client.sock.close()
+    assert environment.program.process.wait(timeout=TIMEOUT_SECONDS) == 0
+    assert time.monotonic() - started_at < 3.9
+
+
+def test_sighup_switches_to_a_new_coordinator_and_an_invalid_file_changes_nothing(create_environment):
+    environment, sighup = create_environment([FakeUpstream(), FakeUpstream()]), signal.SIGHUP
+    coordinator, (first, second) = environment.coordinator, environment.caches
     assert coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] == 1
     coordinator.publish(2, 4, (9).to_bytes(2, "big") + (5).to_bytes(8, "big"))
-    config = json.loads(one.program.config_path.read_text())
-    one.program.config_path.write_text("{")
-    one.program.process.send_signal(hup)
-    assert one.client.read_answer(one.client.send_request())[0] == DONE
-    moved = FakeCoordinator()
-    moved.publish(3, 2, endpoint_record(one.name(first), first.address, 1))
-    config["coordinator"], config["listen"] = moved.address, "127.0.0.1:9"
-    one.program.config_path.write_text(json.dumps(config))
-    one.program.process.send_signal(hup)
-    assert moved.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] in (1, 2)
+    config = json.loads(environment.program.config_path.read_text())
+    environment.program.config_path.write_text("{")
+    environment.program.process.send_signal(sighup)
+    assert environment.client.read_answer(environment.client.send_request())[0] == DONE
+    new_coordinator = FakeCoordinator()
+    new_coordinator.publish(3, 2, endpoint_record(environment.endpoint_id(first), first.address, 1))
+    config["coordinator"], config["listen"] = new_coordinator.address, "127.0.0.1:9"
+    environment.program.config_path.write_text(json.dumps(config))
+    environment.program.process.send_signal(sighup)
+    assert new_coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] in (1, 2)
     deadline = time.monotonic() + TIMEOUT_SECONDS
-    while "state=draining" not in one.program.log_text() and time.monotonic() < deadline:
+    while "state=draining" not in environment.program.log_text() and time.monotonic() < deadline:
         time.sleep(0.02)
     for i in range(12):
-        assert one.client.read_answer(one.client.send_request(entity=f"{i:016x}"))[0] == DONE
+        assert environment.client.read_answer(environment.client.send_request(entity=f"{i:016x}"))[0] == DONE
     assert second.commands.qsize() >= 12
-    assert one.program.process.poll() is None
-    assert "config_reload_failed kept=old" in one.program.log_text()
-    assert "config_change_needs_restart key=listen" in one.program.log_text()
-
-
-def test_silent_and_half_said_connections_end_and_usual_clients_do_not_notice(world):
-    one = world(limits={"memory_mb": 192, "sockets": 96})
-    assert one.client.read_answer(one.client.send_request())[0] == DONE
-    crowd = [FakeClient(one.program.port) for _ in range(200)]
-    for each in crowd[::2]:
-        each.sock.sendall(b"\0\0\1\0\7half of a r")
-    began = time.monotonic()
-    assert one.client.read_answer(one.client.send_request())[0] == DONE
-    for each in crowd:
-        each.sock.settimeout(TIMEOUT_SECONDS)
+    assert environment.program.process.poll() is None
+    assert "config_reload_failed kept=old" in environment.program.log_text()
+    assert "config_change_needs_restart key=listen" in environment.program.log_text()
+
+
+def test_silent_connections_and_incomplete_frames_are_closed_without_effect_on_other_clients(
+    create_environment,
+):
+    environment = create_environment(limits={"memory_mb": 192, "sockets": 96})
+    assert environment.client.read_answer(environment.client.send_request())[0] == DONE
+    idle_clients = [FakeClient(environment.program.port) for _ in range(200)]
+    for idle_client in idle_clients[::2]:
+        idle_client.sock.sendall(b"\0\0\1\0\7half of a r")
+    started_at = time.monotonic()
+    assert environment.client.read_answer(environment.client.send_request())[0] == DONE
+    for idle_client in idle_clients:
+        idle_client.sock.settimeout(TIMEOUT_SECONDS)
         try:
-            while each.sock.recv(1000):
+            while idle_client.sock.recv(1000):
                 pass
         except ConnectionError:
             pass
-    assert time.monotonic() - began < 3
-    other = FakeClient(one.program.port)
-    assert other.read_answer(other.send_request())[0] == DONE
+    assert time.monotonic() - started_at < 3
+    other_client = FakeClient(environment.program.port)
+    assert other_client.read_answer(other_client.send_request())[0] == DONE
 
 
-@pytest.mark.parametrize("spoilt", [b"noise", b"*4\r\n$3000000000\r\nx", b"*4\r\n$1", "close", "stop"])
-def test_one_spoilt_answer_takes_down_its_own_req_alone(world, spoilt):
-    """Guards the reqs beside it, and the next ones: each goes on or moves on."""
-    crowd, spoils = [], []
+@pytest.mark.parametrize("bad_answer", [b"noise", b"*4\r\n$3000000000\r\nx", b"*4\r\n$1", "close", "stop"])
+def test_malformed_or_incomplete_answer_affects_no_other_request(create_environment, bad_answer):
+    """The request itself is retried, and all later ones are answered."""
+    answers, commands_with_bad_answer = [], []
 
     def handle_command(command):
         if command[0] != "want":
             return None
-        if not spoils:
-            spoils.append(command)
-            if spoilt == "close":
+        if not commands_with_bad_answer:
+            commands_with_bad_answer.append(command)
+            if bad_answer == "close":
                 return command[3].shutdown(socket.SHUT_RDWR)
-            if "dated" in str(spoilt):
-                return resp_array(command[1], "ACK", spoilt, b"x")
-            return served_answer(command[1], b"x" * 900)[:400] if spoilt == "stop" else spoilt
+            if "dated" in str(bad_answer):
+                return resp_array(command[1], "ACK", bad_answer, b"x")
+            return served_answer(command[1], b"x" * 900)[:400] if bad_answer == "stop" else bad_answer
         return resp_array("f" * 16, "ACK", "-", b"of nobody's") + served_answer(command[1], b"good") * 2
 
-    one = world([FakeUpstream(handle_command)])
+    environment = create_environment([FakeUpstream(handle_command)])
     for i in range(40):
-        crowd.append(one.client.read_answer(one.client.send_request(entity=f"{i:016x}")))
-    assert crowd == [(DONE, {}, b"good")] * 40
-    assert len(one.caches[0].request_ids) == 40
+        answers.append(environment.client.read_answer(environment.client.send_request(entity=f"{i:016x}")))
+    assert answers == [(DONE, {}, b"good")] * 40
+    assert len(environment.caches[0].request_ids) == 40
 
 
-@pytest.mark.parametrize("held", [False, True])
-def test_descriptors_at_the_limit_only_pause_accepting(world, held):
-    """Those that were answered make room for others, those that have a req open once it is answered."""
-    one = world(
-        [FakeUpstream(lambda command: None) if held else FakeUpstream()],
+@pytest.mark.parametrize("is_silent", [False, True])
+def test_descriptor_limit_only_pauses_accepting(create_environment, is_silent):
+    """A connection is closed, to free its descriptor for another, once its requests are answered."""
+    environment = create_environment(
+        [FakeUpstream(lambda command: None) if is_silent else FakeUpstream()],
         limits={"memory_mb": 192, "sockets": 48},
     )
-    crowd = [FakeClient(one.program.port) for _ in range(40)]
-    streams = [client.send_request(entity=f"{i:016x}", patience=900) for i, client in enumerate(crowd)]
-    for client, stream in zip(crowd, streams, strict=True):
+    clients = [FakeClient(environment.program.port) for _ in range(40)]
+    streams = [client.send_request(entity=f"{i:016x}", patience=900) for i, client in enumerate(clients)]
+    for client, stream in zip(clients, streams, strict=True):
         assert client.read_answer(stream)[0] in (DONE, DENIED)
-    other = FakeClient(one.program.port)
-    assert other.read_answer(other.send_request(patience=900))[0] in (DONE, DENIED)
-    assert one.program.process.poll() is None
-    assert "accepting_paused" in one.program.log_text()
+    late_client = FakeClient(environment.program.port)
+    assert late_client.read_answer(late_client.send_request(patience=900))[0] in (DONE, DENIED)
+    assert environment.program.process.poll() is None
+    assert "accepting_paused" in environment.program.log_text()
 
 
-def test_a_feed_that_cant_be_read_is_called_again(world):
-    one = world()
-    _, conn = one.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
-    conn.sendall(b"\0\0\0\1nonsense")
-    assert one.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] == 1
-    assert one.client.read_answer(one.client.send_request())[0] == DONE
-    assert "discovery_unparsable" in one.program.log_text()
+def test_malformed_discovery_message_causes_a_new_subscription(create_environment):
+    environment = create_environment()
+    _, connection = environment.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)
+    connection.sendall(b"\0\0\0\1nonsense")
+    assert environment.coordinator.subscriptions.get(timeout=TIMEOUT_SECONDS)[0] == 1
+    assert environment.client.read_answer(environment.client.send_request())[0] == DONE
+    assert "discovery_unparsable" in environment.program.log_text()
 
 
-def test_a_client_that_does_not_read_does_not_hold_up_the_others(world):
-    long = b"x" * 240_000
-    one = world(
-        [FakeUpstream(lambda command: served_answer(command[1], long) if command[0] == "want" else None)]
+def test_client_that_does_not_read_does_not_delay_other_clients(create_environment):
+    long_body = b"x" * 240_000
+    environment = create_environment(
+        [FakeUpstream(lambda command: served_answer(command[1], long_body) if command[0] == "want" else None)]
     )
-    slow = FakeClient(one.program.port)
+    slow_client = FakeClient(environment.program.port)
     for i in range(32):
-        slow.send_request(entity=f"{i:016x}")
+        slow_client.send_request(entity=f"{i:016x}")
     for i in range(20):
-        assert one.client.read_answer(one.client.send_request(entity=f"{i:016x}")) == (DONE, {}, long)
+        assert environment.client.read_answer(environment.client.send_request(entity=f"{i:016x}")) == (
+            DONE,
+            {},
+            long_body,
+        )
 
 
-def run_command(*words, **env):
+def run_command(*args, **env):
     return subprocess.run(
-        [sys.executable, "-m", "ironhinge", *words],
+        [sys.executable, "-m", "ironhinge", *args],
         capture_output=True,
         text=True,
         env=env,
@@ -445,35 +463,34 @@
     )
 
 
-def test_the_command_line_tells_what_is_wrong_in_a_line(tmp_path):
+def test_command_line_reports_an_error_in_one_line_that_names_its_cause(tmp_path):
     assert run_command("version").stdout.startswith("ironhinge ")
     assert run_command("serve").returncode == 2
     path = tmp_path / "config.json"
-    good = configuration([endpoint_config("s-00000001", "127.0.0.1:9")])
-    for content, word in [
+    valid_config = configuration([endpoint_config("s-00000001", "127.0.0.1:9")])
+    for content, expected_text in [
         (None, "config.json"),
         ("{", "config.json"),
-        ({**good, "listen": "here"}, "'listen'"),
-        ({**good, "settings": {}}, "'classes'"),
-        ({**good, "seed": 5}, "'seed'"),
-        ({**good, "limits": []}, "'limits'"),
+        ({**valid_config, "listen": "here"}, "'listen'"),
+        ({**valid_config, "settings": {}}, "'classes'"),
+        ({**valid_config, "seed": 5}, "'seed'"),
+        ({**valid_config, "limits": []}, "'limits'"),
         (configuration([{**endpoint_config("s-1", "127.0.0.1:9"), "zone": "north"}]), "'north'"),
         (configuration([{**endpoint_config("s-1", "127.0.0.1:9"), "status": "WELL"}]), "'status'"),
     ]:
         if content is not None:
             path.write_text(content if isinstance(content, str) else json.dumps(content))
-        for word_used in ("serve", "check"):
-            got = run_command(word_used, "--config", str(path))
-            assert got.returncode == 2, got.stderr
-            assert len(got.stderr.splitlines()) == 1, got.stderr
-            assert word in got.stderr
-            assert str(path) in got.stderr
-    path.write_text(json.dumps(good))
-    got = run_command(
-        "serve", "--config", str(path), "--listen", "192.0.2.1:7001"
-    )  # an address that is not ours
-    assert got.returncode == 1
-    assert got.stderr.splitlines()[-1].startswith("ironhinge: 192.0.2.1:7001: ")
-    got = run_command("check", PROXY_CONFIG=str(path))
-    assert got.returncode == 0
-    assert "1 node" in got.stdout
+        for command in ("serve", "check"):
+            result = run_command(command, "--config", str(path))
+            assert result.returncode == 2, result.stderr
+            assert len(result.stderr.splitlines()) == 1, result.stderr
+            assert expected_text in result.stderr
+            assert str(path) in result.stderr
+    path.write_text(json.dumps(valid_config))
+    # 192.0.2.1 is not an address of this machine
+    result = run_command("serve", "--config", str(path), "--listen", "192.0.2.1:7001")
+    assert result.returncode == 1
+    assert result.stderr.splitlines()[-1].startswith("ironhinge: 192.0.2.1:7001: ")
+    result = run_command("check", PROXY_CONFIG=str(path))
+    assert result.returncode == 0
+    assert "1 node" in result.stdout
