--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -7,7 +7,7 @@
 
 TRUE_START = 1_764_576_000 * SECOND  # Unix time, in tenths of a millisecond
 NANOSECONDS_PER_TICK = 100_000
-MAX_STEP_AND_SLEW = SECOND // 2  # by how much a slew that is too fast can have moved Unix time
+MAX_STEP_AND_SLEW = SECOND // 2  # upper bound of the shift of Unix time by a slew that is too fast
 
 
 class FakeTime:
@@ -40,7 +40,7 @@
     assert time.clock.age_of_event(time.true_ms() - 300, time.elapsed) in range(3000, 3020)
 
 
-def test_a_slow_slew_is_followed_and_a_fast_one_only_up_to_its_bound():
+def test_unix_time_follows_a_slow_slew_fully_and_a_fast_one_up_to_a_bound():
     slow, fast = FakeTime(), FakeTime()
     for _ in range(1000):
         slow.wall_error += 1
@@ -51,10 +51,10 @@
     assert fast.clock.unix() - TRUE_START - fast.elapsed < MAX_STEP_AND_SLEW
 
 
-@pytest.mark.parametrize("wrong", [3600, -3600, 60])
-def test_live_events_correct_a_clock_that_was_wrong_at_start_up(wrong):
+@pytest.mark.parametrize("error_s", [3600, -3600, 60])
+def test_live_events_correct_a_clock_that_was_wrong_at_start_up(error_s):
     """A purge arrives within seconds: one that seems an hour old or ahead shows that our clock is wrong."""
-    time = FakeTime(int(wrong * SECOND))
+    time = FakeTime(int(error_s * SECOND))
     time.advance(20 * SECOND)
     caught_up = time.elapsed - SECOND
     assert 0 <= time.clock.age_of_event(time.true_ms() - 300, caught_up) <= SECOND
@@ -63,15 +63,15 @@
     assert time.clock.age_of_event(time.true_ms() - 100, time.elapsed - 100) <= 2 * SECOND
 
 
-@pytest.mark.parametrize("wrong", [3600, -3600])
-def test_an_upstream_reported_to_have_just_started_is_not_taken_for_warm(wrong):
-    time = FakeTime(int(wrong * SECOND))
+@pytest.mark.parametrize("error_s", [3600, -3600])
+def test_upstream_that_just_started_is_not_treated_as_warm_when_the_clock_is_wrong(error_s):
+    time = FakeTime(int(error_s * SECOND))
     time.advance(20 * SECOND)
     assert time.elapsed - time.clock.start_instant(time.true_ms(), time.elapsed - SECOND) <= SECOND
 
 
-def test_events_that_arrive_late_keep_their_age():
-    """After an outage of the discovery service, events are indeed old."""
+def test_events_that_arrive_late_have_their_true_age():
+    """After an outage of the discovery service, events really are old."""
     time = FakeTime()
     time.advance(100 * SECOND)
     assert time.clock.age_of_event(time.true_ms() - 90_000, 5 * SECOND) >= 90 * SECOND - 10
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -1,6 +1,6 @@
-"""The process is stopped or late at the worst moment: what passed before a thing was read still counts.
+"""The process is stopped or late at the worst time: time that passes before data is read still counts.
 
-Where a test sleeps without giving way to the event loop, the process is kept from running.
+`stop` sleeps without yielding to the event loop, as if the process were stopped.
 """
 
 import socket
@@ -23,73 +23,76 @@
 from .test_director import TRACE, FakeRouter, request_frame, run_director, send_attempt
 from .test_network_races import receive_all, request_bytes, run_with_connection
 
-PATIENCE_TICKS = 90000  # of the requests here, in tenths of a millisecond
-ALLOWED_TICKS = 500  # by which the protocol extends each limit
-DEADLINE_SLACK_MS = 150  # by which the time passed on to a server may exceed what the client has left
+PATIENCE_TICKS = 90000  # patience of the requests in this file, in tenths of a millisecond
+ALLOWED_TICKS = 500  # by which the protocol lets each limit be exceeded
+DEADLINE_SLACK_MS = 150  # by which the time remaining sent to an upstream may exceed that of the client
 OTHER = TRACE[::-1]
 
 
-def rejects(count=1):
-    """Decisions that reject so many requests at once."""
-    names = (TRACE, OTHER)
+def rejecting_router(count=1):
+    """Returns a scripted router that rejects `count` requests at once."""
+    request_ids = (TRACE, OTHER)
     return FakeRouter(
-        RequestReceived=[lambda now, name=name: [interface.RejectRequest(name, 0)] for name in names[:count]]
+        RequestReceived=[
+            lambda now, request_id=request_id: [interface.RejectRequest(request_id, 0)]
+            for request_id in request_ids[:count]
+        ]
     )
 
 
 def time_remaining(fake_router):
-    """What the decisions were told that each request had left."""
+    """Returns the time remaining of each request that the router received."""
     return [event.time_remaining for event in fake_router.events_of(interface.RequestReceived)]
 
 
 def stop(seconds):
-    """Keeps the process from running."""
+    """Blocks the event loop, as if the process were stopped."""
     time.sleep(seconds)
 
 
-async def connect_upstream(one, client, fake_router, wait_until):
-    """Has one request answered, so that the connection to the first node is up."""
-    one.admit(client, request_frame(1, trace=OTHER))
-    one.manager.flush()
+async def connect_upstream(director_under_test, client, fake_router, wait_until):
+    """Sends one request and waits for its answer, so that the first upstream is connected."""
+    director_under_test.admit(client, request_frame(1, trace=OTHER))
+    director_under_test.manager.flush()
     await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
 
 
-def test_a_stop_between_reading_a_request_and_deciding_counts(monkeypatch):
-    """Guards the deadline of a request: it was counted from the decision, and the wait up to the reading."""
-    fake_router, plain = rejects(), director.read_request
+def test_stop_between_reading_and_routing_a_request_counts_against_its_deadline(monkeypatch):
+    """The deadline was counted from the routing decision, and the wait before it only up to the read."""
+    fake_router, original = rejecting_router(), director.read_request
 
     def read_and_stop(*args):
-        found = plain(*args)
+        result = original(*args)
         stop(0.2)
-        return found
+        return result
 
     monkeypatch.setattr(director, "read_request", read_and_stop)
 
-    async def scenario(one, client, wait_until):
-        one.admit(client, request_frame(1))
+    async def scenario(director_under_test, client, wait_until):
+        director_under_test.admit(client, request_frame(1))
 
     run_director(fake_router, scenario)
-    (left,) = time_remaining(fake_router)
-    assert left <= PATIENCE_TICKS - 2000 + ALLOWED_TICKS
+    (remaining,) = time_remaining(fake_router)
+    assert remaining <= PATIENCE_TICKS - 2000 + ALLOWED_TICKS
 
 
-def test_a_stop_between_rendering_a_command_and_sending_it_counts(monkeypatch):
-    """Guards the time that a server is told: it was worked out, and sent a while later."""
-    upstream, plain = FakeUpstream(has_all_objects=True), attempts.set_time_remaining
+def test_stop_between_rendering_and_sending_a_command_counts_against_its_time_remaining(monkeypatch):
+    """The time remaining was computed when a command was rendered, and sent a while later."""
+    upstream, original = FakeUpstream(has_all_objects=True), attempts.set_time_remaining
     fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=OTHER), send_attempt(after=20000)])
 
-    async def scenario(one, client, wait_until):
-        await connect_upstream(one, client, fake_router, wait_until)
+    async def scenario(director_under_test, client, wait_until):
+        await connect_upstream(director_under_test, client, fake_router, wait_until)
         stops = [0.3]
 
         def render_and_stop(*args):
-            plain(*args)
+            original(*args)
             if stops:
                 stop(stops.pop())
 
         monkeypatch.setattr(attempts, "set_time_remaining", render_and_stop)
-        one.admit(client, request_frame(2))
-        one.manager.flush()
+        director_under_test.admit(client, request_frame(2))
+        director_under_test.manager.flush()
         await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 2)
 
     run_director(fake_router, scenario, (upstream, upstream))
@@ -98,39 +101,39 @@
 
 
 def test_a_stop_between_two_parts_of_a_command_counts(monkeypatch):
-    """Guards the time that a server is told: it counts when the command has come whole."""
+    """The time remaining that is sent to an upstream has to be right when the whole command has arrived."""
     upstream = FakeUpstream(has_all_objects=True)
     fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=OTHER), send_attempt(after=20000)])
 
-    async def scenario(one, client, wait_until):
-        await connect_upstream(one, client, fake_router, wait_until)
-        plain, parts = one.manager.calls.send, [40]
+    async def scenario(director_under_test, client, wait_until):
+        await connect_upstream(director_under_test, client, fake_router, wait_until)
+        original, parts = director_under_test.manager.calls.send, [40]
 
         def send_a_part_and_stop(sock, data, latest=inf):
             if not parts or b"want" not in bytes(data):
-                return plain(sock, data, latest)
-            sent = plain(sock, data[: parts.pop()], latest)
+                return original(sock, data, latest)
+            sent = original(sock, data[: parts.pop()], latest)
             stop(0.3)
             return sent
 
-        monkeypatch.setattr(one.manager.calls, "send", send_a_part_and_stop)
-        one.admit(client, request_frame(2))
-        one.manager.flush()
+        monkeypatch.setattr(director_under_test.manager.calls, "send", send_a_part_and_stop)
+        director_under_test.admit(client, request_frame(2))
+        director_under_test.manager.flush()
         await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 2)
 
     run_director(fake_router, scenario, (upstream, upstream))
     upstream.next_command()
-    told = [] if upstream.commands.empty() else [int(upstream.next_command()[2]["ms"])]
-    assert all(ms <= 2000 - 300 + DEADLINE_SLACK_MS for ms in told)
+    time_remaining_ms = [] if upstream.commands.empty() else [int(upstream.next_command()[2]["ms"])]
+    assert all(ms <= 2000 - 300 + DEADLINE_SLACK_MS for ms in time_remaining_ms)
 
 
-def test_a_command_is_sent_however_long_its_rendering_takes():
-    """Guards slow machines: a command that is rendered anew each time would never be sent."""
-    times = []
+def test_command_is_sent_however_long_its_rendering_takes():
+    """Guards slow machines: if each slow rendering led to another, a command would never be sent."""
+    rendered_at = []
 
     async def scenario(receiver, peer):
         def render():
-            times.append(time.monotonic())
+            rendered_at.append(time.monotonic())
             stop(0.03)
             return (b"command",)
 
@@ -141,51 +144,53 @@
         assert await receive_all(peer) == b"command"
 
     run_with_connection(scenario)
-    assert len(times) == 2
+    assert len(rendered_at) == 2
 
 
 @pytest.mark.parametrize("where", ["backlog", "failing recv"])
-def test_a_request_that_waited_unread_has_that_much_less_time(where, monkeypatch):
-    """It waited to be accepted, or could not be read: its client has counted on."""
-    fake_router = rejects()
+def test_time_that_a_request_waited_unread_counts_against_its_patience(where, monkeypatch):
+    """It waited to be accepted, or could not be read, while its client's timeout was running."""
+    fake_router = rejecting_router()
 
-    async def scenario(one, _, wait_until):
+    async def scenario(director_under_test, _, wait_until):
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
-        client = ClientConnection(one)
+        client = ClientConnection(director_under_test)
         if where == "backlog":
             peer.sendall(request_bytes(1))
-            one.manager.backlog_empty_at = time.monotonic() - 0.5
-            await anyio.sleep(0.3)  # the event loop has its turns, and the backlog is not looked at
-        one.manager.adopt(listener.accept()[0], client)
+            director_under_test.manager.backlog_empty_at = time.monotonic() - 0.5
+            await anyio.sleep(0.3)  # the event loop runs, but nothing is accepted
+        director_under_test.manager.adopt(listener.accept()[0], client)
         if where == "failing recv":
-            one.manager.backlog_empty_at = time.monotonic()
-            plain, failing_until = one.manager.calls.receive, time.monotonic() + 0.3
-            short = lambda *args: (0, Remedy.PAUSE) if time.monotonic() < failing_until else plain(*args)  # noqa: E731
-            monkeypatch.setattr(one.manager.calls, "receive", short)
+            director_under_test.manager.backlog_empty_at = time.monotonic()
+            original, failing_until = director_under_test.manager.calls.receive, time.monotonic() + 0.3
+            failing_receive = lambda *args: (  # noqa: E731
+                (0, Remedy.PAUSE) if time.monotonic() < failing_until else original(*args)
+            )
+            monkeypatch.setattr(director_under_test.manager.calls, "receive", failing_receive)
             peer.sendall(request_bytes(1))
         sent_at = time.monotonic()
         await wait_until(lambda: fake_router.events_of(interface.RequestReceived))
         await wait_until(lambda: client.connection.empty_until() > sent_at)
 
     run_director(fake_router, scenario)
-    (left,) = time_remaining(fake_router)
-    # 0.3 s, less the 50 ms that are allowed
-    assert PATIENCE_TICKS - 4000 < left <= PATIENCE_TICKS - 2000
+    (remaining,) = time_remaining(fake_router)
+    # 0.3 s, less the 50 ms by which the limit may be exceeded
+    assert PATIENCE_TICKS - 4000 < remaining <= PATIENCE_TICKS - 2000
 
 
-def test_only_the_last_of_several_requests_in_the_backlog_is_as_young_as_its_data():
-    """The system tells when the last data came; what came before it has waited for longer."""
-    fake_router = rejects(2)
+def test_arrival_time_of_the_last_data_applies_only_to_the_last_request_in_the_backlog():
+    """The system reports when the last data arrived; data before it has waited for longer."""
+    fake_router = rejecting_router(2)
 
-    async def scenario(one, _, wait_until):
+    async def scenario(director_under_test, _, wait_until):
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
-        one.manager.backlog_empty_at = time.monotonic()
+        director_under_test.manager.backlog_empty_at = time.monotonic()
         peer.sendall(request_bytes(1))
         await anyio.sleep(0.4)
         peer.sendall(request_bytes(3, OTHER))
-        one.manager.adopt(listener.accept()[0], ClientConnection(one))
+        director_under_test.manager.adopt(listener.accept()[0], ClientConnection(director_under_test))
         await wait_until(lambda: len(fake_router.events_of(interface.RequestReceived)) == 2)
 
     run_director(fake_router, scenario)
@@ -195,7 +200,7 @@
 
 
 class LateListener:
-    """A listener whose first `accept` finds nothing; then a request comes while the process is stopped."""
+    """A listener whose first `accept` finds nothing; then a request arrives while the process is stopped."""
 
     def __init__(self):
         self.sock, self.peer = listen(Address("127.0.0.1", 0)), None
@@ -212,91 +217,94 @@
         return self.sock.fileno()
 
 
-def test_a_stop_after_the_backlog_was_found_empty_counts():
-    """Guards requests on new connections: the backlog was taken for empty until the end of the stop."""
-    fake_router = rejects()
+def test_stop_after_the_backlog_was_found_empty_counts_against_the_patience():
+    """Guards requests on new connections: the backlog was assumed to be empty until the end of the stop."""
+    fake_router = rejecting_router()
 
-    async def scenario(one, _, wait_until):
-        make_client = lambda: ClientConnection(one)  # noqa: E731
-        one.manager.task_group.start_soon(
-            one.manager.accept, LateListener(), make_client, one.clients.reclaim_descriptor
+    async def scenario(director_under_test, _, wait_until):
+        make_client = lambda: ClientConnection(director_under_test)  # noqa: E731
+        director_under_test.manager.task_group.start_soon(
+            director_under_test.manager.accept,
+            LateListener(),
+            make_client,
+            director_under_test.clients.reclaim_descriptor,
         )
         await wait_until(lambda: fake_router.events_of(interface.RequestReceived))
 
     run_director(fake_router, scenario)
-    (left,) = time_remaining(fake_router)
-    assert left <= PATIENCE_TICKS - 3000 + ALLOWED_TICKS
+    (remaining,) = time_remaining(fake_router)
+    assert remaining <= PATIENCE_TICKS - 3000 + ALLOWED_TICKS
 
 
 @pytest.mark.parametrize("turns", [1, 2, 5])
-def test_what_came_while_the_program_was_stopped_is_known_to_have_waited(turns):
-    """Some tasks take more turns to wake, and turns are long after a stop: the stop is not forgotten."""
-    poll, pair = TimedSelector(), socket.socketpair()
-    poll.register(pair[0], 1)
+def test_data_that_arrived_during_a_stop_is_known_to_have_waited(turns):
+    """Until a task reads the data, several long turns of the event loop may pass: the stop still counts."""
+    selector, pair = TimedSelector(), socket.socketpair()
+    selector.register(pair[0], 1)
     descriptor = pair[0].fileno()
-    poll.select(0)
-    began = time.monotonic()
+    selector.select(0)
+    started_at = time.monotonic()
     pair[1].send(b"x")
     stop(0.1)
     for _ in range(turns):
-        poll.select(0)
-        assert poll.empty_until(descriptor) <= began
+        selector.select(0)
+        assert selector.empty_until(descriptor) <= started_at
         stop(0.04)  # a long turn of the event loop
-    poll.unregister(pair[0])
+    selector.unregister(pair[0])
     pair[0].recv(1)
-    poll.register(pair[0], 1)
-    assert poll.empty_until(descriptor) <= began  # no poll has looked at it since
-    poll.select(0)
-    assert poll.empty_until(descriptor) > began + 0.1
-    for each in pair:
-        each.close()
+    selector.register(pair[0], 1)
+    assert selector.empty_until(descriptor) <= started_at  # it has not been polled since
+    selector.select(0)
+    assert selector.empty_until(descriptor) > started_at + 0.1
+    for sock in pair:
+        sock.close()
 
 
-def test_a_poll_says_nothing_of_a_socket_that_it_did_not_look_at():
+def test_poll_before_a_socket_is_registered_does_not_count_as_finding_it_empty():
     """Data may arrive after a read and before the socket is registered, with polls in between."""
-    poll, pair = TimedSelector(), socket.socketpair()
+    selector, pair = TimedSelector(), socket.socketpair()
     descriptor = pair[0].fileno()
-    began = time.monotonic()
+    started_at = time.monotonic()
     pair[1].send(b"x")
     stop(0.1)
-    poll.select(0)
-    poll.register(pair[0], 1)
-    poll.select(0)
-    assert poll.empty_until(descriptor) <= began
-    for each in pair:
-        each.close()
-
-
-def test_a_poll_that_waited_for_another_socket_knows_what_its_end_was():
-    """Else each request would seem to have waited for as long as the program rested before it."""
-    poll, pair, other = TimedSelector(), socket.socketpair(), socket.socketpair()
-    for each in (pair, other):
-        poll.register(each[0], 1)
-    poll.select(0)
-    rested_from = time.monotonic()
-    poll.select(0.1)
-    assert poll.empty_until(pair[0].fileno()) >= rested_from + 0.1
+    selector.select(0)
+    selector.register(pair[0], 1)
+    selector.select(0)
+    assert selector.empty_until(descriptor) <= started_at
+    for sock in pair:
+        sock.close()
+
+
+def test_long_poll_counts_as_finding_a_socket_empty_at_its_end():
+    """Otherwise each request would seem to have waited for as long as the process was idle before it."""
+    selector, pair, other = TimedSelector(), socket.socketpair(), socket.socketpair()
+    for sock_pair in (pair, other):
+        selector.register(sock_pair[0], 1)
+    selector.select(0)
+    poll_started_at = time.monotonic()
+    selector.select(0.1)
+    assert selector.empty_until(pair[0].fileno()) >= poll_started_at + 0.1
     other[1].send(b"x")
     stop(0.05)
-    looked_at = time.monotonic()
-    poll.select(0.1)
-    assert poll.empty_until(other[0].fileno()) < looked_at - 0.04
-    assert poll.empty_until(pair[0].fileno()) >= looked_at
-    for each in (*pair, *other):
-        each.close()
+    next_poll_started_at = time.monotonic()
+    selector.select(0.1)
+    assert selector.empty_until(other[0].fileno()) < next_poll_started_at - 0.04
+    assert selector.empty_until(pair[0].fileno()) >= next_poll_started_at
+    for sock in (*pair, *other):
+        sock.close()
 
 
-def test_an_attempt_does_not_begin_for_a_client_whose_end_was_not_read_yet():
-    """The request and the end of its connection are found together; the connection to the node is up."""
+def test_no_attempt_is_sent_for_a_client_whose_disconnect_is_still_unread():
+    """The request and the close of its connection are found together while the upstream is connected."""
     upstream = FakeUpstream(has_all_objects=True)
     fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=OTHER), send_attempt()])
 
-    async def scenario(one, first, wait_until):
-        await connect_upstream(one, first, fake_router, wait_until)
+    async def scenario(director_under_test, client, wait_until):
+        await connect_upstream(director_under_test, client, fake_router, wait_until)
         listener = listen(Address("127.0.0.1", 0))
         peer = socket.create_connection(listener.getsockname())
-        one.manager.backlog_empty_at = time.monotonic()
-        one.manager.adopt(listener.accept()[0], ClientConnection(one))
+        director_under_test.manager.backlog_empty_at = time.monotonic()
+        director_under_test.manager.adopt(listener.accept()[0], ClientConnection(director_under_test))
         await anyio.sleep(0.05)
         peer.sendall(request_bytes(1))
         peer.shutdown(socket.SHUT_RDWR)
@@ -308,26 +316,26 @@
     assert upstream.request_ids == {OTHER}
 
 
-@pytest.mark.parametrize("told", ["drain", "purge"])
-def test_an_attempt_does_not_begin_before_what_discovery_has_told_is_read(told):
-    """Guards drains and purges: after a stop a request may be read before them, and sent past their grace."""
+@pytest.mark.parametrize("update", ["drain", "purge"])
+def test_no_attempt_is_sent_before_unread_discovery_updates_are_read(update):
+    """After a stop, a request may be read before a drain or a purge, and sent after its grace period."""
     upstream, coordinator = FakeUpstream(has_all_objects=True), FakeCoordinator()
     fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=OTHER), send_attempt()])
 
-    async def scenario(one, client, wait_until):
-        one.manager.task_group.start_soon(one.discovery.follow)
-        await connect_upstream(one, client, fake_router, wait_until)
-        _, conn = coordinator.subscriptions.get(timeout=5)
-        conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    async def scenario(director_under_test, client, wait_until):
+        director_under_test.manager.task_group.start_soon(director_under_test.discovery.follow)
+        await connect_upstream(director_under_test, client, fake_router, wait_until)
+        _, connection = coordinator.subscriptions.get(timeout=5)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await anyio.sleep(0.05)
-        if told == "drain":
+        if update == "drain":
             coordinator.publish(2, 2, endpoint_record("s-00000001", upstream.address, 1))
         else:
             now_ms = int(time.time() * 1000)
             coordinator.publish(2, 3, bytes.fromhex("7f3a9c21e0b4d655") + now_ms.to_bytes(8, "big"))
         stop(0.2)
-        one.admit(client, request_frame(2))
-        one.manager.flush()
+        director_under_test.admit(client, request_frame(2))
+        director_under_test.manager.flush()
         await wait_until(lambda: len(fake_router.events_of(interface.AttemptFinished)) == 2)
 
     run_director(fake_router, scenario, (upstream, upstream), coordinator=coordinator.address)
@@ -335,38 +343,38 @@
     assert upstream.request_ids == {OTHER}
 
 
-def test_an_answer_that_came_in_time_is_read_before_its_attempt_times_out():
-    """Guards requests in flight during a stop: the answer has arrived, and only its reading is late."""
+def test_answer_that_arrived_in_time_is_read_before_its_attempt_times_out():
+    """Guards requests in flight during a stop: the answer arrived in time, and only its read is late."""
     upstream = FakeUpstream(has_all_objects=True)
     fake_router = FakeRouter(RequestReceived=[send_attempt(request_id=OTHER), send_attempt(after=1000)])
 
-    async def scenario(one, client, wait_until):
-        await connect_upstream(one, client, fake_router, wait_until)
-        one.admit(client, request_frame(2))
-        one.manager.flush()
+    async def scenario(director_under_test, client, wait_until):
+        await connect_upstream(director_under_test, client, fake_router, wait_until)
+        director_under_test.admit(client, request_frame(2))
+        director_under_test.manager.flush()
         stop(0.2)
-        one.timers.fire_due()
+        director_under_test.timers.fire_due()
         assert len(fake_router.events_of(interface.AttemptFinished)) == 2
 
     run_director(fake_router, scenario, (upstream, upstream))
     assert [end.result for end in fake_router.events_of(interface.AttemptFinished)] == ["done", "done"]
 
 
-def test_real_decisions_have_no_more_time_than_the_client(monkeypatch):
-    """The same with the real router: what it tells the cache is what the client has left."""
-    upstream, plain = FakeUpstream(has_all_objects=True), director.read_request
+def test_real_router_sends_no_more_time_remaining_than_the_client_has(monkeypatch):
+    """With the real router, the time remaining sent to the cache is that of the client."""
+    upstream, original = FakeUpstream(has_all_objects=True), director.read_request
 
     def read_and_stop(*args):
-        found = plain(*args)
+        result = original(*args)
         stop(0.3)
-        return found
+        return result
 
     monkeypatch.setattr(director, "read_request", read_and_stop)
 
-    async def scenario(one, client, wait_until):
-        one.admit(client, request_frame(1))
-        one.manager.flush()
-        await wait_until(lambda: not one.requests)
+    async def scenario(director_under_test, client, wait_until):
+        director_under_test.admit(client, request_frame(1))
+        director_under_test.manager.flush()
+        await wait_until(lambda: not director_under_test.requests)
 
     run_director(Router, scenario, (upstream, upstream))
     assert int(upstream.next_command()[2]["ms"]) <= 9000 - 300 + DEADLINE_SLACK_MS
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""The table of system-call errors, that no other network code knows an errno, and the event log."""
+"""The table of system-call errors, its use instead of errnos in the network code, and the event log."""
 
 import errno
 import re
@@ -22,12 +22,12 @@
 )
 
 NET = Path(ironhinge.__file__).parent / "net"
-MAY_CATCH = {"socket_calls.py", "service.py"}  # where calls are made, and where the listener is
+MAY_CATCH_OSERROR = {"socket_calls.py", "service.py"}  # the system calls, and the service with its listener
 
 
 @pytest.mark.parametrize("call", Call)
-def test_a_brief_shortage_of_memory_never_ends_anything(call):
-    """Each call that can run out of memory or buffers is repeated, or does not matter."""
+def test_brief_shortage_of_memory_is_never_fatal(call):
+    """Each call that can run out of memory or buffers is repeated, or its failure is ignored."""
     for number in (errno.ENOBUFS, errno.ENOMEM):
         assert remedy_for(call, number) in (Remedy.PAUSE, Remedy.SKIP)
 
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN])
-def test_a_shortage_that_prevents_connecting_is_not_blamed_on_the_peer(number):
+def test_local_shortage_that_prevents_connecting_does_not_count_against_the_peer(number):
     assert remedy_for(Call.CONNECT, number) is Remedy.PAUSE
 
 
@@ -53,21 +53,21 @@
 
 def test_every_row_of_the_table_is_in_the_documentation():
     text = (NET.parent.parent / "docs" / "system-calls.md").read_text()
-    found = re.findall(r"^\| (\w+) \| (\w+) \| (\w+) \|", text, re.M)
-    listed = {(call, name): remedy for call, name, remedy in found if call in Call.__members__}
+    rows = re.findall(r"^\| (\w+) \| (\w+) \| (\w+) \|", text, re.M)
+    documented = {(call, name): remedy for call, name, remedy in rows if call in Call.__members__}
     for (call, number), remedy in REMEDIES.items():
         if number:
-            assert listed.pop((call.name, errno.errorcode[number])) == remedy.name
-    assert not listed
+            assert documented.pop((call.name, errno.errorcode[number])) == remedy.name
+    assert not documented
 
 
-def test_no_other_network_code_knows_an_error_of_the_system():
+def test_no_other_network_module_uses_errno_or_catches_oserror():
     for path in NET.glob("*.py"):
         text = path.read_text()
         if path.name != "system_calls.py":
             assert "import errno" not in text, path.name
             assert "errno." not in text.replace("error.errno", ""), path.name
-        if path.name not in MAY_CATCH:
+        if path.name not in MAY_CATCH_OSERROR:
             assert "OSError" not in text, path.name
 
 
@@ -81,7 +81,7 @@
     assert backoff.next() < MAX_PAUSE / 2
 
 
-def test_the_event_log_keeps_the_latest_events_and_counts_all():
+def test_event_log_stores_the_latest_events_and_counts_all():
     log = EventLog(lambda: 5)
     for i in range(3000):
         log.record(EventKind.CLIENT_CLOSED, f"client {i}", "idle")
@@ -108,7 +108,7 @@
     logger.remove(sink)
 
 
-def test_dumps_for_faults_are_limited_and_name_each_event(log_lines):
+def test_dumps_for_errors_are_limited_and_list_each_event(log_lines):
     log = EventLog(lambda: 5)
     for i in range(300):
         log.record(EventKind.REQUEST_REJECTED, f"request {i}", "shutdown")
