--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -137,10 +137,10 @@
             stop(0.03)
             return (b"command",)
 
-        receiver.link.write((), render=render)
-        receiver.link.send_pending()
-        receiver.link.finish()
-        receiver.link.owner.flush()
+        receiver.connection.write((), render=render)
+        receiver.connection.send_pending()
+        receiver.connection.finish()
+        receiver.connection.owner.flush()
         assert await receive_all(peer) == b"command"
 
     run_with_connection(scenario)
