--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -344,8 +344,8 @@
         first = director.pool.upstreams["s-00000001"].connections[0]
         if is_blocked:
             first.connection.write_now((b"x" * 2**24,))  # more than the socket accepts
-        for req in list(director.requests.values()):
-            director.attempts.abandon(req.attempt, AttemptEnd.TIMED_OUT)
+        for request in list(director.requests.values()):
+            director.attempts.abandon(request.attempt, AttemptEnd.TIMED_OUT)
         connections = [
             upstream_connection.connection
             for upstream in director.pool.upstreams.values()
@@ -564,8 +564,8 @@
 
 
 def test_closed_connections_leave_no_reference_cycles():
-    """Guards memory use while garbage collection is rare: without reference cycles, thousands of connections
-    per minute are freed at once."""
+    """Guards memory use while garbage collection is rare: thousands of connections per minute must be freed by
+    reference counting alone."""
     upstream = FakeUpstream(lambda command: resp_array(command[1], "NOENT", "-", b""))
     fake_router = FakeRouter(
         RequestReceived=[send_attempt()], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]]
--- a/tests/test_network_races.py
+++ b/tests/test_network_races.py
@@ -46,7 +46,7 @@
 )
 from .test_director import TRACE, FakeRouter, request_frame, run_director, run_with_selector, send_attempt
 
-DENIED = 2
+DENIED = 2  # result code on the wire
 
 
 def request_bytes(stream, trace=TRACE):
@@ -537,9 +537,8 @@
     )
 
     async def scenario(director, client, wait_until):
-        director.admit(
-            client, request_frame(1)
-        )  # not flushed: the connection is not up before the window ends
+        # Not flushed, so that the connection is not established before the window ends
+        director.admit(client, request_frame(1))
         (upstream_connection,) = director.pool.upstreams["s-00000001"].connections
         upstream_connection.connection.send_pending = lambda: None
         await wait_until(lambda: fake_router.events_of(interface.AttemptFinished))
@@ -563,8 +562,10 @@
 
 @pytest.mark.parametrize("count", [3, 9, 20, 30, 200])
 def test_simultaneous_requests_of_all_routers_do_not_overload_a_cache_during_slow_start(count):
-    """When an object becomes popular, all routers together may spend the tokens that accumulated without
-    requests, and in addition those refilled within the overload window.
+    """Guards against an overload when an object becomes popular.
+
+    All routers would spend the tokens that accumulated without requests at the same time, and in addition
+    those refilled within the overload window.
     """
     deployment = new_deployment(
         router_count=count, local_router_count=count, weight_kind="nominal", overload_window=10000
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -294,7 +294,7 @@
     assert shared_environment.client.read_answer(shared_environment.client.send_request())[0] == DONE
 
 
-def test_too_many_open_streams_end_with_one_answer_each_and_a_closed_connection(create_environment):
+def test_too_many_open_streams_close_the_connection_after_answers_on_the_open_ones(create_environment):
     environment = create_environment([FakeUpstream(lambda command: None)])
     environment.client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
     for i in range(60):
