--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -564,8 +564,8 @@
 
 
 def test_closed_connections_leave_no_reference_cycles():
-    """Guards memory use while garbage collection is rare: thousands of connections per minute must be freed by
-    reference counting alone."""
+    """Guards memory use while garbage collection is rare: thousands of connections per minute must be freed
+    by reference counting alone."""
     upstream = FakeUpstream(lambda command: resp_array(command[1], "NOENT", "-", b""))
     fake_router = FakeRouter(
         RequestReceived=[send_attempt()], AttemptFinished=[lambda now: [interface.FailRequest(TRACE)]]
