--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""The store against a plain dict, and against every failure that it names."""
+"""The disk store against a model, power cuts, killed processes, I/O errors and corrupt files."""
 
 import errno
 import signal
@@ -64,8 +64,10 @@
 
 
 class StoreModel(RuleBasedStateMachine):
-    """Any copy served must be one that was put, newer than every purge; while nothing is evicted and nothing
-    cut, it must be the newest.
+    """Compares the store with a model under random operations.
+
+    Each copy served must have been put, and be newer than every purge of it. Unless copies were evicted, or
+    lost in a power cut or a kill, the copy served must be the newest one that was put.
     """
 
     def __init__(self):
@@ -73,9 +75,9 @@
         self.clock, self.directory = Clock(), MemoryDirectory(FaultPlan(1))
         self.store = open_store(self.directory, self.clock)
         self.versions = 0
-        self.versions_put = {}  # key: versions in order, with dates
+        self.versions_put = {}  # per key: the production time of each version
         self.purges = []
-        self.expected = {}  # key: version that has to be there
+        self.expected = {}  # per key: the version that the store must have
         self.durable = {}
 
     keys = st.builds(PartKey, st.integers(0, 12), st.integers(0, 2))
@@ -161,13 +163,13 @@
         self.directory = self.directory.after_power_cut()
         self.store = open_store(self.directory, self.clock)
         self.expected = dict(self.durable)
-        # the control plane repeats purges of the retention time, also those that were not synced
+        # the control plane resends the purges of the retention time, including those not synced
         for object_id, group, at in self.purges:
             self.store.purge(object_id, group, at)
 
     @rule()
     def is_killed(self):
-        """The process ends; the system still has what was written."""
+        """The process is killed; records that it wrote without a sync stay readable, queued ones are lost."""
         self.store.directory.release()
         queued = {record.entry.key for record in self.store.writer.pending if record.entry is not None}
         flushed = {key: v for key, v in self.expected.items() if key not in queued}
@@ -186,7 +188,7 @@
             version = int(copy.tag[1:])
             assert copy.body == body(*key, version)
             assert copy.produced_at == versions[version]
-            assert copy.produced_at > self.last_purge_at(key), "a purged copy"
+            assert copy.produced_at > self.last_purge_at(key), "served a purged copy"
 
     @invariant()
     def has_every_expected_copy(self):
@@ -215,14 +217,14 @@
 
 @dataclass
 class Progress:
-    """What a run that may end at any call has made durable and purged."""
+    """The durable copies and the purges of a workload that a power cut may end at any call."""
 
     durable: dict[PartKey, PutStep] = field(default_factory=dict)
     purged: dict[int, int] = field(default_factory=dict)
 
 
 def run_workload(directory, clock, steps=160, seed=1, progress=None):
-    """Puts, purges, checkpoints and compactions; reports after each step what is durable."""
+    """Runs random puts, purges, syncs, checkpoints and compactions; updates `progress` after each step."""
     random = Random(seed)
     store = open_store(directory, clock)
     durable, latest, purged = {}, {}, {}
@@ -255,9 +257,10 @@
 
 
 def check_recovered(recovered_directory, clock, progress):
+    """Checks that durable copies survived, that all copies are valid and that the store accepts new ones."""
     store = open_store(recovered_directory, clock)
     for object_id, at in progress.purged.items():
-        store.purge(object_id, 0, at)  # as the control plane repeats them
+        store.purge(object_id, 0, at)  # the control plane resends purges
     for key in ALL_KEYS:
         copy = store.get(key)
         if copy is not None:
@@ -268,8 +271,8 @@
             continue
         durable = progress.durable[key]
         if durable.produced_at > progress.purged.get(key.object_id, 0):
-            assert copy is not None, "lost what was durable"
-            assert int(copy.tag[1:]) >= durable.step, "lost what was durable"
+            assert copy is not None, "lost a durable copy"
+            assert int(copy.tag[1:]) >= durable.step, "a copy older than the durable one"
     assert store.put(PartKey(99, 0), 0, Copy(b"t", clock.now_ms + 1, b"goes on"))
     store.flush()
     assert store.get(PartKey(99, 0)).body == b"goes on"
@@ -383,8 +386,8 @@
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 def test_purge_that_failed_to_write_is_written_before_later_records(error):
-    """Else a later record of discovery progress would be on disk without the purge, and a restart would serve
-    the purged copy.
+    """Guards against a later record of discovery progress on disk without the purge before it: a restart
+    would then serve the purged copy.
     """
     store, clock = filled_store()
     store.sync()
@@ -403,7 +406,7 @@
 
 
 def test_purge_survives_a_failed_sync_before_a_successful_one():
-    """What it could not write is gone, and the next sync of the same file says nothing of it: fsync(2)."""
+    """After a failed fsync(2), the unwritten data is lost and the next fsync of the file reports success."""
     store, clock = filled_store()
     store.sync()
     clock.now_ms += 10
@@ -506,8 +509,9 @@
     clock.now_ms += 5000
     late = open_store(store.directory, clock)
     assert all(late.get(PartKey(object_id, 0)) is None for object_id in range(8)), (
-        "purges of that time can't be known any more"
+        "purges sent during the downtime are unknown"
     )
+    # the copy is as old as the discarded ones, but its sender has checked it against the purges
     assert late.put(PartKey(1, 0), 0, Copy(b"t", START_MS, b"as old, but checked by who brings it"))
     late.flush()
     assert late.get(PartKey(1, 0)) is not None
--- a/tests/test_disk_admission.py
+++ b/tests/test_disk_admission.py
@@ -1,4 +1,4 @@
-"""Admission: which copies are worth their place and their writing."""
+"""Admission: which copies are stored, by request frequency, size, shares and write budget."""
 
 from ironhinge.disk.admission import Admission, AdmissionPolicy, FrequencySketch, RejectionReason
 from ironhinge.disk.index import PartKey
--- a/tests/test_disk_cli.py
+++ b/tests/test_disk_cli.py
@@ -1,4 +1,4 @@
-"""The commands on a tier's directory: their JSON names, tables and exit codes."""
+"""The `disk` commands on the directory of a tier: JSON fields, tables and exit codes."""
 
 import json
 import shutil
--- a/tests/test_disk_index.py
+++ b/tests/test_disk_index.py
@@ -1,4 +1,4 @@
-"""The index: a hash table of fixed size, and snapshots of it."""
+"""The index of the disk store: a hash table of fixed size, and its snapshots."""
 
 from random import Random
 
--- a/tests/test_disk_stored_form.py
+++ b/tests/test_disk_stored_form.py
@@ -1,4 +1,4 @@
-"""The bytes of a store on disk: what an earlier version wrote is served, and is written the same anew.
+"""The stored form on disk: files of an earlier version are read, and the same operations write them again.
 
 `tests/data/disk_store` was written by `write_store` before the store was split into modules.
 """
@@ -46,7 +46,7 @@
 
 
 def write_store(folder):
-    """Puts, replacements, a drop, purges, a compaction, two checkpoints and records after the last."""
+    """Writes puts, replacements, a drop, purges, a compaction, two checkpoints and records after them."""
     clock = Clock(START_MS)
     store = Store(StoreDirectory(folder), IDENTITY, LIMITS, clock)
     for object_id in OBJECTS:
@@ -61,7 +61,7 @@
     store.checkpoint()
     clock.milliseconds += 10
     store.purge(None, PURGED_GROUP, clock.milliseconds)
-    put(store, clock, 7, 2)  # of the purged group, and newer than its purge
+    put(store, clock, 7, 2)  # in the purged group, but newer than the purge
     put(store, clock, 8, 2)
     clock.milliseconds += 1000
     store.record_discovery_progress(clock.milliseconds)
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def stored_folder(tmp_path):
-    """A copy of the stored bytes, so that a start may change it."""
+    """A copy of the stored files, because opening a store may change them."""
     return Path(shutil.copytree(STORED, tmp_path / "store"))
 
 
@@ -133,16 +133,16 @@
 
 
 def test_the_same_operations_write_the_same_bytes(tmp_path):
-    clock = write_store(tmp_path / "anew")
+    clock = write_store(tmp_path / "rewritten")
     assert clock.milliseconds == FINAL_MS
-    rewritten, before = files_of(tmp_path / "anew"), files_of(STORED)
+    rewritten, before = files_of(tmp_path / "rewritten"), files_of(STORED)
     assert sorted(rewritten) == sorted(before)
     for name, data in before.items():
         assert rewritten[name] == data, name
 
 
 def test_opening_and_closing_writes_the_same_checkpoint(stored_folder):
-    """What recovery finds in the stored form, and the checkpoint it writes, are of a fixed form too."""
+    """The checkpoint that is written after recovery from the stored files has a fixed form as well."""
     open_store(stored_folder).close()
     recovered = files_of(stored_folder)
     assert recovered["checkpoint.1"] == files_of(STORED)["checkpoint"]
--- a/tests/test_disk_tier.py
+++ b/tests/test_disk_tier.py
@@ -1,4 +1,4 @@
-"""A director that serves copies of its own from a disk."""
+"""A director with a disk tier, which serves copies from its own disk."""
 
 import json
 import signal
@@ -76,7 +76,7 @@
 
 
 def tier_has_copies(folder, count):
-    """True once that many copies are on disk."""
+    """Returns whether the tier has at least `count` copies on disk."""
     code, out, _ = run("disk", "ls", str(folder / "tier"), "--json")
     return code == 0 and len(json.loads(out)) >= count
 
@@ -86,7 +86,7 @@
     config = config_for(upstream)
     program = DirectorWithTier(tmp_path, config)
     client = FakeClient(program.port)
-    answers = [request_copy(client, FIRST_ENTITY) for _ in range(3)]  # the second request gets it admitted
+    answers = [request_copy(client, FIRST_ENTITY) for _ in range(3)]  # admitted at the second request
     assert {code for code, _, _ in answers} == {1}
     wait_until(lambda: tier_has_copies(tmp_path, 1))
     request_count = len(upstream.request_ids)
@@ -149,7 +149,7 @@
 
 
 class HangingDirectory(StoreDirectory):
-    """A directory whose reads hang until they are allowed."""
+    """A directory whose reads block until `reads_allowed` is set, or for `TIMEOUT` seconds."""
 
     reads_allowed = threading.Event()
 
@@ -175,7 +175,7 @@
         assert runner.scheduler.budget_share < 1
         HangingDirectory.reads_allowed.set()
         copy = None
-        while copy is None:  # reads hit again as soon as the disk answers
+        while copy is None:  # reads hit again as soon as the disk responds
             copy = await tier.read(request)
         assert copy.body == b"bytes"
         assert tier.status()["hit_share"]
@@ -201,7 +201,7 @@
     assert fields["room"] == "1000000"
 
 
-@pytest.mark.parametrize("damage", ["flip", "gone"])
+@pytest.mark.parametrize("damage", ["overwritten", "emptied"])
 def test_corrupt_disk_causes_misses_but_no_failed_requests(tmp_path, damage):
     upstream = FakeUpstream(has_all_objects=True)
     program = DirectorWithTier(tmp_path, config_for(upstream))
@@ -212,7 +212,7 @@
         wait_until(lambda: tier_has_copies(tmp_path, 1))
         request_count = len(upstream.request_ids)
         (segment,) = (tmp_path / "tier").glob("*.seg")
-        if damage == "gone":
+        if damage == "emptied":
             segment.unlink()
             segment.write_bytes(b"")
         with segment.open("r+b") as file:
@@ -220,8 +220,8 @@
                 file.seek(at)
                 file.write(b"\0\0\0\0")
         assert request_copy(client, FIRST_ENTITY)[::2] == (1, body)
-        if damage == "flip":
-            assert len(upstream.request_ids) == request_count + 1, "bytes that were not verified"
+        if damage == "overwritten":
+            assert len(upstream.request_ids) == request_count + 1, "served bytes without verifying them"
     finally:
         program.stop()
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Desired states, journals, supervision and rollouts: state machines among delays, doubles and crashes."""
+"""Desired states, journals, supervision and rollouts, under lost, delayed and duplicated messages."""
 
 from random import Random
 
@@ -73,7 +73,9 @@
 
 def test_one_of_two_conflicting_commands_is_accepted_and_the_other_rejected(agent):
     (append,) = agent.handle(CommandReceived(command("a", 0), 5))
-    assert agent.handle(CommandReceived(command("b", 0, "bob"), 6)) == [], "not before the first is settled"
+    assert agent.handle(CommandReceived(command("b", 0, "bob"), 6)) == [], (
+        "answered before the first one is persisted"
+    )
     activate, accepted, rejected = agent.handle(EntryPersisted(1))
     assert activate == ActivateGeneration(append.entry)
     assert accepted == CommandResult("a", True, append.entry)
@@ -88,7 +90,7 @@
     restarted = DesiredState(journal_entries(agent))
     assert restarted.handle(CommandReceived(command("a", 0), 9)) == [CommandResult("a", True, agent.current)]
     (delayed,) = restarted.handle(CommandReceived(command("old", 0), 9))
-    assert not delayed.accepted, "a delayed command of an earlier generation"
+    assert not delayed.accepted, "accepted a command that expects an earlier generation"
 
 
 def test_unwritten_entry_is_not_activated_and_its_command_can_be_sent_again(agent):
@@ -138,7 +140,7 @@
 
 
 class Interleaving:
-    """Two operators' commands to one agent, over a network that delays and doubles, among crashes."""
+    """Commands of two operators to one agent that crashes, over a network that delays and duplicates."""
 
     def __init__(self, seed):
         self.seed, self.random = seed, Random(seed)
@@ -154,7 +156,7 @@
         while self.in_transit or self.writing:
             for action in self.step():
                 self.perform(action)
-            if not self.in_transit and not self.writing:  # operators repeat what was not answered
+            if not self.in_transit and not self.writing:  # operators resend commands that have no result
                 self.in_transit = [one for one in self.commands if one.command_id not in self.results]
 
     def step(self):
@@ -166,12 +168,12 @@
         elif self.in_transit:
             one = self.in_transit.pop(self.random.randrange(len(self.in_transit)))
             if self.random.random() < 0.2:
-                self.in_transit.append(one)  # doubled
+                self.in_transit.append(one)  # duplicated
             return self.agent.handle(CommandReceived(one, self.seed))
         return []
 
     def crash(self):
-        """The agent is killed; what it was writing may be there, or in part, or not."""
+        """Kills and restarts the agent; each entry being written is stored whole, in part or not at all."""
         for entry in self.writing:
             line = encode_entry(entry)
             self.journal += line[: self.random.choice([0, self.random.randrange(len(line)), len(line)])]
@@ -179,7 +181,7 @@
         entries, valid_length = decode_journal(self.journal)
         self.journal, self.agent = self.journal[:valid_length], DesiredState(entries)
         stored = [entry.command_id for entry in entries]
-        assert stored[: len(self.activated)] == self.activated, "in force, and then not any more"
+        assert stored[: len(self.activated)] == self.activated, "lost an activated entry"
         self.activated = stored
 
     def finish_write(self, entry):
@@ -199,7 +201,7 @@
 
 @pytest.mark.parametrize("seeds", range(10))
 def test_commands_are_applied_once_under_delays_duplicates_and_crashes(seeds):
-    """1,000 interleavings in all: no two commands in one generation, none twice, none without an answer."""
+    """1,000 interleavings: no two commands in one generation, none applied twice, none without a result."""
     for seed in range(100 * seeds, 100 * seeds + 100):
         interleaving = Interleaving(seed)
         interleaving.run()
@@ -233,7 +235,7 @@
     assert supervisor.handle(20, GenerationActivated(entry(2, n0="b", n1="a"))) == [DrainChild("n0")]
     assert supervisor.handle(21, TimePassed()) == []
     assert supervisor.handle(30, ChildExited("n0", 7, 0)) == [StartChild("n0", "b")]
-    assert supervisor.handle(40, GenerationActivated(entry(1, n0="a"))) == [], "an earlier generation"
+    assert supervisor.handle(40, GenerationActivated(entry(1, n0="a"))) == [], "applied an earlier generation"
     assert supervisor.handle(50, GenerationActivated(entry(3, n0="b"))) == [DrainChild("n1")]
     supervisor.handle(60, ChildExited("n1", 8, 0))
     assert supervisor.states() == {"n0": "starting"}
@@ -294,9 +296,9 @@
 
 
 class Fleet:
-    """Members as desired states, over a network that loses messages.
+    """The desired states of all members, over a network that loses messages.
 
-    Some members may be unreachable, or miss their latency objective with the new specification.
+    Some members may be unreachable, or miss their latency target with the new specification.
     """
 
     def __init__(self, seed, degraded=(), unreachable=(), loss=0.2):
@@ -324,7 +326,7 @@
         )
 
     def play(self, rollouts, now=0, until=40 * SOAK_TIME):
-        """Any number of tools with the same plan; returns how each ended, and when."""
+        """Runs one rollout per tool; returns the final action of each (None while it runs) and the time."""
         ends = {}
         while now < until and len(ends) < len(rollouts):
             now += RESEND_INTERVAL
@@ -368,7 +370,7 @@
     (end,), _ = fleet.play([new_rollout()])
     assert end.outcome is RolloutOutcome.COMPLETED
     assert len(fleet.on_new_spec()) == 12
-    assert fleet.generations() == {4}, "sent again, done once"
+    assert fleet.generations() == {4}, "a command sent again was applied again"
 
 
 def test_bad_change_is_stopped_at_the_canary_and_rolled_back():
@@ -439,7 +441,7 @@
 
 
 def test_conflict_in_a_command_result_ends_the_rollout():
-    """Guards the other operator's change, and members that the ended rollout would go on to change."""
+    """Guards against overwriting the other operator's change and changing further members after it."""
     rollout, fleet, now = new_rollout(), Fleet(8, loss=0.0), 0
     (sent,) = [each for each in rollout.handle(now, RolloutTimePassed()) if type(each) is SendCommand]
     agent = fleet.agents[sent.name]
--- a/tests/test_fleet_stored_form.py
+++ b/tests/test_fleet_stored_form.py
@@ -1,4 +1,4 @@
-"""The bytes of an agent's journal as an earlier version wrote them: read to the same state, written alike."""
+"""The stored form of an agent's journal: a journal of an earlier version is read and written the same."""
 
 from pathlib import Path
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Background work in its order: classes, weights, budgets, deadlines and how jobs end."""
+"""The scheduling of background jobs: classes, weights, budgets, deadlines and the end of jobs."""
 
 import json
 
@@ -25,7 +25,7 @@
 
 
 def started(commands):
-    """The names of the jobs whose next slices are to run."""
+    """Returns the names of the jobs whose next slices the commands start."""
     return [command.name for command in commands if type(command) is RunSlice]
 
 
@@ -42,7 +42,7 @@
 @with_budgets(1e6)
 def test_higher_class_runs_first_and_jobs_of_one_class_share_by_weight(scheduler):
     scheduler.handle(0, JobSubmitted(Job("low")))
-    assert started(scheduler.handle(0, JobSubmitted(Job("high", 2)))) == [], "a slice is not cut"
+    assert started(scheduler.handle(0, JobSubmitted(Job("high", 2)))) == [], "a running slice was interrupted"
     assert started(scheduler.handle(0, SliceFinished("low", 10, 1, False))) == ["high"]
     assert started(scheduler.handle(0, SliceFinished("high", 10, 1, True))) == ["low"]
     scheduler.handle(0, SliceFinished("low", 10, 1, True))
@@ -83,7 +83,7 @@
     assert started(scheduler.handle(2 * TICKS_PER_SECOND, SliceFinished("busy", 1, 1, False))) == ["late"]
     scheduler.handle(2 * TICKS_PER_SECOND, SliceFinished("late", 1, 1, True))
     commands = scheduler.handle(70 * TICKS_PER_SECOND, SliceFinished("busy", 1, 1, False))
-    assert started(commands) == ["old"], "it has waited long"
+    assert started(commands) == ["old"], "aging did not raise the class of a job that waited long"
 
 
 def test_each_job_name_ends_once_with_its_reason(scheduler):
@@ -118,7 +118,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(runner.run)
             with anyio.fail_after(10):
-                while len(runner.scheduler.ended) < 2:  # noqa: ASYNC110 - the runner signals no end of a job
+                while len(runner.scheduler.ended) < 2:  # noqa: ASYNC110 - no event at the end of a job
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
         return runner.scheduler.ended
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings language: what it means, what it refuses and which locations it reports."""
+"""The settings language: how it is evaluated, what it rejects and which locations it reports."""
 
 import json
 import subprocess
@@ -236,7 +236,7 @@
 
 
 def canonical(value):
-    """A form of a value that is equal for values that allow the same."""
+    """Returns a form of a value that is equal for values that allow the same settings."""
     match value:
         case Struct():
             fields = {name: canonical(value.value(name)) for name in value.fields if value.required[name]}
--- a/tests/test_settings_grammar.py
+++ b/tests/test_settings_grammar.py
@@ -1,4 +1,4 @@
-"""Whatever the grammar of the settings language allows is loaded or refused, and never ends the program."""
+"""Any text of the settings grammar is loaded or rejected with a location, and never crashes the program."""
 
 import pytest
 from hypothesis import example, given, settings
@@ -23,12 +23,12 @@
 
 
 def join_fields(fields):
-    """The declarations of a record."""
+    """Returns the declarations of the fields of a record."""
     return ", ".join(f"{name}{mark}: {text}" for name, mark, text in fields)
 
 
 def composites(inner):
-    """Expressions made of expressions."""
+    """Returns a strategy for expressions that are composed of `inner` expressions."""
     fields = st.lists(st.tuples(NAMES, st.sampled_from(["", "?"]), inner), max_size=3)
     pair = st.tuples(inner, inner)
     return st.one_of(
@@ -49,7 +49,7 @@
 
 
 def load_or_reject(text):
-    """Loads a text; what is refused has a location in the text or the schema for each problem."""
+    """Loads a text; if it is rejected, each diagnostic has a location in the text or in the schema."""
     try:
         load_texts([("f", text)])
     except InvalidSettingsError as error:
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("operator", ORDER_OPERATORS)
 def test_order_bound_of_null_is_rejected(operator):
-    """Guards the comparison of a number with null, which ended the program."""
+    """Guards against the comparison of a number with null, which crashed the program."""
     with pytest.raises(InvalidSettingsError, match="a bound of null"):
         load_texts([("f", f"disk: entries: int & {operator}null & 3")])
 
--- a/tests/test_traffic_account.py
+++ b/tests/test_traffic_account.py
@@ -1,4 +1,4 @@
-"""The account of transfers: what is booked when attempts end, and how reports and metrics show it."""
+"""The account of transfers: bytes booked when attempts end, and their totals in reports and metrics."""
 
 from urllib.request import urlopen
 
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def trained_ledger():
-    """A ledger that has seen fills of 10 KB which took 10 ms."""
+    """A ledger that has recorded fills of 10 KB that took 10 ms each."""
     ledger = new_ledger()
     for number in range(TRAINING_FILLS):
         start_attempt(ledger, 0, f"w{number}")
@@ -53,10 +53,13 @@
     ("ending", "booked_bytes", "estimated_bytes"),
     [
         pytest.param({"cache_status": 1}, 0, 0, id="hit"),
-        pytest.param({"cache_status": 4}, 0, 0, id="joined: the attempt that began the fill has the bytes"),
+        pytest.param({"cache_status": 4}, 0, 0, id="joined: booked for the attempt that started the fill"),
         pytest.param({"cache_status": 3}, 10_000, 0, id="filled from the origin"),
         pytest.param(
-            {"cache_status": 2, "body_size": None}, 10_000, 10_000, id="the client's copy stands for it"
+            {"cache_status": 2, "body_size": None},
+            10_000,
+            10_000,
+            id="not modified: the size is estimated",
         ),
         pytest.param({"result": "miss", "cache_status": 0, "body_size": None}, 0, 0, id="miss"),
         pytest.param({"result": "full", "cache_status": 9, "body_size": None}, 0, 0, id="rejected"),
@@ -70,7 +73,7 @@
             {"result": "timeout", "cache_status": 0, "body_size": None, "duration": 50},
             5_000,
             5_000,
-            id="timed out at half of its usual time",
+            id="timed out at half of the usual time",
         ),
         pytest.param(
             {"result": "reset", "cache_status": 0, "body_size": None, "duration": 5000},
@@ -88,7 +91,7 @@
             },
             2_500,
             2_500,
-            id="cancelled at a quarter of its usual time",
+            id="cancelled at a quarter of the usual time",
         ),
     ],
 )
@@ -139,7 +142,7 @@
     start_attempt(ledger, 30, "old", revalidates=True)
     end_attempt(ledger, 40, "old", cache_status=5)
     assert transferred_bytes(ledger, outcome=Outcome.WASTED) == 20_000
-    start_attempt(ledger, 50, "by", source_id="", endpoint_id="p1")  # past the caches
+    start_attempt(ledger, 50, "by", source_id="", endpoint_id="p1")  # bypasses the caches
     end_attempt(ledger, 60, "by")
     assert transferred_bytes(ledger, outcome=Outcome.PASSED_THROUGH) == 10_000
     assert not ledger.requests_with_transfers
@@ -185,7 +188,7 @@
             assert sum(report.by(dimension).values()) == total
         assert sum(report.by("way", "vhost").values()) == total
     twice = collect(snapshots + snapshots[:1], all_intervals=True)
-    assert twice.total() == total, "a director counted twice"
+    assert twice.total() == total, "counted a director twice"
 
 
 def test_number_of_kinds_and_intervals_is_bounded():
@@ -200,7 +203,7 @@
     for second in range(100_000):
         account.add(UNIX_MS + second * 1000, kind, TransferAmount(1, 5))
     assert all(len(window.intervals) <= window.max_intervals for window in account.windows.values())
-    assert min(account.windows["second"].intervals) > UNIX_MS, "the oldest intervals are dropped"
+    assert min(account.windows["second"].intervals) > UNIX_MS, "the oldest intervals were not dropped"
 
 
 def test_metrics_export_booked_bytes():
--- a/tests/test_traffic_budgets.py
+++ b/tests/test_traffic_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets: rates, sums of a period, parts of directors, and the emergency allowance of diverted fills."""
+"""Budgets: rates, sums per period, shares of directors, and the emergency allowance for diverted fills."""
 
 from random import Random
 
@@ -27,10 +27,12 @@
 def test_rate_and_burst_limit_fills_and_give_the_time_to_wait():
     ledger = new_ledger(RATE)
     waits = [try_fill(ledger, 0, f"r{number}") for number in range(7)]
-    assert waits == [0] * 5 + [1001] * 2  # 10 KB at 100 KB a second
+    assert waits == [0] * 5 + [1001] * 2  # 10 KB at 100 KB per second
     assert try_fill(ledger, 999, "early")
     assert not try_fill(ledger, 1001, "then")
-    assert not try_fill(ledger, 0, "own", source_id="p0"), "the own hub is not of this budget"
+    assert not try_fill(ledger, 0, "own", source_id="p0"), (
+        "the budget does not apply to fills from the own hub"
+    )
 
 
 def test_fills_in_flight_are_charged_and_settled_at_their_end():
@@ -38,9 +40,9 @@
     regular = ledger.budgets["r"].regular
     for number in range(5):
         try_fill(ledger, 0, f"r{number}")
-    end_attempt(ledger, 0, "r0", cache_status=1)  # a hit after all
+    end_attempt(ledger, 0, "r0", cache_status=1)  # a hit, so nothing was filled
     assert not try_fill(ledger, 0, "again")
-    end_attempt(ledger, 0, "r1", body_size=20_000)  # more than the request told
+    end_attempt(ledger, 0, "r1", body_size=20_000)  # more than the size given by the request
     assert regular.buckets[0].level == -10_000
     assert regular.spent == 20_000
     assert regular.outstanding == 40_000
@@ -50,7 +52,7 @@
     ledger = new_ledger(RATE)
     try_fill(ledger, 0, "r0", size=0)
     end_attempt(ledger, 0, "r0", body_size=30_000)
-    assert try_fill(ledger, 0, "r1", size=0) == 1001, "30 KB of 50 are spent, and as much is needed"
+    assert try_fill(ledger, 0, "r1", size=0) == 1001, "30 of 50 KB are spent, and another 30 KB are needed"
     assert not try_fill(ledger, 1001, "r2", size=0)
     assert ledger.budgets["r"].regular.outstanding == 30_000
 
@@ -83,7 +85,7 @@
     deployment = new_deployment(router_count=8, local_router_count=2)
     ledgers = [new_ledger(RATE, deployment), new_ledger(RATE, deployment)]
     fills = sum(not try_fill(ledger, 0, f"r{number}") for number in range(20) for ledger in ledgers)
-    assert fills == 4  # 2 x 25 KB
+    assert fills == 4  # 2 directors with 25 KB each
 
 
 def test_refilling_a_purged_group_stays_within_the_budget():
@@ -111,7 +113,7 @@
             commands = router.handle(0, attempt_finished(command, "miss", number_of_attempt))
         if commands and type(commands[0]) is interface.RejectRequest:
             rejected += 1
-            assert commands[0].retry_after >= 1000, "told to come back before there is room"
+            assert commands[0].retry_after >= 1000, "the retry time is before the budget has capacity"
     assert fills <= 5
     assert rejected >= 55
     assert fills + rejected == 60
@@ -155,7 +157,7 @@
 
 @pytest.fixture
 def objects_by_preferred_hub(ledger):
-    """Objects by the hub that they prefer."""
+    """Object ids by their preferred hub."""
     objects_by_hub = {"p0": [], "p1": []}
     for object_id in range(200):
         objects_by_hub["p1" if is_diverted(ledger, object_id, "p0") else "p0"].append(object_id)
@@ -166,7 +168,7 @@
     object_id = objects_by_preferred_hub["p0"][0]
     assert not try_fill(ledger, 0, "r0", object_id=objects_by_preferred_hub["p1"][0])
     assert try_fill(ledger, 0, "r1", object_id=objects_by_preferred_hub["p1"][1]), (
-        "fills from preferred hubs have no allowance"
+        "a fill from the preferred hub used the emergency allowance"
     )
     update_endpoints(ledger, 0, P0_REMOVED)
     allowed = [not try_fill(ledger, 0, f"f{number}", object_id=object_id) for number in range(6)]
@@ -177,7 +179,9 @@
     assert ledger.budgets["e"].emergency.spent == 30_000
     update_endpoints(ledger, 20, ENDPOINTS[2]._replace(started_at=20))
     assert not is_diverted(ledger, object_id, "p0")
-    assert is_diverted(ledger, object_id, "p1"), "while it warms up others serve, diverted"
+    assert is_diverted(ledger, object_id, "p1"), (
+        "fills from other hubs during its slow start count as diverted"
+    )
 
 
 def test_flapping_hub_gets_no_second_allowance(ledger, objects_by_preferred_hub):
--- a/tests/test_traffic_exchange.py
+++ b/tests/test_traffic_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange of quota between directors: nothing that happens to datagrams makes bytes."""
+"""The exchange of quota between directors: loss, delay and duplication of datagrams create no quota."""
 
 from random import Random
 
@@ -24,13 +24,13 @@
 
 
 def tick(ledger, now, unix_ms=UNIX_MS):
-    """Lets time pass; returns the datagrams that are sent."""
+    """Handles a clock tick; returns the datagrams that the ledger broadcasts."""
     commands = ledger.handle(now, ClockTick(unix_ms))
     return [command.data for command in commands if type(command) is BroadcastDatagram]
 
 
 def fill_until_exhausted(ledger, now, name):
-    """Fills until there is no more room; returns how many."""
+    """Fills until the budgets are exhausted; returns the number of fills."""
     fills = 0
     while not try_fill(ledger, now, f"{name}.{fills}"):
         end_attempt(ledger, now, f"{name}.{fills}")
@@ -65,7 +65,7 @@
 @settings(max_examples=30)
 @given(st.integers(0, 10**6), st.integers(2, 5), st.floats(0, 0.6))
 def test_lost_duplicated_and_delayed_datagrams_never_exceed_the_budget(seed, count, loss):
-    """Datagrams are lost, duplicated, delayed and delivered after restarts; clients request all there is."""
+    """Datagrams are lost, duplicated, delayed and delivered after restarts; clients use up all quota."""
     random = Random(seed)
     now, incarnation, delayed, spent, number = 0, 1, [], 0, 0
     peers = [new_peer(index, count, incarnation) for index in range(count)]
--- a/tests/test_traffic_restarts.py
+++ b/tests/test_traffic_restarts.py
@@ -1,4 +1,4 @@
-"""Billing time, periods, restarts and snapshots."""
+"""Billing time, billing periods, and restarts from snapshots."""
 
 from random import Random
 
@@ -30,7 +30,7 @@
         opened.append(calendar.period_start())
     assert opened == sorted(opened)
     assert calendar.clock_steps == 1
-    for _ in range(2):  # a step of a day ahead is believed once it stands
+    for _ in range(2):  # a step of a day ahead is adopted at the third such reading
         now += SECOND
         calendar.read_clock(now, start + 25 * HOUR_MS)
         assert calendar.period_start() == end_ms
@@ -56,7 +56,7 @@
     later = 3600 * SECOND
     ledger.handle(later, ClockTick(UNIX_MS + HOUR_MS))
     quota = ledger.budgets["s"].regular.buckets[0]
-    assert quota.remaining == 0, "all that is in flight may still come in the new period"
+    assert quota.remaining == 0, "fills in flight may transfer all their bytes in the new period"
     for number in range(10):
         end_attempt(ledger, later, f"r{number}", cache_status=1)
     assert quota.remaining == 100_000
@@ -107,14 +107,14 @@
 
 
 def restart(state, unix_ms, budgets=SUM):
-    """A new ledger that takes up a state, and what it says of that."""
+    """Returns a new ledger restored from a state, and the notices to log."""
     ledger = new_ledger(budgets, unix_ms=unix_ms)
     return ledger, ledger_state.restore(ledger, state, 0)
 
 
 @pytest.fixture(scope="module")
 def states():
-    """The state of a ledger that has spent 40 KB: the last one of its incarnation, and one that is not."""
+    """The final and a non-final state of a ledger that has spent 40 KB."""
     ledger = new_ledger(SUM)
     for number in range(4):
         try_fill(ledger, 0, f"r{number}")
@@ -134,7 +134,7 @@
     assert restarted.unknown_ms == 2000
     assert notices == [LogNotice(TIME_UNACCOUNTED, {"duration_ms": 2000})]
     assert restarted.budgets["s"].regular.buckets[0].remaining <= 0, (
-        "what may have been spent counts as spent"
+        "what fills could have spent since the snapshot counts as spent"
     )
     assert try_fill(restarted, 0, "more")
 
--- a/tests/test_traffic_service.py
+++ b/tests/test_traffic_service.py
@@ -1,4 +1,4 @@
-"""The service around the account: settings that are read again, and the lines that it logs."""
+"""The service that runs the account: reloaded settings and log lines."""
 
 import anyio
 import pytest
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def lines():
-    """The lines that are logged."""
+    """The lines logged at level INFO and above."""
     found = []
     sink = logger.add(lambda message: found.append(message.record["message"]), level="INFO")
     yield found
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def service():
-    """A service whose account holds one fill of 10 KB."""
+    """A service whose account has one fill of 10 KB."""
     clocks = Clocks(lambda: 0, lambda: UNIX_MS)
     identity = DirectorIdentity("n0", ZONES, CLASSES, 0)
     deployment = new_deployment(router_count=1, local_router_count=1)
--- a/tests/test_traffic_stored_form.py
+++ b/tests/test_traffic_stored_form.py
@@ -1,7 +1,7 @@
 """The forms that other programs read: snapshots on disk, datagrams between directors, and reports.
 
-The files under `tests/data/traffic` were written by version 1 of each form. They are not written anew when
-the code changes: a director that is updated has to read what the one before it left.
+The files under `tests/data/traffic` were written by version 1 of each form. They are not regenerated when
+the code changes: an updated director must read what the previous version wrote.
 """
 
 import json
@@ -68,7 +68,7 @@
 
 
 def run_attempt(ledger, now, number, source, **end):
-    """One request: the wait for budgets, and unless it has to wait the attempt and its end."""
+    """Checks the budgets for one request; unless it has to wait, starts and ends its attempt."""
     size = 0.0 if number % 5 == 4 else 10.0
     request = request_received(f"r{number // 2 if number % 7 == 0 else number}", number % 6, number % 4, size)
     request = request._replace(connection_id=1 + number % 3)
@@ -109,7 +109,7 @@
 
 
 def sample_account():
-    """Three minutes with every route, outcome and ending, a parent that goes, and open streams."""
+    """Returns a ledger after three minutes: all routes, outcomes and results, a removed parent, streams."""
     ledger = new_account()
     for number in range(240):
         now = number * 7_500
@@ -126,7 +126,7 @@
 
 
 def stored_records():
-    """The stored records under the names that they have in the file."""
+    """Returns the stored records under their names in the file."""
     body = stored_bytes()[len(MAGIC) + 8 :]
     return msgspec.msgpack.decode(body)[3]
 
@@ -167,8 +167,8 @@
 
 
 def sample_exchange():
-    """Both directors after some seconds in which the second one has refused fills, and the first's last
-    datagram.
+    """Returns two directors after 6 seconds in which the second had to delay fills, and the last datagram
+    of the first.
     """
     granter, recipient = new_account(0, 7), new_account(1, 9)
     data = b""
--- a/tests/test_traffic_streams.py
+++ b/tests/test_traffic_streams.py
@@ -1,4 +1,4 @@
-"""Streams: the segments of an object in turn, and what budgets reserve for them."""
+"""Streams: consecutive requests for the segments of an object, and the budget reserved for them."""
 
 import tracemalloc
 
@@ -36,10 +36,10 @@
 
 
 def run_streams(budgets, per_second, segments=10, seconds=40, body=10):
-    """Begins streams at an even pace, each segment filled; a client that is refused at the first segment
-    goes, one that is refused later tries again a little later, twice.
+    """Starts streams at an even rate and fills each segment.
 
-    Returns the share of streams begun that were complete, how many were begun, and the ledger.
+    A client that is refused at the first segment gives up; at a later one it retries twice, 0.1 s apart.
+    Returns the share of started streams that were completed, the number started, and the ledger.
     """
     ledger = new_ledger(budgets)
     pending_requests = [
@@ -99,7 +99,7 @@
     for viewer in range(4):
         first_segment(ledger, 0, f"r{viewer}", viewer)
     assert reservations.stream_count == 4
-    assert try_fill(ledger, 0, "more", object_id=9, connection_id=9), "80 KB a second are reserved"
+    assert try_fill(ledger, 0, "more", object_id=9, connection_id=9), "80 KB per second are reserved"
     ledger.handle(4 * SECOND, ClockTick(UNIX_MS + 4000))
     found = (reservations.stream_count, reservations.rate, reservations.segment_bytes)
     assert found == (0, 0, 0)
@@ -129,7 +129,7 @@
     fills = sum(
         not try_fill(ledger, 0, f"o{index}", class_index=1, object_id=100 + index) for index in range(20)
     )
-    assert fills == 4  # of 70 KB, 30 KB stay for the next segments
+    assert fills == 4  # 30 of 70 KB are reserved for the next segments
     for viewer in range(3):
         assert not first_segment(ledger, 0, f"t{viewer}", viewer, part=1)
 
