--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -278,7 +278,7 @@
     assert store.get(PartKey(99, 0)).body == b"goes on"
 
 
-def test_durable_copies_survive_a_power_cut_at_any_call():
+def test_durable_copies_survive_a_power_cut_at_every_second_call():
     directory = MemoryDirectory(FaultPlan())
     run_workload(directory, Clock())
     calls = directory.faults.calls
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Desired states, journals, supervision and rollouts, under lost, delayed and duplicated messages."""
+"""Desired states, journals, supervision and rollouts under message loss, delay, duplication and crashes."""
 
 from random import Random
 
@@ -201,7 +201,7 @@
 
 @pytest.mark.parametrize("seeds", range(10))
 def test_commands_are_applied_once_under_delays_duplicates_and_crashes(seeds):
-    """1,000 interleavings: no two commands in one generation, none applied twice, none without a result."""
+    """1,000 interleavings in all: a command per generation, none applied twice, none without a result."""
     for seed in range(100 * seeds, 100 * seeds + 100):
         interleaving = Interleaving(seed)
         interleaving.run()
@@ -441,7 +441,7 @@
 
 
 def test_conflict_in_a_command_result_ends_the_rollout():
-    """Guards against overwriting the other operator's change and changing further members after it."""
+    """Guards against overwriting the other operator's change and changing further members after that."""
     rollout, fleet, now = new_rollout(), Fleet(8, loss=0.0), 0
     (sent,) = [each for each in rollout.handle(now, RolloutTimePassed()) if type(each) is SendCommand]
     agent = fleet.agents[sent.name]
--- a/tests/test_traffic_account.py
+++ b/tests/test_traffic_account.py
@@ -115,6 +115,7 @@
     assert transferred_bytes(trained_ledger) == before
     end_attempt(trained_ledger, 15_000, "r1", "error", 7, None, 3)
     assert transferred_bytes(trained_ledger) == before
+    # a source that delivers to another request is only slow, so that its timeout books an estimate
     start_attempt(trained_ledger, 16_000, "slow")
     start_attempt(trained_ledger, 16_001, "beside")
     end_attempt(trained_ledger, 16_100, "beside")
@@ -129,7 +130,7 @@
     assert transferred_bytes(ledger) == 0
 
 
-def test_wasted_repeated_and_passed_through_bytes_are_booked_separately():
+def test_wasted_repeated_revalidated_and_passed_through_bytes_are_booked_separately():
     ledger = new_ledger()
     start_attempt(ledger, 0, "first", source_id="p0")
     end_attempt(ledger, 0, "first", duration=90)
--- a/tests/test_traffic_restarts.py
+++ b/tests/test_traffic_restarts.py
@@ -114,7 +114,7 @@
 
 @pytest.fixture(scope="module")
 def states():
-    """The final and a non-final state of a ledger that has spent 40 KB."""
+    """The final state (the last of an incarnation) and a non-final one of a ledger that has spent 40 KB."""
     ledger = new_ledger(SUM)
     for number in range(4):
         try_fill(ledger, 0, f"r{number}")
--- a/tests/test_traffic_stored_form.py
+++ b/tests/test_traffic_stored_form.py
@@ -109,7 +109,10 @@
 
 
 def sample_account():
-    """Returns a ledger after three minutes: all routes, outcomes and results, a removed parent, streams."""
+    """Returns a ledger after three minutes with all routes, outcomes and results.
+
+    A parent is removed in that time, and streams are open at its end.
+    """
     ledger = new_account()
     for number in range(240):
         now = number * 7_500
--- a/tests/test_traffic_streams.py
+++ b/tests/test_traffic_streams.py
@@ -73,7 +73,7 @@
     assert transferred_bytes(ledger) <= 100_000 * 45 + 100_000
 
 
-def test_stream_that_needs_no_fills_stays_open(ledger, reservations):
+def test_stream_that_needs_no_fills_for_a_while_stays_open(ledger, reservations):
     try_fill(ledger, 0, "r0", object_id=1, connection_id=1)
     for segment in range(1, 12):
         now = segment * INTERVAL
