--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""The store against a plain dict, and against every failure that it names."""
+"""The disk store against a model, power cuts, killed processes, I/O errors and corrupt files."""
 
 import errno
 import signal
@@ -64,8 +64,10 @@
 
 
 class StoreModel(RuleBasedStateMachine):
-    """Any copy served must be one that was put, newer than every purge; while nothing is evicted and nothing
-    cut, it must be the newest.
+    """Compares the store with a model under random operations.
+
+    Each copy served must have been put, and be newer than every purge of it. Unless copies were evicted, or
+    lost in a power cut or a kill, the copy served must be the newest one that was put.
     """
 
     def __init__(self):
@@ -73,14 +75,14 @@
         self.clock, self.directory = Clock(), MemoryDirectory(FaultPlan(1))
         self.store = open_store(self.directory, self.clock)
         self.versions = 0
-        self.versions_put = {}  # key: versions in order, with dates
+        self.versions_put = {}  # per key: the production time of each version
         self.purges = []
-        self.expected = {}  # key: version that has to be there
+        self.expected = {}  # per key: the version that the store must have
         self.durable = {}
 
     keys = st.builds(PartKey, st.integers(0, 12), st.integers(0, 2))
 
-    def purged_until(self, key):
+    def last_purge_at(self, key):
         return max(
             [
                 at
@@ -114,10 +116,10 @@
         self.store.purge(None if whole_group else key.object_id, key.object_id % 4, self.clock.now_ms)
         self.purges.append((None if whole_group else key.object_id, key.object_id % 4, self.clock.now_ms))
         for other in list(self.expected):
-            if self.versions_put[other][self.expected[other]] <= self.purged_until(other):
+            if self.versions_put[other][self.expected[other]] <= self.last_purge_at(other):
                 del self.expected[other]
         self.durable = {
-            k: v for k, v in self.durable.items() if self.versions_put[k][v] > self.purged_until(k)
+            k: v for k, v in self.durable.items() if self.versions_put[k][v] > self.last_purge_at(k)
         }
 
     @rule()
@@ -161,13 +163,13 @@
         self.directory = self.directory.after_power_cut()
         self.store = open_store(self.directory, self.clock)
         self.expected = dict(self.durable)
-        # the control plane repeats purges of the retention time, also those that were not synced
+        # the control plane resends the purges of the retention time, including those not synced
         for object_id, group, at in self.purges:
             self.store.purge(object_id, group, at)
 
     @rule()
     def is_killed(self):
-        """The process ends; the system still has what was written."""
+        """The process is killed; records that it wrote without a sync stay readable, queued ones are lost."""
         self.store.directory.release()
         queued = {record.entry.key for record in self.store.writer.pending if record.entry is not None}
         flushed = {key: v for key, v in self.expected.items() if key not in queued}
@@ -186,7 +188,7 @@
             version = int(copy.tag[1:])
             assert copy.body == body(*key, version)
             assert copy.produced_at == versions[version]
-            assert copy.produced_at > self.purged_until(key), "a purged copy"
+            assert copy.produced_at > self.last_purge_at(key), "served a purged copy"
 
     @invariant()
     def has_every_expected_copy(self):
@@ -215,14 +217,14 @@
 
 @dataclass
 class Progress:
-    """What a run that may end at any call has made durable and purged."""
+    """The durable copies and the purges of a workload that a power cut may end at any call."""
 
     durable: dict[PartKey, PutStep] = field(default_factory=dict)
     purged: dict[int, int] = field(default_factory=dict)
 
 
 def run_workload(directory, clock, steps=160, seed=1, progress=None):
-    """Puts, purges, checkpoints and compactions; reports after each step what is durable."""
+    """Runs random puts, purges, syncs, checkpoints and compactions; updates `progress` after each step."""
     random = Random(seed)
     store = open_store(directory, clock)
     durable, latest, purged = {}, {}, {}
@@ -254,10 +256,11 @@
     return store
 
 
-def check_recovered(found, clock, progress):
-    store = open_store(found, clock)
+def check_recovered(recovered_directory, clock, progress):
+    """Checks that durable copies survived, that all copies are valid and that the store accepts new ones."""
+    store = open_store(recovered_directory, clock)
     for object_id, at in progress.purged.items():
-        store.purge(object_id, 0, at)  # as the control plane repeats them
+        store.purge(object_id, 0, at)  # the control plane resends purges
     for key in ALL_KEYS:
         copy = store.get(key)
         if copy is not None:
@@ -268,14 +271,14 @@
             continue
         durable = progress.durable[key]
         if durable.produced_at > progress.purged.get(key.object_id, 0):
-            assert copy is not None, "lost what was durable"
-            assert int(copy.tag[1:]) >= durable.step, "lost what was durable"
+            assert copy is not None, "lost a durable copy"
+            assert int(copy.tag[1:]) >= durable.step, "a copy older than the durable one"
     assert store.put(PartKey(99, 0), 0, Copy(b"t", clock.now_ms + 1, b"goes on"))
     store.flush()
     assert store.get(PartKey(99, 0)).body == b"goes on"
 
 
-def test_the_power_goes_at_every_call():
+def test_durable_copies_survive_a_power_cut_at_every_second_call():
     directory = MemoryDirectory(FaultPlan())
     run_workload(directory, Clock())
     calls = directory.faults.calls
@@ -289,7 +292,7 @@
         check_recovered(directory.after_power_cut(), clock, progress)
 
 
-KILLED = """
+WORKLOAD_SCRIPT = """
 import sys, time
 from pathlib import Path
 from tests.test_disk import StoreDirectory, run_workload
@@ -303,10 +306,12 @@
 """
 
 
-def test_a_process_that_is_killed_leaves_only_whole_parts(tmp_path):
+def test_killed_process_leaves_no_corrupt_copies(tmp_path):
     for seed in range(4):
         process = subprocess.Popen(
-            [sys.executable, "-c", KILLED, str(tmp_path)], stdout=subprocess.PIPE, stderr=subprocess.PIPE
+            [sys.executable, "-c", WORKLOAD_SCRIPT, str(tmp_path)],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
         )
         process.stdout.readline()
         time.sleep(0.05 + seed * 0.07)
@@ -323,7 +328,7 @@
         store.directory.release()
 
 
-def test_what_a_killed_process_wrote_is_durable_once_a_checkpoint_says_so():
+def test_checkpoint_makes_copies_of_a_killed_process_durable():
     clock, directory = Clock(), MemoryDirectory(FaultPlan(3))
     store = open_store(directory, clock)
     store.put(PartKey(1, 0), 0, Copy(b"t", clock.now_ms, b"written, not synced"))
@@ -348,7 +353,7 @@
     return store, clock
 
 
-def test_no_space_left_stops_puts_not_reads_and_compaction_resumes_them():
+def test_full_disk_stops_puts_but_not_reads_until_compaction():
     store, clock = filled_store()
     store.directory.faults.capacity = sum(len(each.data) for each in store.directory.files.values()) + 50
     assert store.put(PartKey(50, 0), 0, Copy(b"t", clock.now_ms, body(50, 0, 1, 1500)))
@@ -363,12 +368,12 @@
     assert store.put(PartKey(51, 0), 0, Copy(b"t", clock.now_ms, b"x"))
     store.flush()
     assert store.get(PartKey(51, 0)).body == b"x"
-    again = open_store(store.directory, clock)
-    assert again.get(PartKey(51, 0)).body == b"x"
+    reopened = open_store(store.directory, clock)
+    assert reopened.get(PartKey(51, 0)).body == b"x"
 
 
 @pytest.mark.parametrize("error", [errno.EROFS, errno.EIO])
-def test_a_disk_that_accepts_no_writes_still_serves(error):
+def test_store_serves_copies_from_an_unwritable_disk(error):
     store, clock = filled_store()
     store.directory.faults.write_errno = error
     store.put(PartKey(50, 0), 0, Copy(b"t", clock.now_ms, b"x"))
@@ -380,9 +385,9 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-def test_a_purge_that_could_not_be_written_is_written_once_there_is_space(error):
-    """Else a later record of discovery progress would be on disk without the purge, and a restart would serve
-    the purged copy.
+def test_purge_that_failed_to_write_is_written_before_later_records(error):
+    """Guards against a later record of discovery progress on disk without the purge before it: a restart
+    would then serve the purged copy.
     """
     store, clock = filled_store()
     store.sync()
@@ -400,8 +405,8 @@
     assert open_store(store.directory.durable_copy(), clock).get(PartKey(2, 0)) is None
 
 
-def test_a_failed_sync_is_not_taken_for_a_later_good_one():
-    """What it could not write is gone, and the next sync of the same file says nothing of it: fsync(2)."""
+def test_purge_survives_a_failed_sync_before_a_successful_one():
+    """After a failed fsync(2), the unwritten data is lost and the next fsync of the file reports success."""
     store, clock = filled_store()
     store.sync()
     clock.now_ms += 10
@@ -419,7 +424,7 @@
     assert open_store(store.directory.durable_copy(), clock).get(PartKey(2, 0)) is None
 
 
-def test_a_flipped_bit_is_a_miss_and_counted_once():
+def test_flipped_bit_is_a_miss_and_counted_once():
     store, _clock = filled_store()
     entry = store.find(PartKey(3, 0))
     store.directory.flip_bit(segment_file_name(entry.segment), entry.offset + 80)
@@ -432,7 +437,7 @@
     assert store.counters["records_unsound"] == 1
 
 
-def test_a_scrub_finds_corrupt_copies_that_nobody_requests():
+def test_scrub_finds_corrupt_copies_without_a_request():
     store, _clock = filled_store()
     entry = store.find(PartKey(5, 0))
     store.directory.flip_bit(segment_file_name(entry.segment), entry.offset + 90)
@@ -441,7 +446,7 @@
     assert store.find(PartKey(5, 0)) is None
 
 
-def test_a_file_removed_underneath_is_a_miss():
+def test_lookup_in_a_deleted_segment_file_is_a_miss():
     store, clock = filled_store()
     del store.directory.files[segment_file_name(store.find(PartKey(1, 0)).segment)]
     assert store.get(PartKey(1, 0)) is None
@@ -449,34 +454,34 @@
     assert open_store(store.directory, clock).get(PartKey(1, 0)) is None
 
 
-def test_a_torn_tail_is_cut_and_counted():
+def test_torn_last_record_is_discarded_and_counted():
     store, clock = filled_store()
     name = segment_file_name(store.find(PartKey(7, 0)).segment)
     del store.directory.files[name].data[-3:]
-    again = open_store(store.directory, clock)
-    assert again.counters["records_torn"] == 1
-    assert again.get(PartKey(7, 0)) is None
-    assert again.get(PartKey(6, 0)) is not None
+    reopened = open_store(store.directory, clock)
+    assert reopened.counters["records_torn"] == 1
+    assert reopened.get(PartKey(7, 0)) is None
+    assert reopened.get(PartKey(6, 0)) is not None
 
 
-def test_corrupt_checkpoints_are_replaced_by_the_older_one_and_then_by_the_log():
+def test_recovery_falls_back_to_the_previous_checkpoint_and_then_to_the_log():
     store, clock = filled_store()
     store.checkpoint()
     store.put(PartKey(90, 0), 0, Copy(b"t1", clock.now_ms, b"new"))
     store.checkpoint()
     store.directory.flip_bit(CHECKPOINT_FILE, 60)
-    again = open_store(store.directory, clock)
-    assert again.counters["checkpoints_unsound"] == 1
-    assert again.get(PartKey(90, 0)).body == b"new"
+    reopened = open_store(store.directory, clock)
+    assert reopened.counters["checkpoints_unsound"] == 1
+    assert reopened.get(PartKey(90, 0)).body == b"new"
     store.directory.flip_bit(PREVIOUS_CHECKPOINT_FILE, 60)
-    again = open_store(store.directory, clock)
-    assert again.counters["checkpoints_unsound"] == 2
+    reopened = open_store(store.directory, clock)
+    assert reopened.counters["checkpoints_unsound"] == 2
     assert all(
-        again.get(PartKey(object_id, 0)).body == body(object_id, 0, object_id) for object_id in range(8)
+        reopened.get(PartKey(object_id, 0)).body == body(object_id, 0, object_id) for object_id in range(8)
     )
 
 
-def test_another_installations_folder_or_version_is_refused():
+def test_directory_of_another_installation_is_rejected():
     store, clock = filled_store()
     with pytest.raises(ForeignStoreError, match="another installation"):
         open_store(store.directory, clock, identity=b"there")
@@ -485,7 +490,7 @@
         open_store(store.directory, clock, identity=b"there")
 
 
-def test_a_second_process_on_the_folder_is_refused(tmp_path):
+def test_directory_in_use_is_rejected(tmp_path):
     store = open_store(StoreDirectory(tmp_path), Clock())
     with pytest.raises(StoreLockedError, match="in use by another process"):
         open_store(StoreDirectory(tmp_path), Clock())
@@ -493,34 +498,35 @@
     open_store(StoreDirectory(tmp_path), Clock()).close()
 
 
-def test_a_long_absence_costs_all_that_was_there_and_a_short_one_nothing():
+def test_copies_are_discarded_after_a_downtime_beyond_the_purge_retention():
     store, clock = filled_store()
     store.record_discovery_progress(clock.now_ms)
     store.close()
     clock.now_ms += 900
-    again = open_store(store.directory, clock)
-    assert again.get(PartKey(1, 0)) is not None
-    again.close()
+    reopened = open_store(store.directory, clock)
+    assert reopened.get(PartKey(1, 0)) is not None
+    reopened.close()
     clock.now_ms += 5000
     late = open_store(store.directory, clock)
     assert all(late.get(PartKey(object_id, 0)) is None for object_id in range(8)), (
-        "purges of that time can't be known any more"
+        "purges sent during the downtime are unknown"
     )
+    # the copy is as old as the discarded ones, but its sender has checked it against the purges
     assert late.put(PartKey(1, 0), 0, Copy(b"t", START_MS, b"as old, but checked by who brings it"))
     late.flush()
     assert late.get(PartKey(1, 0)) is not None
 
 
-def test_a_clock_that_was_set_back_serves_nothing_of_before():
+def test_copies_are_discarded_when_the_clock_was_set_back():
     store, clock = filled_store()
     store.record_discovery_progress(clock.now_ms)
     store.close()
     clock.now_ms -= 7_200_000
-    again = open_store(store.directory, clock)
-    assert all(again.get(PartKey(object_id, 0)) is None for object_id in range(8))
+    reopened = open_store(store.directory, clock)
+    assert all(reopened.get(PartKey(object_id, 0)) is None for object_id in range(8))
 
 
-def test_a_moved_copy_does_not_undo_a_newer_one_that_is_queued():
+def test_compaction_does_not_replace_a_newer_queued_copy():
     store, clock = filled_store()
     store.writer.start_segment()
     store.put(PartKey(3, 0), 0, Copy(b"t9", clock.now_ms + 1, b"newer"))
@@ -531,7 +537,7 @@
     assert open_store(store.directory, clock).get(PartKey(3, 0)).body == b"newer"
 
 
-def test_purges_outlive_restarts_compaction_and_their_number():
+def test_purges_survive_compaction_and_a_restart():
     store, clock = filled_store()
     clock.now_ms += 1
     store.purge(3, 0, clock.now_ms)
@@ -539,9 +545,9 @@
     number = store.find(PartKey(1, 0)).segment
     store.writer.start_segment()
     exhaust(store.compact(number, retain_all))
-    again = open_store(store.directory, clock)
-    assert again.get(PartKey(3, 0)) is None
-    assert again.get(PartKey(1, 0)) is not None
-    assert again.state.purges.objects[3] == clock.now_ms
-    assert not again.put(PartKey(3, 0), 0, Copy(b"t", clock.now_ms - 1, b"older than the purge"))
-    assert again.put(PartKey(3, 0), 0, Copy(b"t", clock.now_ms + 1, b"newer"))
+    reopened = open_store(store.directory, clock)
+    assert reopened.get(PartKey(3, 0)) is None
+    assert reopened.get(PartKey(1, 0)) is not None
+    assert reopened.state.purges.objects[3] == clock.now_ms
+    assert not reopened.put(PartKey(3, 0), 0, Copy(b"t", clock.now_ms - 1, b"older than the purge"))
+    assert reopened.put(PartKey(3, 0), 0, Copy(b"t", clock.now_ms + 1, b"newer"))
--- a/tests/test_disk_stored_form.py
+++ b/tests/test_disk_stored_form.py
@@ -1,4 +1,4 @@
-"""The bytes of a store on disk: what an earlier version wrote is served, and is written the same anew.
+"""The stored form on disk: files of an earlier version are read, and the same operations write them again.
 
 `tests/data/disk_store` was written by `write_store` before the store was split into modules.
 """
@@ -46,7 +46,7 @@
 
 
 def write_store(folder):
-    """Puts, replacements, a drop, purges, a compaction, two checkpoints and records after the last."""
+    """Writes puts, replacements, a drop, purges, a compaction, two checkpoints and records after them."""
     clock = Clock(START_MS)
     store = Store(StoreDirectory(folder), IDENTITY, LIMITS, clock)
     for object_id in OBJECTS:
@@ -61,7 +61,7 @@
     store.checkpoint()
     clock.milliseconds += 10
     store.purge(None, PURGED_GROUP, clock.milliseconds)
-    put(store, clock, 7, 2)  # of the purged group, and newer than its purge
+    put(store, clock, 7, 2)  # in the purged group, but newer than the purge
     put(store, clock, 8, 2)
     clock.milliseconds += 1000
     store.record_discovery_progress(clock.milliseconds)
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def stored_folder(tmp_path):
-    """A copy of the stored bytes, so that a start may change it."""
+    """A copy of the stored files, because opening a store may change them."""
     return Path(shutil.copytree(STORED, tmp_path / "store"))
 
 
@@ -86,21 +86,21 @@
 
 
 def served_versions(store):
-    found = {}
+    versions = {}
     for object_id in OBJECTS:
         copy = store.get(PartKey(object_id, 0))
         if copy is not None:
             version = int(copy.tag[1:])
             assert copy.body == body_of(object_id, version)
-            found[object_id] = version
-    return found
+            versions[object_id] = version
+    return versions
 
 
 def files_of(folder):
     return {path.name: path.read_bytes() for path in folder.iterdir() if path.name != "LOCK"}
 
 
-def test_copies_of_an_earlier_version_are_served_and_its_purges_kept(stored_folder):
+def test_copies_of_an_earlier_version_are_served_unless_purged(stored_folder):
     store = open_store(stored_folder)
     assert served_versions(store) == EXPECTED_VERSIONS
     assert store.get(PartKey(7, 0)).produced_at == START_MS + 110
@@ -108,7 +108,7 @@
     store.close()
 
 
-def test_purges_of_an_earlier_version_refuse_copies_from_before_them(stored_folder):
+def test_purges_of_an_earlier_version_reject_older_copies(stored_folder):
     store = open_store(stored_folder)
     assert not store.put(
         PartKey(PURGED_OBJECT, 0), group_of(PURGED_OBJECT), Copy(b"v3", START_MS + 90, b"late")
@@ -118,7 +118,7 @@
     store.close()
 
 
-def test_the_log_of_an_earlier_version_is_served_without_its_checkpoints(stored_folder):
+def test_log_of_an_earlier_version_is_recovered_without_its_checkpoints(stored_folder):
     for path in stored_folder.glob("checkpoint*"):
         path.unlink()
     store = open_store(stored_folder)
@@ -126,23 +126,23 @@
     store.close()
 
 
-def test_a_start_long_after_the_last_known_purge_serves_nothing_of_an_earlier_version(stored_folder):
+def test_copies_of_an_earlier_version_are_discarded_after_the_purge_retention(stored_folder):
     store = open_store(stored_folder, FINAL_MS + 60_001)
     assert served_versions(store) == {}
     store.close()
 
 
 def test_the_same_operations_write_the_same_bytes(tmp_path):
-    clock = write_store(tmp_path / "anew")
+    clock = write_store(tmp_path / "rewritten")
     assert clock.milliseconds == FINAL_MS
-    anew, before = files_of(tmp_path / "anew"), files_of(STORED)
-    assert sorted(anew) == sorted(before)
+    rewritten, before = files_of(tmp_path / "rewritten"), files_of(STORED)
+    assert sorted(rewritten) == sorted(before)
     for name, data in before.items():
-        assert anew[name] == data, name
+        assert rewritten[name] == data, name
 
 
-def test_a_start_and_a_close_write_the_same_checkpoint(stored_folder):
-    """What recovery finds in the stored form, and the checkpoint it writes, are of a fixed form too."""
+def test_opening_and_closing_writes_the_same_checkpoint(stored_folder):
+    """The checkpoint that is written after recovery from the stored files has a fixed form as well."""
     open_store(stored_folder).close()
     recovered = files_of(stored_folder)
     assert recovered["checkpoint.1"] == files_of(STORED)["checkpoint"]
