--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -129,7 +129,7 @@
 def test_local_errors_on_upstream_connections_fail_no_request_and_no_upstream(
     start_director, tmp_path, call, name
 ):
-    """Errors with a local cause: this machine is short of ports, routes or buffers for a moment.
+    """Errors with a local cause: this machine is briefly short of ports, routes or buffers.
 
     The upstream must still be asked, and must not count as refusing connections or as unreachable.
     """
@@ -239,8 +239,8 @@
         assert 0 < accept <= 2000
 
 
-def test_a_cold_node_gets_slow_start_when_the_wall_clock_steps(start_director):
-    """A node that has just started must not count as started an hour ago because of the step."""
+def test_a_cold_upstream_gets_slow_start_when_the_wall_clock_steps(start_director):
+    """An upstream that has just started must not count as started an hour ago because of the step."""
     director, upstream, coordinator = start_director({"steps": [[1.0, 3600.0]]})
     started_at = time.monotonic()
     client = FakeClient(director.port)
