--- a/deploy/operations.cue
+++ b/deploy/operations.cue
@@ -1,6 +1,6 @@
-// The operators' settings of this platform. It has no lasting disk and no listener to spare, so nothing is on:
-// `run` does not name this file. `ironhinge settings schema` prints all that may stand here; docs/traffic.md and
-// docs/operators-traffic.md say what it does.
+// The operators' settings on this platform. It has no persistent disk and no spare listener, so nothing is
+// enabled: `run` in balancer.toml does not pass this file. `ironhinge settings schema` prints all fields that
+// are allowed here; docs/traffic.md and docs/operators-traffic.md describe what they do.
 //
 // traffic: {
 //     period: "30d"
--- a/deploy/sites/lay.sh
+++ b/deploy/sites/lay.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Lays the kit's name tables beside the site files, which the bench asks for; git ignores them.
+# Copies the kit's name tables, which the bench needs, next to the site files; git ignores the copies.
 # usage: deploy/sites/lay.sh KIT
 set -eu
 here=$(dirname "$0")
--- a/ironhinge/lab/soak/audit.py
+++ b/ironhinge/lab/soak/audit.py
@@ -1,7 +1,7 @@
 """Audits a run: checks the records of clients and stand-ins (fake servers) against the operators' rules.
 
 The audit uses only the plan and these records and shares no code with the director. Each limit is a number
-of the operators' documentation, whose rule is given beside the constant, plus the delay of the run's own
+from the operators' documentation (a comment at the constant states the rule), plus the delay of the run's own
 proxies. A director that was stopped by SIGSTOP gets no extra time, as the documentation grants none. When the
 recording process itself runs late, the times that it records are too late by its lag; the attempt, drain and
 purge checks allow for that lag.
--- a/ironhinge/lab/soak/client_connection.py
+++ b/ironhinge/lab/soak/client_connection.py
@@ -34,7 +34,7 @@
         """Open the connection.
 
         Raises:
-            OSError: Nobody listens on the port.
+            OSError: The connection failed, for example because no process listens on the port.
         """
         reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
         self.record.opened_at = time.monotonic()
--- a/ironhinge/net/connection_manager.py
+++ b/ironhinge/net/connection_manager.py
@@ -202,7 +202,7 @@
         Args:
             listener: The listening socket.
             make_receiver: Makes the receiver of each connection.
-            reclaim_descriptor: Closes an idle client's connection to make room for a new one.
+            reclaim_descriptor: Closes an idle client's connection to free its descriptor for a new one.
 
         Raises:
             ListenerError: The listener is open, but can't accept connections.
--- a/ironhinge/net/upstream_command.py
+++ b/ironhinge/net/upstream_command.py
@@ -1,4 +1,4 @@
-"""Makes the fields of an attempt's command, under their names in the upstreams' protocol."""
+"""Builds the fields of an attempt's command, with the names that the upstreams' protocol gives them."""
 
 from __future__ import annotations
 
--- a/ironhinge/routing/failure_attribution.py
+++ b/ironhinge/routing/failure_attribution.py
@@ -97,7 +97,7 @@
         if origin is not None and self._is_origin_suspected(request, event):
             origin.rejecting_until = failed_upstream.rejecting_until
         if event.duration > request.request_class.definition.latency_target:
-            # A rejection after the latency target counts as a failure, as the request has waited in vain.
+            # A rejection after the latency target counts as a failure: waiting for it made the request late.
             self._outliers.record_failure(failed_upstream)
             self._outliers.eject_if_outlier(now, failed_upstream)
         return failed_upstream
--- a/ironhinge/traffic/ledger.py
+++ b/ironhinge/traffic/ledger.py
@@ -1,4 +1,4 @@
-"""The entry point of the account and its budgets.
+"""The ledger: the entry point to a director's account of transferred bytes and to its budgets.
 
 `TrafficLedger.handle` applies events of attempts, endpoints, clocks and peers, and returns commands for
 `service` to execute. The router calls `TrafficLedger.wait_time` to check whether the budgets have room for a
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("error_s", [3600, -3600, 60])
 def test_live_events_correct_a_clock_that_was_wrong_at_start_up(error_s):
-    """A purge arrives within seconds: one that seems an hour old or ahead shows that our clock is wrong."""
+    """A purge arrives within seconds: one that seems an hour old or ahead shows that the clock is wrong."""
     time = FakeTime(int(error_s * SECOND))
     time.advance(20 * SECOND)
     caught_up = time.elapsed - SECOND
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -453,7 +453,7 @@
 
 @pytest.mark.parametrize("field", ["zone", "cell"])
 def test_a_keyed_request_is_not_sent_again_to_where_its_first_endpoint_moved(field):
-    """Guards against executing it twice: only nodes in the zone or cell where it ran know its key."""
+    """Guards against executing it twice: only upstreams in the zone or cell where it ran know its key."""
     scope = {"zone": interface.DedupScope.ZONE, "cell": interface.DedupScope.CELL}[field]
     request_class = new_deployment().request_classes[1]._replace(dedup_scope=scope)
     deployment = new_deployment(request_classes=(request_class,), direct_to_source=True)
--- a/tests/test_network_races.py
+++ b/tests/test_network_races.py
@@ -162,7 +162,7 @@
 def test_request_that_arrives_while_its_idle_connection_is_closed_is_answered(cause):
     """The request arrives just after the check for unread data.
 
-    The client gets a GOAWAY first, and requests are answered for some time after that. Then our side is shut
+    The client gets a GOAWAY first, and requests are answered for some time after that. Then this side is shut
     down, and no reset destroys data in flight.
     """
     fake_router = FakeRouter(RequestReceived=[lambda now: [interface.RejectRequest(TRACE, 0)]])
