--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -325,6 +325,9 @@
     async def scenario(director_under_test, client, wait_until):
         director_under_test.manager.task_group.start_soon(director_under_test.discovery.follow)
         await connect_upstream(director_under_test, client, fake_router, wait_until)
+        await wait_until(
+            lambda: not coordinator.subscriptions.empty()
+        )  # a blocking get would stop the event loop
         _, connection = coordinator.subscriptions.get(timeout=5)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await anyio.sleep(0.05)
